--- a/crates/spurdrum-lab/src/lists.rs
+++ b/crates/spurdrum-lab/src/lists.rs
@@ -11,7 +11,8 @@
 
 use hdrhistogram::Histogram;
 use spurdrum_sources::follower::{
-    Action, Ask, CallId, CloseReason, Counts, Event, Evidence, Failure, Follower, Settings, StartEnd, View,
+    Action, CallId, CloseReason, Counts, Event, Evidence, Failure, Follower, Freshness, Query, Settings,
+    StartupResult,
 };
 use spurdrum_sources::{List, Member, Phase};
 
@@ -130,9 +131,9 @@
     /// See `held`.
     pub revision: u64,
     /// Views at the end, and what was done; only of [`Way::Follower`].
-    pub followers: Vec<(View, Counts)>,
+    pub followers: Vec<(Freshness, Counts)>,
     /// How and when each node's start ended; only of [`Way::Follower`].
-    pub starts: Vec<Option<(StartEnd, Duration)>>,
+    pub starts: Vec<Option<(StartupResult, Duration)>>,
     /// The most calls that one node had out at once, and whose answers it waited for.
     pub out_most: usize,
     /// See `out_most`.
@@ -174,7 +175,7 @@
         let mut fails = false;
         match event {
             Event::Tick if gives_up.is_some_and(|at| now >= at) => {
-                actions.push(Action::Close { call: CallId(*call), reason: CloseReason::Silent });
+                actions.push(Action::Close { call: CallId(*call), reason: CloseReason::TimedOut });
                 fails = true;
             }
             Event::Tick if gives_up.is_none() && due.is_none() => *due = Some(now),
@@ -195,8 +196,8 @@
         if due.is_some_and(|at| now >= at) {
             *call += 1;
             (*gives_up, *due) = (Some(now + *wait + Duration::from_secs(1)), None);
-            let ask = revision.map_or(Ask::Read, |since| Ask::Watch { since, wait: *wait });
-            actions.push(Action::Call { call: CallId(*call), ask });
+            let query = revision.map_or(Query::Read, |since| Query::Watch { since, wait: *wait });
+            actions.push(Action::Call { call: CallId(*call), query });
         }
     }
 }
@@ -255,13 +256,14 @@
 
 /// Plays an experiment to its end.
 pub fn play(plan: &Plan, way: &Way) -> Outcome {
-    let node = |me: usize| match way {
+    let node = |node_index: usize| match way {
         Way::Fixed(wait) => {
             Node::Fixed { wait: *wait, revision: Some(0), call: 0, gives_up: None, due: None, failed: 0 }
         }
         Way::Follower(settings) => {
-            let settings = Settings { nodes: plan.nodes, me, ..settings.clone() };
-            let follower = Follower::new(settings, plan.seed ^ me as u64, Some(0)).expect("sound settings");
+            let settings = Settings { nodes: plan.nodes, node_index, ..settings.clone() };
+            let follower =
+                Follower::new(settings, plan.seed ^ node_index as u64, Some(0)).expect("sound settings");
             Node::Follower(Box::new(follower))
         }
     };
@@ -351,7 +353,7 @@
         self.outcome.revision = self.revision;
         for node in &self.nodes {
             if let Node::Follower(follower) = node {
-                self.outcome.followers.push((follower.view(), follower.counts().clone()));
+                self.outcome.followers.push((follower.freshness(), follower.counts().clone()));
             }
         }
         self.outcome
@@ -385,7 +387,7 @@
                 self.changed.clear();
                 self.waiting.clear();
             }
-            Step::Move(node) => self.tell(node, Event::Moved),
+            Step::Move(node) => self.tell(node, Event::AddressChanged),
             Step::SilenceWatches => self.waiting.clear(),
             Step::Wake(node) if self.wakes[node] == Some(self.now) => self.tell(node, Event::Tick),
             Step::Wake(_) => {}
@@ -401,9 +403,11 @@
             }
             Step::Work => self.work(),
             Step::Told(node, call, since, revision) => self.told(node, call, since, revision),
-            Step::Head(node, call) => self.tell(node, Event::Begun { call: CallId(call), length: 1000 }),
+            Step::Head(node, call) => {
+                self.tell(node, Event::AnswerStarted { call: CallId(call), length: 1000 })
+            }
             Step::NoList(node, call) => {
-                self.tell(node, Event::Failed { call: CallId(call), why: Failure::NoList });
+                self.tell(node, Event::Failed { call: CallId(call), failure: Failure::InvalidList });
             }
             Step::Gone(node, call) => {
                 self.waiting.remove(&(node, call));
@@ -510,7 +514,7 @@
 
     fn told(&mut self, node: usize, call: u64, since: Option<u64>, revision: Option<u64>) {
         let Some(revision) = revision else {
-            return self.tell(node, Event::Failed { call: CallId(call), why: Failure::Broke });
+            return self.tell(node, Event::Failed { call: CallId(call), failure: Failure::ConnectionLost });
         };
         // A version that is not this catalog's is answered with all there is.
         let since = since.filter(|since| *since <= revision);
@@ -533,12 +537,12 @@
         self.nodes[node].handle(self.now, event, &mut self.random, &mut actions);
         for action in actions {
             match action {
-                Action::Call { call, ask } => {
+                Action::Call { call, query } => {
                     self.outcome.calls += 1;
-                    let asked = match ask {
-                        Ask::Read => Asked::Read,
-                        Ask::Poll { since } => Asked::Since(since, Duration::ZERO),
-                        Ask::Watch { since, wait } => Asked::Since(since, wait),
+                    let asked = match query {
+                        Query::Read => Asked::Read,
+                        Query::Poll { since } => Asked::Since(since, Duration::ZERO),
+                        Query::Watch { since, wait } => Asked::Since(since, wait),
                     };
                     let at = self.now + self.way();
                     self.at(at, Step::Asked(node, call.0, asked));
@@ -548,13 +552,13 @@
                     self.at(at, Step::Gone(node, call.0));
                 }
                 Action::Apply(list) => self.learned(node, &list),
-                Action::Started(end) => self.outcome.starts[node] = Some((end, self.now)),
-                Action::State { .. } | Action::Shorter(..) => {}
+                Action::Ready(end) => self.outcome.starts[node] = Some((end, self.now)),
+                Action::FreshnessChanged { .. } | Action::ListShrunk(..) => {}
             }
         }
         if let Node::Follower(follower) = &self.nodes[node] {
-            self.outcome.out_most = self.outcome.out_most.max(follower.out());
-            self.outcome.awaited_most = self.outcome.awaited_most.max(follower.awaited());
+            self.outcome.out_most = self.outcome.out_most.max(follower.open_calls());
+            self.outcome.awaited_most = self.outcome.awaited_most.max(follower.awaited_calls());
         }
         let wake = self.nodes[node].next_wake().map(|at| at.max(self.now));
         if wake != self.wakes[node] {
--- a/crates/spurdrum-lab/src/main.rs
+++ b/crates/spurdrum-lab/src/main.rs
@@ -17,7 +17,7 @@
 use spurdrum_lab::rollout::Went;
 use spurdrum_lab::spread::{self, Figures, Way as Choice};
 use spurdrum_rollout::judge::Settings as JudgeSettings;
-use spurdrum_sources::follower::{Settings, StartEnd};
+use spurdrum_sources::follower::{Settings, StartupResult};
 use spurdrum_sources::registry::follower::{Interface, Settings as Watching};
 
 /// Experiments in simulated time.
@@ -128,7 +128,7 @@
         times.sort_by(f64::total_cmp);
         let within =
             |part: f64| times.get((part * (times.len() - 1) as f64) as usize).copied().unwrap_or(f64::NAN);
-        let late = ends.iter().filter(|(end, _)| *end == StartEnd::TimedOut).count();
+        let late = ends.iter().filter(|(end, _)| *end == StartupResult::TimedOut).count();
         println!(
             "| {nodes} | {round_ms} | {:.2} | {:.2} | {:.2} | {late} | {} |",
             within(0.5),
--- a/crates/spurdrum-lab/src/registry.rs
+++ b/crates/spurdrum-lab/src/registry.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
-use spurdrum_sources::follower::View;
+use spurdrum_sources::follower::Freshness;
 use spurdrum_sources::reconciler::{self, Reconciler};
 use spurdrum_sources::registry::follower::{
     Action, Ask, CallId, Counts, Edit, Event, Failure, Follower, Header, Interface, Settings, Value,
@@ -93,7 +93,7 @@
     /// What the nodes did.
     pub counts: Vec<Counts>,
     /// Views at the end.
-    pub views: Vec<View>,
+    pub views: Vec<Freshness>,
     /// Messages to the registry, and bytes from it.
     pub messages: u64,
     /// See `messages`.
--- a/crates/spurdrum-lab/tests/lists.rs
+++ b/crates/spurdrum-lab/tests/lists.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 use spurdrum_lab::lists::{deploys, play, Fault, Manners, Plan, Way};
-use spurdrum_sources::follower::{Settings, StartEnd, View};
+use spurdrum_sources::follower::{Freshness, Settings, StartupResult};
 
 /// After the last change and the last trouble, nodes have this long to catch up.
 const TAIL: f64 = 60.0;
@@ -33,7 +33,7 @@
         nodes in 1_usize..6,
         seed in any::<u64>(),
         service in 1_u64..40,
-        pushed in any::<bool>(),
+        local_agent in any::<bool>(),
         mut at in proptest::collection::vec(0.0..60.0_f64, 0..60),
     ) {
         at.sort_by(f64::total_cmp);
@@ -41,7 +41,7 @@
         let length = Duration::from_secs_f64(60.0 + TAIL);
         let service = Duration::from_millis(service);
         let plan = Plan { nodes, seed, length, commits, service, fault, ..plain() };
-        let outcome = play(&plan, &Way::Follower(Settings { pushed, ..Settings::default() }));
+        let outcome = play(&plan, &Way::Follower(Settings { local_agent, ..Settings::default() }));
         // Calls that were silent for long keep their places at discovery; no more than two are waited for.
         prop_assert!(outcome.awaited_most <= 2, "{}", outcome.awaited_most);
         prop_assert!(outcome.out_most <= 4, "{}", outcome.out_most);
@@ -56,10 +56,10 @@
         for (view, counts) in &outcome.followers {
             // Where a part of the answers is lost, the last moment may be any.
             let lossy = matches!(fault, Fault::Lost(_) | Fault::LostAndBroken(_) | Fault::Trickle(_));
-            prop_assert!(lossy || *view < View::Blind, "{}", counts);
+            prop_assert!(lossy || *view < Freshness::Stale, "{}", counts);
             let calls: u64 = counts.calls.iter().sum();
             // An agent on the own machine is asked thirteen times a second, and costs nobody anything.
-            let pace = if pushed { 14 } else { 3 };
+            let pace = if local_agent { 14 } else { 3 };
             let bound = 20 + 4 * plan.commits.len() as u64 + pace * length.as_secs();
             prop_assert!(calls <= bound, "{} calls, {} expected at most", calls, bound);
         }
@@ -207,7 +207,7 @@
             assert_eq!(outcome.turned_away, 0, "{nodes} nodes, a round of {round_ms} ms");
             for start in outcome.starts {
                 let (end, at) = start.expect("each start ends");
-                assert_eq!(end, StartEnd::Confirmed, "{nodes} nodes, a round of {round_ms} ms: {at:?}");
+                assert_eq!(end, StartupResult::Confirmed, "{nodes} nodes, a round of {round_ms} ms: {at:?}");
             }
         }
     }
--- a/crates/spurdrum-lab/tests/registry.rs
+++ b/crates/spurdrum-lab/tests/registry.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use spurdrum_lab::registry::{play, settings, Faults, Outcome, Plan};
-use spurdrum_sources::follower::View;
+use spurdrum_sources::follower::Freshness;
 use spurdrum_sources::registry::follower::{Interface, Settings};
 
 const S: fn(u64) -> Duration = Duration::from_secs;
@@ -28,7 +28,7 @@
 fn is_sound(outcome: &Outcome) {
     assert_eq!(outcome.wrong, Vec::<String>::new());
     assert!(
-        outcome.views.iter().all(|view| *view == View::Fresh),
+        outcome.views.iter().all(|view| *view == Freshness::Fresh),
         "{:?} {:?}",
         outcome.views,
         outcome.counts
--- a/crates/spurdrum-sources/src/alarm.rs
+++ b/crates/spurdrum-sources/src/alarm.rs
@@ -8,20 +8,20 @@
 use tokio::time::{sleep_until, Instant};
 
 /// Counts time from when it was made, and wakes whoever sleeps on it at the earliest moment that it is told of.
-pub struct Alarm {
+pub struct Timer {
     started: Instant,
     /// None: it sleeps until it is told of a moment.
     until: Cell<Option<Duration>>,
     changed: Notify,
 }
 
-impl Default for Alarm {
+impl Default for Timer {
     fn default() -> Self {
         Self { started: Instant::now(), until: Cell::new(None), changed: Notify::new() }
     }
 }
 
-impl Alarm {
+impl Timer {
     /// The present time.
     pub fn now(&self) -> Duration {
         self.started.elapsed()
@@ -43,7 +43,7 @@
     }
 
     /// Wakes who sleeps, where this is earlier than what they sleep for.
-    pub fn sooner(&self, wake: Option<Duration>) {
+    pub fn wake_no_later_than(&self, wake: Option<Duration>) {
         if wake.is_some_and(|wake| self.until.get().is_none_or(|until| wake < until)) {
             self.changed.notify_one();
         }
--- a/crates/spurdrum-sources/src/catalog.rs
+++ b/crates/spurdrum-sources/src/catalog.rs
@@ -17,9 +17,10 @@
 use tokio::time::timeout;
 
 use crate::follower::{
-    Action, Ask, CallId, Cause, CloseReason, Counts, Event, Evidence, Follower, Settings, StartEnd, View,
+    Action, CallId, Cause, CloseReason, Counts, Event, Evidence, Follower, Freshness, Query, Settings,
+    StartupResult,
 };
-use crate::{Alarm, CallEnd, CallError, CallReport, List};
+use crate::{CallEnd, CallError, CallReport, List, Timer};
 
 /// A list may be this long: 10,000 servers and some more.
 const LIST_MOST: usize = 8 << 20;
@@ -28,52 +29,52 @@
 
 /// What a follower has for the node.
 #[derive(Debug)]
-pub enum News {
+pub enum CatalogEvent {
     /// Following begins: the first call goes out after so long.
-    Begun {
+    Started {
         /// The time until then.
         first_call: Duration,
     },
     /// The process may serve from now on.
-    Started {
+    Ready {
         /// Why.
-        end: StartEnd,
+        end: StartupResult,
         /// How long it took.
         after: Duration,
     },
     /// The list, or what changed in it.
     List(List),
     /// The view is trusted otherwise than before.
-    View {
+    FreshnessChanged {
         /// Before.
-        from: View,
+        from: Freshness,
         /// Now.
-        to: View,
+        to: Freshness,
         /// Why.
         cause: Cause,
     },
     /// A whole list is shorter by much: entries before and now.
-    Shorter(usize, usize),
+    ListShrunk(usize, usize),
     /// A call has ended, otherwise than as a quiet watch does.
-    Call(CallReport),
+    CallEnded(CallReport),
 }
 
 /// A call that is out.
 struct OpenCall {
-    ask: Ask,
+    query: Query,
     address: SocketAddr,
     begun: Duration,
     task: AbortHandle,
 }
 
 type Sender = SendRequest<Empty<Bytes>>;
-type Listener = Box<dyn Fn(News)>;
+type Listener = Box<dyn Fn(CatalogEvent)>;
 
 /// Follows one catalog. To be used within a `LocalSet`.
 pub struct Catalog {
     address: Cell<SocketAddr>,
     follower: RefCell<Follower>,
-    alarm: Alarm,
+    timer: Timer,
     calls: RefCell<HashMap<CallId, OpenCall>>,
     /// A connection whose last call was answered, and where it leads.
     kept: RefCell<Option<(SocketAddr, Sender)>>,
@@ -95,7 +96,7 @@
         Ok(Rc::new(Self {
             address: Cell::new(address),
             follower: RefCell::new(Follower::new(settings, seed, known)?),
-            alarm: Alarm::default(),
+            timer: Timer::default(),
             calls: RefCell::default(),
             kept: RefCell::default(),
             news: RefCell::default(),
@@ -103,45 +104,45 @@
     }
 
     /// Servers that leave by the list of an earlier run.
-    pub fn remember(&self, known: List) {
-        self.follower.borrow_mut().remember(known);
+    pub fn restore_leaving(&self, known: List) {
+        self.follower.borrow_mut().restore_leaving(known);
     }
 
     /// Follows it for as long as this is awaited; each piece of news is handed over as it comes.
-    pub async fn follow(self: Rc<Self>, news: impl Fn(News) + 'static) {
+    pub async fn follow(self: Rc<Self>, news: impl Fn(CatalogEvent) + 'static) {
         *self.news.borrow_mut() = Some(Box::new(news));
         self.tell(Event::Tick);
         let due = self.follower.borrow().next_call().unwrap_or_default();
-        self.hand_over(News::Begun { first_call: due.saturating_sub(self.alarm.now()) });
+        self.hand_over(CatalogEvent::Started { first_call: due.saturating_sub(self.timer.now()) });
         loop {
             self.tell(Event::Tick);
             let wake = self.follower.borrow().next_wake();
             if wake.is_none() {
                 return;
             }
-            self.alarm.sleep(wake).await;
+            self.timer.sleep(wake).await;
         }
     }
 
     /// What a server shows that the list does not explain.
-    pub fn evidence(self: &Rc<Self>, evidence: Evidence) {
+    pub fn report_evidence(self: &Rc<Self>, evidence: Evidence) {
         self.tell(Event::Evidence(evidence));
     }
 
     /// It is to be found elsewhere from now on. Whether that is news.
-    pub fn move_to(self: &Rc<Self>, address: SocketAddr) -> bool {
+    pub fn set_address(self: &Rc<Self>, address: SocketAddr) -> bool {
         if self.address.replace(address) == address {
             return false;
         }
         *self.kept.borrow_mut() = None;
-        self.tell(Event::Moved);
+        self.tell(Event::AddressChanged);
         true
     }
 
     /// How far the view can be trusted, its age where it was ever confirmed, its version, and what was done.
-    pub fn status(&self) -> (View, Option<Duration>, Option<u64>, Counts) {
+    pub fn status(&self) -> (Freshness, Option<Duration>, Option<u64>, Counts) {
         let follower = self.follower.borrow();
-        (follower.view(), follower.age(self.alarm.now()), follower.revision(), follower.counts().clone())
+        (follower.freshness(), follower.age(self.timer.now()), follower.revision(), follower.counts().clone())
     }
 
     fn tell(self: &Rc<Self>, event: Event) {
@@ -150,34 +151,36 @@
             return;
         }
         let mut actions = Vec::new();
-        self.follower.borrow_mut().handle(self.alarm.now(), event, &mut actions);
+        self.follower.borrow_mut().handle(self.timer.now(), event, &mut actions);
         for action in actions {
             match action {
-                Action::Call { call, ask } => self.call(call, ask),
+                Action::Call { call, query } => self.call(call, query),
                 Action::Close { call, reason } => self.close(call, reason),
-                Action::Apply(list) => self.hand_over(News::List(list)),
-                Action::State { from, to, cause } => self.hand_over(News::View { from, to, cause }),
-                Action::Shorter(before, now) => self.hand_over(News::Shorter(before, now)),
-                Action::Started(end) => self.hand_over(News::Started { end, after: self.alarm.now() }),
+                Action::Apply(list) => self.hand_over(CatalogEvent::List(list)),
+                Action::FreshnessChanged { from, to, cause } => {
+                    self.hand_over(CatalogEvent::FreshnessChanged { from, to, cause })
+                }
+                Action::ListShrunk(before, now) => self.hand_over(CatalogEvent::ListShrunk(before, now)),
+                Action::Ready(end) => self.hand_over(CatalogEvent::Ready { end, after: self.timer.now() }),
             }
         }
-        self.alarm.sooner(self.follower.borrow().next_wake());
+        self.timer.wake_no_later_than(self.follower.borrow().next_wake());
     }
 
-    fn hand_over(&self, news: News) {
+    fn hand_over(&self, news: CatalogEvent) {
         if let Some(to) = &*self.news.borrow() {
             to(news);
         }
     }
 
-    fn call(self: &Rc<Self>, id: CallId, ask: Ask) {
+    fn call(self: &Rc<Self>, id: CallId, query: Query) {
         let (catalog, address) = (Rc::clone(self), self.address.get());
         let task = tokio::task::spawn_local(async move {
-            let ended = catalog.ask(id, ask, address).await;
+            let ended = catalog.query(id, query, address).await;
             catalog.ended(id, ended);
         });
-        let (begun, task) = (self.alarm.now(), task.abort_handle());
-        self.calls.borrow_mut().insert(id, OpenCall { ask, address, begun, task });
+        let (begun, task) = (self.timer.now(), task.abort_handle());
+        self.calls.borrow_mut().insert(id, OpenCall { query, address, begun, task });
     }
 
     fn ended(self: &Rc<Self>, id: CallId, ended: Result<List, CallError>) {
@@ -186,7 +189,7 @@
                 let end = CallEnd::Answered { revision: list.revision, entries: list.members.len() };
                 (end, Event::Answered { call: id, list })
             }
-            Err(error) => (CallEnd::Failed(error), Event::Failed { call: id, why: error.failure() }),
+            Err(error) => (CallEnd::Failed(error), Event::Failed { call: id, failure: error.failure() }),
         };
         self.report(id, end);
         self.tell(event);
@@ -202,20 +205,25 @@
     /// A call is out no more.
     fn report(&self, id: CallId, end: CallEnd) {
         let Some(call) = self.calls.borrow_mut().remove(&id) else { return };
-        let took = self.alarm.now().saturating_sub(call.begun);
-        let report = CallReport { call: id, ask: call.ask, address: call.address, took, end };
+        let elapsed = self.timer.now().saturating_sub(call.begun);
+        let report = CallReport { call: id, query: call.query, address: call.address, elapsed, end };
         if report.is_notable() {
-            self.hand_over(News::Call(report));
+            self.hand_over(CatalogEvent::CallEnded(report));
         }
     }
 
-    async fn ask(self: &Rc<Self>, id: CallId, ask: Ask, address: SocketAddr) -> Result<List, CallError> {
-        let path = match ask {
-            Ask::Watch { since, wait } => {
+    async fn query(
+        self: &Rc<Self>,
+        id: CallId,
+        query: Query,
+        address: SocketAddr,
+    ) -> Result<List, CallError> {
+        let path = match query {
+            Query::Watch { since, wait } => {
                 format!("/catalog/members?since={since}&timeout_ms={}", wait.as_millis())
             }
-            Ask::Poll { since } => format!("/catalog/members?since={since}&timeout_ms=0"),
-            Ask::Read => "/catalog/members".to_owned(),
+            Query::Poll { since } => format!("/catalog/members?since={since}&timeout_ms=0"),
+            Query::Read => "/catalog/members".to_owned(),
         };
         let request = Request::get(path).header("Host", address.to_string());
         let mut request = request.body(Empty::new()).expect("a sound request");
@@ -231,13 +239,13 @@
                     Ok(response) => break (response, sender),
                     Err(mut error) => match error.take_message() {
                         Some(unsent) => unsent,
-                        None if is_kept => return Err(CallError::KeptWasDead),
-                        None => return Err(CallError::Broke),
+                        None if is_kept => return Err(CallError::ReusedConnectionClosed),
+                        None => return Err(CallError::ConnectionLost),
                     },
                 },
             };
             if !is_kept {
-                return Err(CallError::Broke);
+                return Err(CallError::ConnectionLost);
             }
             // A kept connection had been closed before the call was written: the call goes on a new one.
             request = unsent;
@@ -246,10 +254,10 @@
             return Err(CallError::Status(response.status()));
         }
         let length = response.body().size_hint().exact().unwrap_or(0);
-        self.tell(Event::Begun { call: id, length });
+        self.tell(Event::AnswerStarted { call: id, length });
         let body = Limited::new(response.into_body(), LIST_MOST).collect().await;
-        let body = body.map_err(|_| CallError::Body)?.to_bytes();
-        let list = serde_json::from_slice(&body).map_err(|_| CallError::NoList)?;
+        let body = body.map_err(|_| CallError::IncompleteBody)?.to_bytes();
+        let list = serde_json::from_slice(&body).map_err(|_| CallError::InvalidList)?;
         if address == self.address.get() {
             *self.kept.borrow_mut() = Some((address, sender));
         }
--- a/crates/spurdrum-sources/src/fixed.rs
+++ b/crates/spurdrum-sources/src/fixed.rs
@@ -10,7 +10,7 @@
 /// Servers by address.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Static {
+pub struct StaticList {
     /// The servers.
     pub servers: Vec<StaticServer>,
 }
@@ -60,7 +60,7 @@
     }
 }
 
-impl Static {
+impl StaticList {
     /// The whole list.
     pub fn list(&self) -> List {
         List { revision: 0, complete: true, members: self.servers.iter().map(StaticServer::member).collect() }
--- a/crates/spurdrum-sources/src/follower/call.rs
+++ b/crates/spurdrum-sources/src/follower/call.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::{Ask, CallId};
+use super::{CallId, Query};
 
 /// How far a call that is out can still be counted on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -11,7 +11,7 @@
     Awaited,
     /// It has been silent for so long that others are made. It keeps its place at discovery: closed and made anew it would
     /// wait from the end of the queue.
-    Silent,
+    TimedOut,
     /// A later answer has told what it would. Its own may be on its way all the same, and newer.
     Superseded,
 }
@@ -20,7 +20,7 @@
 #[derive(Clone)]
 pub(super) struct Call {
     pub(super) id: CallId,
-    pub(super) ask: Ask,
+    pub(super) query: Query,
     /// The discovery that it went to, counted by moves.
     pub(super) origin: u64,
     pub(super) started: Duration,
@@ -39,12 +39,12 @@
 
 impl Call {
     pub(super) fn is_watch(&self) -> bool {
-        matches!(self.ask, Ask::Watch { .. })
+        matches!(self.query, Query::Watch { .. })
     }
 
     /// How long after its wait it still is out, or ended; none where that is not over.
     pub(super) fn late(&self, now: Duration) -> Option<Duration> {
-        now.checked_sub(self.started + self.ask.wait())
+        now.checked_sub(self.started + self.query.wait())
     }
 
     pub(super) fn is_awaited(&self) -> bool {
@@ -56,7 +56,7 @@
         match self.standing {
             Standing::Awaited if !self.overdue => self.overdue_at.min(self.silent_at),
             Standing::Awaited => self.silent_at,
-            Standing::Silent | Standing::Superseded => self.close_at,
+            Standing::TimedOut | Standing::Superseded => self.close_at,
         }
     }
 }
--- a/crates/spurdrum-sources/src/follower/messages.rs
+++ b/crates/spurdrum-sources/src/follower/messages.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::time::Duration;
 
-use super::StartEnd;
+use super::StartupResult;
 use crate::List;
 
 /// A call, by its number.
@@ -12,7 +12,7 @@
 
 /// What is asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ask {
+pub enum Query {
     /// What is newer than a version, as soon as there is something, or nothing after the wait.
     Watch {
         /// The version held.
@@ -29,7 +29,7 @@
     Read,
 }
 
-impl Ask {
+impl Query {
     /// How long discovery may let it wait for news.
     #[must_use]
     pub fn wait(self) -> Duration {
@@ -49,7 +49,7 @@
     }
 }
 
-impl fmt::Display for Ask {
+impl fmt::Display for Query {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Watch { since, wait } => write!(f, "watch since {since} for {} ms", wait.as_millis()),
@@ -65,11 +65,11 @@
     /// No connection.
     Unreachable,
     /// The connection broke, or its answer did.
-    Broke,
+    ConnectionLost,
     /// A kept connection was dead: discovery may be well.
-    Kept,
+    ReusedConnectionClosed,
     /// An answer that is no list, by its status or its text.
-    NoList,
+    InvalidList,
 }
 
 /// What the servers of the list do that the list does not explain.
@@ -83,7 +83,7 @@
         idle: bool,
     },
     /// The decisions took a server out.
-    TakenOut,
+    Ejected,
     /// A server says that it was started at another time than the list has.
     Restarted,
 }
@@ -94,7 +94,7 @@
     /// Time has passed; the first one begins.
     Tick,
     /// The head of an answer has come, which announces so many bytes.
-    Begun {
+    AnswerStarted {
         /// The call.
         call: CallId,
         /// Bytes of the body, where they are told.
@@ -112,10 +112,10 @@
         /// The call.
         call: CallId,
         /// How.
-        why: Failure,
+        failure: Failure,
     },
     /// Discovery is to be found elsewhere; its versions are its own.
-    Moved,
+    AddressChanged,
     /// The servers show something.
     Evidence(Evidence),
 }
@@ -128,7 +128,7 @@
         /// Its number from now on.
         call: CallId,
         /// What.
-        ask: Ask,
+        query: Query,
     },
     /// Close a call that has not ended; nothing more is heard of it.
     Close {
@@ -140,61 +140,61 @@
     /// This is the list now, or what changed in it.
     Apply(List),
     /// The view is trusted otherwise than before.
-    State {
+    FreshnessChanged {
         /// Before.
-        from: View,
+        from: Freshness,
         /// Now.
-        to: View,
+        to: Freshness,
         /// Why.
         cause: Cause,
     },
     /// A whole list is shorter by much: entries before and now.
-    Shorter(usize, usize),
+    ListShrunk(usize, usize),
     /// The process may serve from now on; once, after the list that came with this answer has been applied.
-    Started(StartEnd),
+    Ready(StartupResult),
 }
 
 /// Why a call is closed before it has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
     /// It has been silent for too long.
-    Silent,
+    TimedOut,
     /// Another call has been answered.
     Superseded,
     /// There are too many others.
-    Displaced,
+    TooManyCalls,
     /// Discovery is to be found elsewhere.
-    Moved,
+    AddressChanged,
 }
 
 impl fmt::Display for CloseReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Silent => "silent for too long",
+            Self::TimedOut => "silent for too long",
             Self::Superseded => "another call was answered",
-            Self::Displaced => "too many calls",
-            Self::Moved => "discovery has moved",
+            Self::TooManyCalls => "too many calls",
+            Self::AddressChanged => "discovery has moved",
         })
     }
 }
 
 /// How far the view can be trusted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum View {
+pub enum Freshness {
     /// Discovery answers.
     Fresh,
     /// Something speaks against it.
     Doubtful,
     /// It has not been confirmed for a while.
-    Blind,
+    Stale,
 }
 
-impl fmt::Display for View {
+impl fmt::Display for Freshness {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Fresh => "fresh",
             Self::Doubtful => "doubtful",
-            Self::Blind => "blind",
+            Self::Stale => "blind",
         })
     }
 }
@@ -203,25 +203,25 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
     /// The list of an earlier run.
-    Start,
+    RestoredList,
     /// Discovery has moved.
-    Moved,
+    AddressChanged,
     /// A call is overdue.
     Overdue,
     /// A call was silent and has been given up.
-    Hung,
+    TimedOut,
     /// A call failed.
     Failed(Failure),
     /// The servers speak against the list.
-    Servers(Evidence),
+    Evidence(Evidence),
     /// A version older than the one held came from a call begun later.
-    Backwards,
+    RevisionWentBack,
     /// A change came that does not follow on the list held.
-    Gap,
+    MissedChanges,
     /// The machine stood still.
-    Jumped,
+    ProcessPaused,
     /// Nothing has confirmed it for too long.
-    Unproved,
+    Unconfirmed,
     /// An answer has come.
     Answered,
 }
@@ -229,22 +229,22 @@
 impl fmt::Display for Cause {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Start => "the list is that of an earlier run",
-            Self::Moved => "discovery has moved",
+            Self::RestoredList => "the list is that of an earlier run",
+            Self::AddressChanged => "discovery has moved",
             Self::Overdue => "a call is overdue",
-            Self::Hung => "a call was silent",
+            Self::TimedOut => "a call was silent",
             Self::Failed(Failure::Unreachable) => "discovery cannot be reached",
-            Self::Failed(Failure::Broke) => "a call broke",
-            Self::Failed(Failure::Kept) => "a kept connection was dead",
-            Self::Failed(Failure::NoList) => "an answer is no list",
-            Self::Servers(Evidence::Unreachable(_)) => "listed servers cannot be reached",
-            Self::Servers(Evidence::Refused { .. }) => "listed servers turn work away",
-            Self::Servers(Evidence::TakenOut) => "servers are taken out",
-            Self::Servers(Evidence::Restarted) => "a server has another start than the list says",
-            Self::Backwards => "the version runs backwards",
-            Self::Gap => "a change does not follow on the list held",
-            Self::Jumped => "this machine stood still",
-            Self::Unproved => "nothing has confirmed it",
+            Self::Failed(Failure::ConnectionLost) => "a call broke",
+            Self::Failed(Failure::ReusedConnectionClosed) => "a kept connection was dead",
+            Self::Failed(Failure::InvalidList) => "an answer is no list",
+            Self::Evidence(Evidence::Unreachable(_)) => "listed servers cannot be reached",
+            Self::Evidence(Evidence::Refused { .. }) => "listed servers turn work away",
+            Self::Evidence(Evidence::Ejected) => "servers are taken out",
+            Self::Evidence(Evidence::Restarted) => "a server has another start than the list says",
+            Self::RevisionWentBack => "the version runs backwards",
+            Self::MissedChanges => "a change does not follow on the list held",
+            Self::ProcessPaused => "this machine stood still",
+            Self::Unconfirmed => "nothing has confirmed it",
             Self::Answered => "the list comes",
         })
     }
@@ -258,19 +258,19 @@
     /// Answers that were taken, and of them with news.
     pub answers: u64,
     /// See `answers`.
-    pub news: u64,
+    pub with_changes: u64,
     /// Answers older than what was held.
-    pub stale: u64,
+    pub outdated: u64,
     /// Calls given up as silent.
-    pub hung: u64,
+    pub timed_out: u64,
     /// Calls that failed otherwise.
     pub failed: u64,
     /// Pieces of evidence from servers, and calls that they led to.
     pub evidence: u64,
     /// See `evidence`.
-    pub polled: u64,
+    pub calls_on_evidence: u64,
     /// Calls that were wanted, for which the budget had nothing left.
-    pub denied: u64,
+    pub over_budget: u64,
 }
 
 impl fmt::Display for Counts {
@@ -281,13 +281,13 @@
             "watches {watches}, polls {polls}, reads {reads}: answered {}, with news {}, old {}, silent {}, \
              failed {}; evidence {}, calls by it {}, calls not afforded {}",
             self.answers,
-            self.news,
-            self.stale,
-            self.hung,
+            self.with_changes,
+            self.outdated,
+            self.timed_out,
             self.failed,
             self.evidence,
-            self.polled,
-            self.denied
+            self.calls_on_evidence,
+            self.over_budget
         )
     }
 }
--- a/crates/spurdrum-sources/src/follower/mod.rs
+++ b/crates/spurdrum-sources/src/follower/mod.rs
@@ -34,17 +34,17 @@
 use crate::{List, Phase};
 
 use call::{Call, Standing};
-pub use messages::{Action, Ask, CallId, Cause, CloseReason, Counts, Event, Evidence, Failure, View};
+pub use messages::{Action, CallId, Cause, CloseReason, Counts, Event, Evidence, Failure, Freshness, Query};
 pub use settings::Settings;
 use start::Start;
-pub use start::StartEnd;
+pub use start::StartupResult;
 use timing::Timing;
 
 /// Calls out at once, at most.
-pub const CALLS_MOST: usize = 4;
+pub const MAX_OPEN_CALLS: usize = 4;
 /// Calls whose answers are waited for at once, at most: one that is overdue or deaf, and one beside it. All others were silent for so long
 /// that more were made, or have been superseded.
-pub const AWAITED_MOST: usize = 2;
+pub const MAX_AWAITED_CALLS: usize = 2;
 /// However many nodes ask, a call follows after this at the latest on one that failed, or that was answered early without news:
 /// what is not asked for may count as told after 6 s, of which an answer may wait its turn for two and more.
 const PAUSE_MOST: Duration = Duration::from_millis(3_500);
@@ -136,7 +136,7 @@
     good: u32,
     failures: u32,
     /// What the last silent call asked, where none has answered since: the next one asks otherwise.
-    silent: Option<Ask>,
+    silent: Option<Query>,
     /// Part of the calls that hang.
     hangs: f64,
     /// How late the answer of a quiet watch is, and how long discovery takes for one that need not wait.
@@ -154,7 +154,7 @@
     /// Since when the view has not been confirmed as it should.
     trouble_since: Option<Duration>,
     proved_at: Option<Duration>,
-    view: View,
+    freshness: Freshness,
     cause: Cause,
     counts: Counts,
     started: bool,
@@ -198,14 +198,14 @@
             turn: None,
             gap: f64::INFINITY,
             news_at: None,
-            tokens: (settings.extra, Duration::ZERO),
+            tokens: (settings.burst_calls, Duration::ZERO),
             points: (0.0, Duration::ZERO),
             need: (EVIDENCE, Duration::ZERO),
             last_unreachable: None,
             trouble_since: None,
             proved_at: None,
-            view: View::Doubtful,
-            cause: Cause::Start,
+            freshness: Freshness::Doubtful,
+            cause: Cause::RestoredList,
             counts: Counts::default(),
             started: false,
             start: None,
@@ -214,7 +214,7 @@
     }
 
     /// Servers that leave by the list of an earlier run.
-    pub fn remember(&mut self, mut known: List) {
+    pub fn restore_leaving(&mut self, mut known: List) {
         self.leaving.heed(Duration::ZERO, &mut known);
     }
 
@@ -223,17 +223,17 @@
         if !self.started {
             self.started = true;
             self.trouble_since = Some(now);
-            self.start = Some(Start { until: now + self.settings.ready_within, confirmed: false });
+            self.start = Some(Start { until: now + self.settings.startup_timeout, confirmed: false });
             // Nodes that start together do not ask together.
             self.due = Some(now + self.spread().min(FIRST_CALL_MOST).mul_f64(self.part()));
         }
         self.allow_for_standstill(now);
         match event {
             Event::Tick => {}
-            Event::Begun { call, length } => self.begun(now, call, length),
+            Event::AnswerStarted { call, length } => self.begun(now, call, length),
             Event::Answered { call, list } => self.answered(now, call, list, actions),
-            Event::Failed { call, why } => self.failed(now, call, why),
-            Event::Moved => self.moved(now),
+            Event::Failed { call, failure } => self.failed(now, call, failure),
+            Event::AddressChanged => self.moved(now),
             Event::Evidence(evidence) => self.evidence(now, evidence),
         }
         self.settle(now, actions);
@@ -241,10 +241,10 @@
 
     /// When the next [`Event::Tick`] is wanted.
     pub fn next_wake(&self) -> Option<Duration> {
-        let blind = self.trouble_since.filter(|_| self.view != View::Blind);
+        let blind = self.trouble_since.filter(|_| self.freshness != Freshness::Stale);
         let times = self.calls.iter().map(Call::next_wake).chain(self.due).chain(self.leaving.due());
         let times = times.chain(self.start.map(|start| start.until));
-        times.chain(blind.map(|since| since + self.settings.blind_after)).min()
+        times.chain(blind.map(|since| since + self.settings.stale_after)).min()
     }
 
     /// When the next call goes out, where one is due.
@@ -253,8 +253,8 @@
     }
 
     /// How far the view can be trusted.
-    pub fn view(&self) -> View {
-        self.view
+    pub fn freshness(&self) -> Freshness {
+        self.freshness
     }
 
     /// Time since an answer last confirmed the view; none where none has yet.
@@ -273,36 +273,37 @@
     }
 
     /// Calls that are out.
-    pub fn out(&self) -> usize {
+    pub fn open_calls(&self) -> usize {
         self.calls.len()
     }
 
     /// Calls that are out and whose answers are waited for.
-    pub fn awaited(&self) -> usize {
+    pub fn awaited_calls(&self) -> usize {
         self.calls.iter().filter(|call| call.is_awaited()).count()
     }
 
     // ---- Calls
 
-    fn begin(&mut self, now: Duration, ask: Ask, by_evidence: bool, actions: &mut Vec<Action>) {
+    fn begin(&mut self, now: Duration, query: Query, by_evidence: bool, actions: &mut Vec<Action>) {
         self.make_room(actions);
         self.last_call += 1;
         let id = CallId(self.last_call);
-        let timing = self.timing(ask);
-        let most = told_after(ask.wait()).saturating_sub(self.answer_spare()).max(self.settings.patience);
+        let timing = self.timing(query);
+        let most =
+            told_after(query.wait()).saturating_sub(self.answer_spare()).max(self.settings.silence_timeout);
         let patience = self.patience(timing).min(most);
-        let ends = now + ask.wait();
+        let ends = now + query.wait();
         let bound = match self.agent_time() {
             Some(time) => time,
             None if self.is_alone() => patience,
             None => timing.bound(OVERDUE_LEAST, patience / 2),
         };
         // An agent answers the next one as soon; in a crowd discovery may end the first one for it.
-        let kept = if self.settings.pushed || self.is_crowded() { patience } else { most.max(KEPT) };
-        self.counts.calls[ask.kind()] += 1;
+        let kept = if self.settings.local_agent || self.is_crowded() { patience } else { most.max(KEPT) };
+        self.counts.calls[query.kind()] += 1;
         self.calls.push(Call {
             id,
-            ask,
+            query,
             origin: self.origin,
             started: now,
             overdue_at: ends + bound,
@@ -315,27 +316,27 @@
             timed: self.start.is_none(),
         });
         self.begun_at = Some(now);
-        actions.push(Action::Call { call: id, ask });
+        actions.push(Action::Call { call: id, query });
     }
 
     /// Closes what there is no place for beside one more call. The oldest call stays: it is the next that a slow discovery answers.
     fn make_room(&mut self, actions: &mut Vec<Action>) {
-        if self.settings.pushed {
+        if self.settings.local_agent {
             // An agent that is slow must have the time to answer one of them.
-            while self.calls.len() >= AWAITED_MOST {
+            while self.calls.len() >= MAX_AWAITED_CALLS {
                 let place = self.calls.iter().rposition(|call| call.overdue).unwrap_or(0);
                 self.displace(place, actions);
             }
             return;
         }
-        while self.awaited() >= AWAITED_MOST {
+        while self.awaited_calls() >= MAX_AWAITED_CALLS {
             let overdue = self.calls.iter().position(|call| call.is_awaited() && call.overdue);
             let oldest = self.calls.iter().position(Call::is_awaited);
             let Some(place) = overdue.or(oldest) else { break };
             self.calls[place].overdue = true;
-            self.calls[place].standing = Standing::Silent;
+            self.calls[place].standing = Standing::TimedOut;
         }
-        while self.calls.len() >= CALLS_MOST {
+        while self.calls.len() >= MAX_OPEN_CALLS {
             let kept = self.calls.iter().rposition(|call| !call.is_awaited());
             let place = kept.filter(|place| *place > 0).unwrap_or(self.calls.len() - 1);
             self.displace(place, actions);
@@ -344,24 +345,24 @@
 
     fn displace(&mut self, place: usize, actions: &mut Vec<Action>) {
         let call = self.calls.remove(place).id;
-        actions.push(Action::Close { call, reason: CloseReason::Displaced });
+        actions.push(Action::Close { call, reason: CloseReason::TooManyCalls });
     }
 
     /// What the next ordinary call asks.
-    fn ordinary(&mut self, now: Duration) -> Ask {
+    fn ordinary(&mut self, now: Duration) -> Query {
         match (self.revision, self.silent) {
-            (None, _) => Ask::Read,
-            _ if self.backwards => Ask::Read,
+            (None, _) => Query::Read,
+            _ if self.backwards => Query::Read,
             // A change may count as told already that was made before the start. A watch would tell nothing where nothing is new, and
             // the process has to know that before it serves.
-            (Some(since), None) if self.start.is_some() => Ask::Poll { since },
-            (Some(since), Some(Ask::Watch { .. })) => Ask::Poll { since },
-            (Some(_), Some(Ask::Poll { .. })) => Ask::Read,
+            (Some(since), None) if self.start.is_some() => Query::Poll { since },
+            (Some(since), Some(Query::Watch { .. })) => Query::Poll { since },
+            (Some(_), Some(Query::Poll { .. })) => Query::Read,
             // Guards against a long wait for an answer that is as lost as those before it.
-            (Some(since), Some(Ask::Read)) => {
-                Ask::Watch { since, wait: self.agent_time().unwrap_or(self.settings.wait_least) }
+            (Some(since), Some(Query::Read)) => {
+                Query::Watch { since, wait: self.agent_time().unwrap_or(self.settings.min_wait) }
             }
-            (Some(since), None) => Ask::Watch { since, wait: self.wait(now) },
+            (Some(since), None) => Query::Watch { since, wait: self.wait(now) },
         }
     }
 
@@ -382,17 +383,20 @@
     fn settle(&mut self, now: Duration, actions: &mut Vec<Action>) {
         if let Some(end) = self.start.and_then(|start| start.end(now)) {
             self.start = None;
-            actions.push(Action::Started(end));
+            actions.push(Action::Ready(end));
         }
         self.heed_silence(now, actions);
-        if self.awaited() == 0 && self.due.is_none() {
+        if self.awaited_calls() == 0 && self.due.is_none() {
             self.due = Some(now);
         }
         if let Some(since) = self.revision.filter(|_| std::mem::take(&mut self.poll)) {
-            let ask =
-                if matches!(self.silent, Some(Ask::Poll { .. })) { Ask::Read } else { Ask::Poll { since } };
+            let query = if matches!(self.silent, Some(Query::Poll { .. })) {
+                Query::Read
+            } else {
+                Query::Poll { since }
+            };
             let by_evidence = std::mem::take(&mut self.by_evidence);
-            self.begin(now, ask, by_evidence, actions);
+            self.begin(now, query, by_evidence, actions);
         }
         if let Some(due) = self.due.filter(|due| *due <= now) {
             let soonest = self.begun_at.map_or(due, |at| at + APART);
@@ -403,11 +407,12 @@
                 self.due = None;
             } else {
                 self.due = None;
-                let ask = self.ordinary(now);
-                self.begin(now, ask, false, actions);
+                let query = self.ordinary(now);
+                self.begin(now, query, false, actions);
                 // Where calls hang, one of two watches is likely to tell what the other does not.
                 let two = self.hangs > HANGS_HERE && !self.is_alone() && self.is_news_due(now);
-                if two && self.watches() == 1 && self.awaited() < AWAITED_MOST && self.afford(now) {
+                if two && self.watches() == 1 && self.awaited_calls() < MAX_AWAITED_CALLS && self.afford(now)
+                {
                     self.due = Some(now + APART);
                 }
             }
@@ -415,12 +420,16 @@
         if let Some(list) = self.leaving.release(now, self.revision.unwrap_or_default()) {
             actions.push(Action::Apply(list));
         }
-        let blind = self.trouble_since.is_some_and(|since| now >= since + self.settings.blind_after);
-        match self.view {
-            View::Fresh | View::Doubtful if blind => self.show(View::Blind, Cause::Unproved, actions),
-            View::Fresh if self.trouble_since.is_some() => self.show(View::Doubtful, self.cause, actions),
-            View::Doubtful | View::Blind if self.trouble_since.is_none() => {
-                self.show(View::Fresh, Cause::Answered, actions);
+        let blind = self.trouble_since.is_some_and(|since| now >= since + self.settings.stale_after);
+        match self.freshness {
+            Freshness::Fresh | Freshness::Doubtful if blind => {
+                self.show(Freshness::Stale, Cause::Unconfirmed, actions)
+            }
+            Freshness::Fresh if self.trouble_since.is_some() => {
+                self.show(Freshness::Doubtful, self.cause, actions)
+            }
+            Freshness::Doubtful | Freshness::Stale if self.trouble_since.is_none() => {
+                self.show(Freshness::Fresh, Cause::Answered, actions);
             }
             _ => {}
         }
@@ -432,45 +441,45 @@
             let call = &mut self.calls[n];
             if now >= call.close_at {
                 let call = self.calls.remove(n);
-                actions.push(Action::Close { call: call.id, reason: CloseReason::Silent });
+                actions.push(Action::Close { call: call.id, reason: CloseReason::TimedOut });
                 if call.is_awaited() {
                     self.hung(now, &call);
                 }
             } else if now >= call.silent_at && call.is_awaited() {
                 call.overdue = true;
-                call.standing = Standing::Silent;
+                call.standing = Standing::TimedOut;
                 let silent = call.clone();
                 self.hung(now, &silent);
             } else if now >= call.overdue_at && call.is_awaited() && !call.overdue {
                 call.overdue = true;
-                let (by_evidence, ask) = (call.by_evidence, call.ask);
-                self.overdue(now, by_evidence, ask);
+                let (by_evidence, query) = (call.by_evidence, call.query);
+                self.overdue(now, by_evidence, query);
             }
         }
     }
 
     /// Whether a call is out for which the next one has to wait.
     fn is_waited_for(&self) -> bool {
-        self.calls.iter().any(|call| call.is_awaited() && (!call.overdue || !self.settings.pushed))
+        self.calls.iter().any(|call| call.is_awaited() && (!call.overdue || !self.settings.local_agent))
     }
 
     /// Whether a call is out whose answer or end makes the next one due.
     fn is_followed_on(&self) -> bool {
-        self.is_followed() || !self.settings.pushed && self.awaited() > 0
+        self.is_followed() || !self.settings.local_agent && self.awaited_calls() > 0
     }
 
     /// A call should have answered: another one beside it, while there is hope that one does.
-    fn overdue(&mut self, now: Duration, by_evidence: bool, ask: Ask) {
+    fn overdue(&mut self, now: Duration, by_evidence: bool, query: Query) {
         self.good = 0;
         self.doubt(now, Cause::Overdue);
-        if self.settings.pushed {
-            self.silent = Some(ask);
+        if self.settings.local_agent {
+            self.silent = Some(query);
             self.due_by(now);
         } else if !self.is_alone()
             && self.revision.is_some()
             && self.failures < BESIDE_UNTIL
             && self.due.is_none()
-            && self.awaited() < AWAITED_MOST
+            && self.awaited_calls() < MAX_AWAITED_CALLS
             && (by_evidence || !self.is_followed())
         {
             self.poll = self.afford(now);
@@ -478,9 +487,9 @@
         }
     }
 
-    fn show(&mut self, to: View, cause: Cause, actions: &mut Vec<Action>) {
-        let from = std::mem::replace(&mut self.view, to);
-        actions.push(Action::State { from, to, cause });
+    fn show(&mut self, to: Freshness, cause: Cause, actions: &mut Vec<Action>) {
+        let from = std::mem::replace(&mut self.freshness, to);
+        actions.push(Action::FreshnessChanged { from, to, cause });
     }
 
     fn doubt(&mut self, now: Duration, cause: Cause) {
@@ -509,18 +518,18 @@
             return;
         }
         for call in &mut self.calls {
-            call.silent_at = call.silent_at.max(now + self.settings.patience);
-            call.close_at = call.close_at.max(now + self.settings.patience);
+            call.silent_at = call.silent_at.max(now + self.settings.silence_timeout);
+            call.close_at = call.close_at.max(now + self.settings.silence_timeout);
             call.timed = false;
         }
-        self.doubt(now, Cause::Jumped);
+        self.doubt(now, Cause::ProcessPaused);
         self.trouble_since = Some(now);
         self.due_by(now);
     }
 
     fn begun(&mut self, now: Duration, id: CallId, length: u64) {
         let body = Duration::from_secs_f64((length as f64 / BODY_PER_S).min(60.0));
-        let until = now + self.settings.patience + body;
+        let until = now + self.settings.silence_timeout + body;
         if let Some(call) = self.calls.iter_mut().find(|call| call.id == id) {
             call.overdue_at = call.overdue_at.min(until);
             (call.silent_at, call.close_at) = (until, until);
@@ -529,17 +538,17 @@
 
     /// A call was silent for all its time.
     fn hung(&mut self, now: Duration, call: &Call) {
-        self.count_hang(call.ask);
+        self.count_hang(call.query);
         self.failures += 1;
         self.note_waiting(now, call);
         if self.proved_at.is_none_or(|at| at < call.started) {
             // Nothing else has answered either: it may be slow, and all that ask should see that.
             self.time(now, call, Timing::add_silent);
         }
-        self.doubt(now, Cause::Hung);
+        self.doubt(now, Cause::TimedOut);
         if !self.is_followed_on() {
             // An agent has been waited for already.
-            let at_once = self.failures < BESIDE_UNTIL || self.settings.pushed;
+            let at_once = self.failures < BESIDE_UNTIL || self.settings.local_agent;
             let after = if at_once { Duration::ZERO } else { self.retry_after() };
             self.due_by(now + after.min(self.spare_after(call, now)));
         }
@@ -565,14 +574,14 @@
         self.turn = Some(self.turn.map_or(late, |turn| turn.max(late)));
     }
 
-    fn count_hang(&mut self, ask: Ask) {
-        self.counts.hung += 1;
+    fn count_hang(&mut self, query: Query) {
+        self.counts.timed_out += 1;
         self.good = 0;
         self.hangs += (1.0 - self.hangs) * HANG_WEIGHT;
-        self.silent = Some(ask);
+        self.silent = Some(query);
     }
 
-    fn failed(&mut self, now: Duration, id: CallId, why: Failure) {
+    fn failed(&mut self, now: Duration, id: CallId, failure: Failure) {
         let Some(call) = self.take(id) else { return };
         self.counts.failed += 1;
         if call.origin < self.origin {
@@ -582,17 +591,17 @@
             return;
         }
         let late = call.late(now).unwrap_or_default().as_secs_f64();
-        if why == Failure::NoList && late > self.timing(call.ask).mean {
+        if failure == Failure::InvalidList && late > self.timing(call.query).mean {
             // It may have waited its turn, and longer than discovery lets calls wait. One that is turned away at once says
             // nothing of how long an answer takes.
             self.time(now, &call, Timing::add);
             self.note_turn(now, &call);
         }
-        if why != Failure::Kept {
+        if failure != Failure::ReusedConnectionClosed {
             self.good /= 2;
             self.failures += 1;
         }
-        self.doubt(now, Cause::Failed(why));
+        self.doubt(now, Cause::Failed(failure));
         if !self.is_followed_on() || call.by_evidence {
             let after = self.retry_after();
             // A watch that broke was one until then; and where a call has waited its turn in vain, shorter pauses would keep the
@@ -623,21 +632,21 @@
         self.backwards = false;
         (self.good, self.failures, self.hangs) = (0, 0, 0.0);
         (self.poll, self.silent) = (false, None);
-        self.doubt(now, Cause::Moved);
+        self.doubt(now, Cause::AddressChanged);
         self.due = Some(now.max(self.moves_settled_at().unwrap_or(now)));
     }
 
     /// Where discovery moves several times in a row: when the newest one is asked, if the one before has not answered by then.
     fn moves_settled_at(&self) -> Option<Duration> {
-        let reads = self.calls.iter().filter(|call| call.ask == Ask::Read && call.origin > 0);
+        let reads = self.calls.iter().filter(|call| call.query == Query::Read && call.origin > 0);
         let apart = MOVES_APART.max(self.usual_turns(SPARE_TURNS));
-        reads.map(|read| read.started + apart).max().filter(|_| !self.settings.pushed)
+        reads.map(|read| read.started + apart).max().filter(|_| !self.settings.local_agent)
     }
 
     /// The newest discovery is asked, where that has only waited for the one before.
     fn ask_newest(&mut self, now: Duration) {
         let settled = self.moves_settled_at().is_none();
-        if settled && self.awaited() == 0 && self.revision.is_none() && self.failures == 0 {
+        if settled && self.awaited_calls() == 0 && self.revision.is_none() && self.failures == 0 {
             self.due_by(now);
         }
     }
@@ -657,7 +666,7 @@
         self.learned_at = now;
         self.proved_at = Some(now);
         self.counts.answers += 1;
-        self.counts.news += u64::from(!list.members.is_empty());
+        self.counts.with_changes += u64::from(!list.members.is_empty());
         self.close_older(call.origin, actions);
         self.note_members(&list, actions);
         actions.push(Action::Apply(list));
@@ -668,7 +677,7 @@
         self.calls.retain(|call| {
             let stays = call.origin >= origin;
             if !stays {
-                actions.push(Action::Close { call: call.id, reason: CloseReason::Moved });
+                actions.push(Action::Close { call: call.id, reason: CloseReason::AddressChanged });
             }
             stays
         });
@@ -696,7 +705,7 @@
         let follows = list.complete || held.is_some();
         if !follows {
             self.failures += 1;
-            self.doubt(now, Cause::Gap);
+            self.doubt(now, Cause::MissedChanges);
             let after = self.retry_after();
             return self.due_by(now + after);
         }
@@ -706,7 +715,7 @@
 
     /// An answer older than what is held: late, or of a discovery that has lost its memory.
     fn older(&mut self, now: Duration, call: &Call, list: List, actions: &mut Vec<Action>) {
-        self.counts.stale += 1;
+        self.counts.outdated += 1;
         let begun_before = call.started < self.learned_at;
         if !begun_before && self.backwards && list.complete {
             // Read again, and it stays so: its versions have begun anew.
@@ -717,7 +726,7 @@
         if !begun_before {
             self.backwards = true;
             self.failures += 1;
-            self.doubt(now, Cause::Backwards);
+            self.doubt(now, Cause::RevisionWentBack);
         }
         if !self.is_followed() {
             let after = if begun_before { Duration::ZERO } else { self.retry_after() };
@@ -741,7 +750,7 @@
             self.news_at = Some(now);
         }
         self.counts.answers += 1;
-        self.counts.news += u64::from(news);
+        self.counts.with_changes += u64::from(news);
         match &mut self.start {
             // It says nothing of watches.
             Some(start) => start.confirmed = true,
@@ -760,9 +769,9 @@
         self.silent = None;
         if !self.is_followed() {
             // Guards against a discovery that answers watches at once though it has no news.
-            let early = !news && now < call.started + call.ask.wait() / 2;
+            let early = !news && now < call.started + call.query.wait() / 2;
             let early = early && call.is_watch();
-            let pause = self.settings.wait_least.max(self.crowded(PAUSE_MOST));
+            let pause = self.settings.min_wait.max(self.crowded(PAUSE_MOST));
             let pause = self.agent_time().unwrap_or(pause);
             let least = if early { pause } else { Duration::ZERO };
             // However many ask: a watch goes on for a moment after its answer, and what changes in that moment counts as told,
@@ -779,24 +788,24 @@
     /// What the calls that are still out are worth once another has been answered. A slow discovery may have written more to them than that
     /// answer told, which the next call would hear of late; elsewhere the next call hears of it at once.
     fn supersede(&mut self, now: Duration, answered: &Call, newer: bool, actions: &mut Vec<Action>) {
-        let grace = self.service.bound(OVERDUE_LEAST, self.settings.patience);
-        let kept = self.is_slow() && !self.settings.pushed;
+        let grace = self.service.bound(OVERDUE_LEAST, self.settings.silence_timeout);
+        let kept = self.is_slow() && !self.settings.local_agent;
         for n in (0..self.calls.len()).rev() {
             let out = &mut self.calls[n];
             if out.overdue {
                 let was = std::mem::replace(&mut out.standing, Standing::Superseded);
                 let out = out.clone();
                 match was {
-                    Standing::Awaited if out.started < answered.started => self.count_hang(out.ask),
+                    Standing::Awaited if out.started < answered.started => self.count_hang(out.query),
                     // Discovery answers calls in turn, and has not come to this one.
                     Standing::Awaited => self.note_waiting(now, &out),
-                    Standing::Silent | Standing::Superseded => {}
+                    Standing::TimedOut | Standing::Superseded => {}
                 }
                 if !kept {
                     let call = self.calls.remove(n).id;
                     actions.push(Action::Close { call, reason: CloseReason::Superseded });
                 }
-            } else if newer && out.is_watch() && !self.settings.pushed {
+            } else if newer && out.is_watch() && !self.settings.local_agent {
                 // It should have told this too: its answer is on its way, or it is deaf.
                 out.overdue = true;
                 out.silent_at = out.silent_at.min(now + grace);
@@ -824,7 +833,7 @@
             };
         }
         if list.complete && (self.members.len() as f64) < SHORTER * before as f64 {
-            actions.push(Action::Shorter(before, self.members.len()));
+            actions.push(Action::ListShrunk(before, self.members.len()));
         }
     }
 
@@ -838,7 +847,7 @@
             Evidence::Unreachable(_) => 1.0,
             Evidence::Refused { idle: true } => 1.0,
             Evidence::Refused { idle: false } => 0.1,
-            Evidence::TakenOut => 0.5,
+            Evidence::Ejected => 0.5,
             Evidence::Restarted => EVIDENCE,
         };
         let fade = |(value, at): (f64, Duration), half_life: f64| {
@@ -848,15 +857,15 @@
         self.points = (points, now);
         let need = fade(self.need, NEED_HALF_LIFE).max(EVIDENCE);
         // Where many ask, what all of them see at once must not make all of them ask at once.
-        let asks_at_once = |call: &Call| call.is_awaited() && call.ask.wait().is_zero();
+        let asks_at_once = |call: &Call| call.is_awaited() && call.query.wait().is_zero();
         let polling = self.is_alone() || self.calls.iter().any(asks_at_once);
         if points < need || polling || self.revision.is_none() {
             return;
         }
         self.points = (0.0, now);
-        self.doubt(now, Cause::Servers(evidence));
+        self.doubt(now, Cause::Evidence(evidence));
         self.poll = self.afford(now);
         self.by_evidence = self.poll;
-        self.counts.polled += u64::from(self.poll);
+        self.counts.calls_on_evidence += u64::from(self.poll);
     }
 }
--- a/crates/spurdrum-sources/src/follower/pace.rs
+++ b/crates/spurdrum-sources/src/follower/pace.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use super::timing::Timing;
-use super::{Ask, Call, Follower, Settings, PAUSE_MOST, SLOW_ANSWER, SPARE_TURNS, TOLD_AFTER};
-use crate::back_off;
+use super::{Call, Follower, Query, Settings, PAUSE_MOST, SLOW_ANSWER, SPARE_TURNS, TOLD_AFTER};
+use crate::backoff_delay;
 
 /// So much is left for the answer of the next call before what the one before would have told counts as told.
 const ANSWER_SPARE: Duration = Duration::from_secs(1);
@@ -35,7 +35,7 @@
 impl Follower {
     /// Time in which discovery can answer every node once, judged by calls of a kind.
     pub(super) fn round(&self, timing: &Timing) -> Duration {
-        if self.settings.pushed {
+        if self.settings.local_agent {
             Duration::ZERO
         } else {
             timing.round(self.settings.nodes)
@@ -45,7 +45,7 @@
     /// Whether a call stands alone while it may be answered in time. In a crowd a second one would take the turn of another node, and
     /// discovery may end the first for it; an agent answers the next one as soon.
     pub(super) fn is_alone(&self) -> bool {
-        self.settings.pushed || self.is_crowded() || self.is_slow()
+        self.settings.local_agent || self.is_crowded() || self.is_slow()
     }
 
     /// Whether discovery answers so slowly that calls queue there, however few nodes ask.
@@ -55,7 +55,8 @@
 
     /// Whether so many nodes ask that a call waits its turn for as long as a silent one is let alone elsewhere.
     pub(super) fn is_crowded(&self) -> bool {
-        !self.settings.pushed && self.service.work(self.settings.nodes) > self.settings.patience.as_secs_f64()
+        !self.settings.local_agent
+            && self.service.work(self.settings.nodes) > self.settings.silence_timeout.as_secs_f64()
     }
 
     /// The round of a crowd, up to so much; nothing where there is none.
@@ -71,12 +72,12 @@
     /// discovery has counts as told 6 s after it could have been asked, whatever became of the call before.
     pub(super) fn retry_most(&self) -> Duration {
         let crowd = NODE_MOST * self.settings.nodes.min(1 << 16) as u32;
-        self.settings.retry_most.max(crowd).min(PAUSE_MOST)
+        self.settings.max_retry_delay.max(crowd).min(PAUSE_MOST)
     }
 
     /// What times such a call.
-    pub(super) fn timing(&self, ask: Ask) -> &Timing {
-        if ask.wait().is_zero() {
+    pub(super) fn timing(&self, query: Query) -> &Timing {
+        if query.wait().is_zero() {
             &self.service
         } else {
             &self.lateness
@@ -85,20 +86,20 @@
 
     /// The nodes' first calls after a start or a break are spread over this time.
     pub(super) fn spread(&self) -> Duration {
-        let most = self.retry_most().min(self.settings.ask_within.mul_f64(SPREAD_PART));
+        let most = self.retry_most().min(self.settings.max_call_interval.mul_f64(SPREAD_PART));
         (self.round(&self.service) / 2).min(most).max(Duration::from_millis(20))
     }
 
     /// Between 0 and 1: the node's own part of a spread, with some jitter.
     pub(super) fn part(&mut self) -> f64 {
-        let place = self.settings.me as f64 / self.settings.nodes as f64;
+        let place = self.settings.node_index as f64 / self.settings.nodes as f64;
         (place + self.random.f64() / self.settings.nodes as f64).fract()
     }
 
     /// Where an agent answers: how long a call waits there, and how long it stands alone after that.
     pub(super) fn agent_time(&self) -> Option<Duration> {
-        let time = self.settings.grace.mul_f64(AGENT_PART).max(Duration::from_millis(1));
-        self.settings.pushed.then_some(time)
+        let time = self.settings.agent_deadline.mul_f64(AGENT_PART).max(Duration::from_millis(1));
+        self.settings.local_agent.then_some(time)
     }
 
     /// The wait that the next watch asks for.
@@ -106,20 +107,22 @@
         if let Some(time) = self.agent_time() {
             return time;
         }
-        let Settings { wait_least, wait_most, .. } = self.settings;
-        let quiet_least = QUIET_LEAST.clamp(wait_least, wait_most);
-        let proved = wait_least.saturating_mul(1 << self.good.min(16));
-        let trusted = wait_most.mul_f64(1.0 / (1.0 + HANG_SHORTENS * self.hangs)).max(quiet_least);
+        let Settings { min_wait, max_wait, .. } = self.settings;
+        let quiet_least = QUIET_LEAST.clamp(min_wait, max_wait);
+        let proved = min_wait.saturating_mul(1 << self.good.min(16));
+        let trusted = max_wait.mul_f64(1.0 / (1.0 + HANG_SHORTENS * self.hangs)).max(quiet_least);
         let news = match self.is_news_due(now) {
-            true => Duration::from_secs_f64((NEWS_GAPS * self.gap).min(60.0)).max(wait_least),
-            false => wait_most,
+            true => Duration::from_secs_f64((NEWS_GAPS * self.gap).min(60.0)).max(min_wait),
+            false => max_wait,
         };
         // Where many ask, what news costs discovery is hardly ever timed: watches that end without any tell little of it.
-        let share =
-            self.round(&self.lateness).max(self.crowded(CROWD_WAIT / 2)).mul_f64(1.0 / self.settings.share);
+        let share = self
+            .round(&self.lateness)
+            .max(self.crowded(CROWD_WAIT / 2))
+            .mul_f64(1.0 / self.settings.discovery_share);
         // What discovery can bear comes before all.
-        let most = if self.is_slow() { wait_most.min(SLOW_WAIT).max(wait_least) } else { wait_most };
-        let wait = proved.min(trusted).min(news).clamp(wait_least, most).max(share);
+        let most = if self.is_slow() { max_wait.min(SLOW_WAIT).max(min_wait) } else { max_wait };
+        let wait = proved.min(trusted).min(news).clamp(min_wait, most).max(share);
         wait.mul_f64(1.0 + 0.1 * self.random.f64()).min(Duration::from_secs(60))
     }
 
@@ -131,21 +134,21 @@
     /// Takes one call out of the budget for those beyond the ordinary, where there is one.
     pub(super) fn afford(&mut self, now: Duration) -> bool {
         let round = self.round(&self.service).as_secs_f64();
-        let pace = if round > 0.0 { (self.settings.share / round).min(1.0) } else { 1.0 };
+        let pace = if round > 0.0 { (self.settings.discovery_share / round).min(1.0) } else { 1.0 };
         let (tokens, at) = self.tokens;
-        let tokens = (tokens + pace * (now - at).as_secs_f64()).min(self.settings.extra);
+        let tokens = (tokens + pace * (now - at).as_secs_f64()).min(self.settings.burst_calls);
         let enough = tokens >= 1.0;
         self.tokens = (if enough { tokens - 1.0 } else { tokens }, now);
-        self.counts.denied += u64::from(!enough);
+        self.counts.over_budget += u64::from(!enough);
         enough
     }
 
     /// How long a call may be silent after its wait. Guards against giving up, over and over, what only waits its turn.
     pub(super) fn patience(&self, timing: &Timing) -> Duration {
-        if self.settings.pushed {
-            return self.settings.patience;
+        if self.settings.local_agent {
+            return self.settings.silence_timeout;
         }
-        let least = self.settings.patience;
+        let least = self.settings.silence_timeout;
         // Where answers are slow, what they take is known; elsewhere a long silence is more likely a lost answer.
         let most = if self.is_slow() { TOLD_AFTER } else { PATIENCE_GROWS * least };
         let grown = timing.bound(least, most);
@@ -187,7 +190,7 @@
         match self.failures {
             // One that breaks early may have had something to tell.
             0 | 1 => spread,
-            _ => back_off(&mut self.random, self.settings.retry_least, most, steps).max(spread),
+            _ => backoff_delay(&mut self.random, self.settings.min_retry_delay, most, steps).max(spread),
         }
     }
 }
--- a/crates/spurdrum-sources/src/follower/start.rs
+++ b/crates/spurdrum-sources/src/follower/start.rs
@@ -5,14 +5,14 @@
 
 /// How the start of a process ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StartEnd {
+pub enum StartupResult {
     /// Discovery has answered: the list is as discovery has it.
     Confirmed,
     /// Discovery has not answered in time: the list of the earlier run holds until it does.
     TimedOut,
 }
 
-impl fmt::Display for StartEnd {
+impl fmt::Display for StartupResult {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Confirmed => "discovery has confirmed the list",
@@ -30,11 +30,11 @@
 
 impl Start {
     /// How it ends now, where it does.
-    pub(super) fn end(self, now: Duration) -> Option<StartEnd> {
+    pub(super) fn end(self, now: Duration) -> Option<StartupResult> {
         if self.confirmed {
-            Some(StartEnd::Confirmed)
+            Some(StartupResult::Confirmed)
         } else {
-            (now >= self.until).then_some(StartEnd::TimedOut)
+            (now >= self.until).then_some(StartupResult::TimedOut)
         }
     }
 }
--- a/crates/spurdrum-sources/src/lib.rs
+++ b/crates/spurdrum-sources/src/lib.rs
@@ -20,11 +20,11 @@
 
 /// A pause that doubles with each step from the least to the most, and is anything between its half and all of it: nodes that
 /// failed together do not try again together.
-fn back_off(random: &mut fastrand::Rng, least: Duration, most: Duration, steps: u32) -> Duration {
+fn backoff_delay(random: &mut fastrand::Rng, least: Duration, most: Duration, steps: u32) -> Duration {
     least.saturating_mul(1 << steps.min(16)).min(most).mul_f64(0.5 + 0.5 * random.f64())
 }
 
-pub use alarm::Alarm;
-pub use fixed::{Static, StaticServer};
+pub use alarm::Timer;
+pub use fixed::{StaticList, StaticServer};
 pub use list::{List, Member, Phase};
 pub use report::{CallEnd, CallError, CallReport};
--- a/crates/spurdrum-sources/src/reconciler.rs
+++ b/crates/spurdrum-sources/src/reconciler.rs
@@ -34,7 +34,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::follower::View;
+use crate::follower::Freshness;
 use crate::{Member, Phase};
 
 /// A source that never had so many servers is believed, whatever it loses.
@@ -61,21 +61,21 @@
     /// Which sources must have a server.
     pub combine: Combine,
     /// A source that had at least four, and loses all but less than this part at once, is doubted; 0 believes it.
-    pub floor: f64,
+    pub suspect_below: f64,
     /// It is believed once it has said so for this long. What it has had in this time counts as what it had.
     pub suspect_for: Duration,
     /// A server that is gone is remembered for this long.
-    pub linger: Duration,
+    pub retain_for: Duration,
     /// It may return so often within the window...
-    pub flaps: u32,
+    pub max_flaps: u32,
     /// ...of this length...
     pub flap_window: Duration,
     /// ...and from then on is held back, at first for this long...
-    pub hold_least: Duration,
+    pub min_hold: Duration,
     /// ...and at most for this.
-    pub hold_most: Duration,
+    pub max_hold: Duration,
     /// A blind source's servers count for this long, where another source is not blind.
-    pub keep: Duration,
+    pub keep_stale_for: Duration,
     /// Whether several servers may have one address.
     pub shared_addresses: bool,
 }
@@ -84,14 +84,14 @@
     fn default() -> Self {
         Self {
             combine: Combine::Any,
-            floor: 0.3,
+            suspect_below: 0.3,
             suspect_for: Duration::from_secs(60),
-            linger: Duration::from_secs(1),
-            flaps: 2,
+            retain_for: Duration::from_secs(1),
+            max_flaps: 2,
             flap_window: Duration::from_secs(10),
-            hold_least: Duration::from_millis(500),
-            hold_most: Duration::from_secs(10),
-            keep: Duration::from_secs(600),
+            min_hold: Duration::from_millis(500),
+            max_hold: Duration::from_secs(10),
+            keep_stale_for: Duration::from_secs(600),
             shared_addresses: false,
         }
     }
@@ -106,13 +106,13 @@
     pub fn validate(&self) -> Result<(), (&'static str, &'static str)> {
         let need = |ok: bool, key, why| if ok { Ok(()) } else { Err((key, why)) };
         let hour = Duration::from_secs(3600);
-        need((0.0..1.0).contains(&self.floor), "floor", "is no part below 1")?;
+        need((0.0..1.0).contains(&self.suspect_below), "floor", "is no part below 1")?;
         need(self.suspect_for <= hour, "suspect_for_ms", "is over an hour")?;
-        need(self.linger <= hour, "linger_ms", "is over an hour")?;
+        need(self.retain_for <= hour, "linger_ms", "is over an hour")?;
         need(self.flap_window <= hour, "flap_window_ms", "is over an hour")?;
-        need(self.hold_most <= hour, "hold_most_ms", "is over an hour")?;
-        need(self.hold_least <= self.hold_most, "hold_least_ms", "is above `hold_most_ms`")?;
-        need(self.keep <= 24 * hour, "keep_ms", "is over a day")
+        need(self.max_hold <= hour, "hold_most_ms", "is over an hour")?;
+        need(self.min_hold <= self.max_hold, "hold_least_ms", "is above `hold_most_ms`")?;
+        need(self.keep_stale_for <= 24 * hour, "keep_ms", "is over a day")
     }
 }
 
@@ -133,11 +133,11 @@
         gone: Vec<String>,
     },
     /// A source's view is trusted otherwise than before.
-    View {
+    Freshness {
         /// Which.
         source: usize,
         /// Now.
-        view: View,
+        freshness: Freshness,
     },
 }
 
@@ -156,15 +156,15 @@
         now: usize,
     },
     /// A source that was doubted is believed, or has its servers back.
-    Settled(usize),
+    Trusted(usize),
     /// A server comes and goes, and is held back for so long.
     Flapping(String, Duration),
     /// A blind source's servers do not count any more, or do again.
-    Counted {
+    Included {
         /// Which.
         source: usize,
         /// Whether they count.
-        counts: bool,
+        included: bool,
     },
 }
 
@@ -298,9 +298,10 @@
             Event::Update { source, complete, members, gone } => {
                 self.update(now, source, complete, members, gone, &mut touched, actions);
             }
-            Event::View { source, view } => {
+            Event::Freshness { source, freshness } => {
                 let source = &mut self.sources[source];
-                source.blind_since = (view == View::Blind).then(|| source.blind_since.unwrap_or(now));
+                source.blind_since =
+                    (freshness == Freshness::Stale).then(|| source.blind_since.unwrap_or(now));
             }
         }
         self.count_sources(now, &mut touched, actions);
@@ -325,7 +326,7 @@
         let source = |source: &Source| {
             let believed = source.suspect_since.map(|since| since + self.settings.suspect_for);
             let kept = source.blind_since.filter(|_| source.counts && self.is_another_seeing());
-            [believed, kept.map(|since| since + self.settings.keep)]
+            [believed, kept.map(|since| since + self.settings.keep_stale_for)]
         };
         self.sources.iter().flat_map(source).flatten().chain(wake).min()
     }
@@ -336,7 +337,7 @@
     }
 
     /// Servers that a source has, and those of them that it has lost and that are kept all the same.
-    pub fn of_source(&self, source: usize) -> (usize, usize) {
+    pub fn source_counts(&self, source: usize) -> (usize, usize) {
         let source = &self.sources[source];
         let suspects = source.members.values().filter(|entry| entry.suspect).count();
         (source.standing, suspects)
@@ -392,7 +393,7 @@
         });
         let left = source.standing - lost.count();
         let had = source.base.0;
-        let doubted = had >= MANY && (left as f64) < self.settings.floor * had as f64;
+        let doubted = had >= MANY && (left as f64) < self.settings.suspect_below * had as f64;
         for id in &gone {
             let entry = &source.members[id];
             match entry.suspect {
@@ -418,11 +419,11 @@
         let another = self.is_another_seeing();
         let before = actions.len();
         for (n, source) in self.sources.iter_mut().enumerate() {
-            let long = source.blind_since.is_some_and(|since| now >= since + self.settings.keep);
-            let counts = !(long && another);
-            if counts != source.counts {
-                source.counts = counts;
-                actions.push(Action::Counted { source: n, counts });
+            let long = source.blind_since.is_some_and(|since| now >= since + self.settings.keep_stale_for);
+            let included = !(long && another);
+            if included != source.counts {
+                source.counts = included;
+                actions.push(Action::Included { source: n, included });
             }
         }
         if actions.len() > before {
@@ -448,7 +449,7 @@
             }
             if long || !source.members.values().any(|entry| entry.suspect) {
                 source.suspect_since = None;
-                actions.push(Action::Settled(n));
+                actions.push(Action::Trusted(n));
             }
         }
     }
@@ -557,9 +558,9 @@
         if self.flaps.len() < REMEMBERED_MOST {
             self.flaps.insert(id.to_owned(), (count, began));
         }
-        let over = count.checked_sub(self.settings.flaps + 1)?;
+        let over = count.checked_sub(self.settings.max_flaps + 1)?;
         let many = (self.held + 1) as f64 > (HELD_MOST * (self.known.len() + 1) as f64).max(1.0);
-        let hold = self.settings.hold_least.saturating_mul(1 << over.min(16)).min(self.settings.hold_most);
+        let hold = self.settings.min_hold.saturating_mul(1 << over.min(16)).min(self.settings.max_hold);
         (!many).then_some(hold)
     }
 
@@ -614,10 +615,10 @@
             Some(at) if at <= now => return self.forget(&id, known, out),
             Some(_) => {}
             None => {
-                if self.settings.linger.is_zero() {
+                if self.settings.retain_for.is_zero() {
                     return self.forget(&id, known, out);
                 }
-                let at = now + self.settings.linger;
+                let at = now + self.settings.retain_for;
                 known.forgotten_at = Some(at);
                 self.wakes.insert((at, id.clone()));
                 if known.held_until.take().is_some() {
--- a/crates/spurdrum-sources/src/registry/follower.rs
+++ b/crates/spurdrum-sources/src/registry/follower.rs
@@ -32,8 +32,8 @@
 use std::fmt;
 use std::time::Duration;
 
-use crate::back_off;
-use crate::follower::View;
+use crate::backoff_delay;
+use crate::follower::Freshness;
 
 /// Calls out at once, at most, without those that ask for the true revision: one that is silent, and one beside it.
 pub const CALLS_MOST: usize = 2;
@@ -388,9 +388,9 @@
     /// The view is trusted otherwise than before.
     State {
         /// Before.
-        from: View,
+        from: Freshness,
         /// Now.
-        to: View,
+        to: Freshness,
         /// Why.
         cause: Cause,
     },
@@ -638,7 +638,7 @@
     confirm: (Duration, usize, usize),
     /// Answers in a row that were sound, for the wait of the next query.
     good: u32,
-    view: View,
+    view: Freshness,
     cause: Cause,
     trouble_since: Option<Duration>,
     proved_at: Option<Duration>,
@@ -675,7 +675,7 @@
             way: None,
             confirm: (Duration::ZERO, settings.me % settings.endpoints, 0),
             good: 0,
-            view: View::Doubtful,
+            view: Freshness::Doubtful,
             cause: Cause::Start,
             trouble_since: None,
             proved_at: None,
@@ -725,14 +725,14 @@
             let reach = call.must_reach.filter(|_| !call.left).map(|(_, by)| by);
             [Some(spoken), probe, reach].into_iter().flatten().min().unwrap_or(spoken)
         };
-        let blind = self.trouble_since.filter(|_| self.view != View::Blind);
+        let blind = self.trouble_since.filter(|_| self.view != Freshness::Stale);
         let blind = blind.map(|since| since + settings.blind_after);
         let confirms = (self.started && settings.interface == Interface::Streams).then_some(self.confirm.0);
         self.calls.iter().map(call).chain(self.due).chain(blind).chain(confirms).min()
     }
 
     /// How far the copy can be trusted.
-    pub fn view(&self) -> View {
+    pub fn view(&self) -> Freshness {
         self.view
     }
 
@@ -778,7 +778,7 @@
             return spread;
         }
         let Settings { retry_least, retry_most, .. } = self.settings;
-        back_off(&mut self.random, retry_least, retry_most, rounds as u32 - 1).max(spread)
+        backoff_delay(&mut self.random, retry_least, retry_most, rounds as u32 - 1).max(spread)
     }
 
     /// How long an answer may take before it is late: as long as is set, and longer where the way is.
@@ -958,16 +958,20 @@
         }
         let blind = self.trouble_since.is_some_and(|since| now >= since + self.settings.blind_after);
         match self.view {
-            View::Fresh | View::Doubtful if blind => self.show(View::Blind, Cause::Unproved, actions),
-            View::Fresh if self.trouble_since.is_some() => self.show(View::Doubtful, self.cause, actions),
-            View::Doubtful | View::Blind if self.trouble_since.is_none() => {
-                self.show(View::Fresh, Cause::Proved, actions);
+            Freshness::Fresh | Freshness::Doubtful if blind => {
+                self.show(Freshness::Stale, Cause::Unproved, actions)
+            }
+            Freshness::Fresh if self.trouble_since.is_some() => {
+                self.show(Freshness::Doubtful, self.cause, actions)
+            }
+            Freshness::Doubtful | Freshness::Stale if self.trouble_since.is_none() => {
+                self.show(Freshness::Fresh, Cause::Proved, actions);
             }
             _ => {}
         }
     }
 
-    fn show(&mut self, to: View, cause: Cause, actions: &mut Vec<Action>) {
+    fn show(&mut self, to: Freshness, cause: Cause, actions: &mut Vec<Action>) {
         let from = std::mem::replace(&mut self.view, to);
         actions.push(Action::State { from, to, cause });
     }
--- a/crates/spurdrum-sources/src/registry/registrar.rs
+++ b/crates/spurdrum-sources/src/registry/registrar.rs
@@ -17,7 +17,7 @@
 use std::fmt;
 use std::time::Duration;
 
-use crate::back_off;
+use crate::backoff_delay;
 
 /// A lease is renewed after this part of its time.
 const RENEW: u32 = 3;
@@ -329,7 +329,7 @@
             return Duration::ZERO;
         }
         let Settings { retry_least, retry_most, .. } = self.settings;
-        back_off(&mut self.random, retry_least, retry_most, rounds as u32 - 1)
+        backoff_delay(&mut self.random, retry_least, retry_most, rounds as u32 - 1)
     }
 
     fn leave(&mut self, now: Duration, actions: &mut Vec<Action>) {
--- a/crates/spurdrum-sources/src/registry/shell.rs
+++ b/crates/spurdrum-sources/src/registry/shell.rs
@@ -9,8 +9,8 @@
 use tokio::task::AbortHandle;
 
 use super::follower::{Action, Ask, CallId, Cause, Change, Counts, Event, Failure, Follower, Note, Settings};
-use crate::follower::View;
-use crate::Alarm;
+use crate::follower::Freshness;
+use crate::Timer;
 
 /// Probes that wait to be sent; one that finds no room shows that the watch is silent.
 const PROBES_MOST: usize = 4;
@@ -25,9 +25,9 @@
     /// The copy is trusted otherwise than before.
     View {
         /// Before.
-        from: View,
+        from: Freshness,
         /// Now.
-        to: View,
+        to: Freshness,
         /// Why.
         cause: Cause,
     },
@@ -70,7 +70,7 @@
 pub struct Shell<W> {
     wire: W,
     follower: RefCell<Follower>,
-    alarm: Alarm,
+    timer: Timer,
     calls: RefCell<HashMap<CallId, Out>>,
     news: RefCell<Option<Listener>>,
 }
@@ -85,7 +85,7 @@
         Ok(Rc::new(Self {
             wire,
             follower: RefCell::new(Follower::new(settings, seed)?),
-            alarm: Alarm::default(),
+            timer: Timer::default(),
             calls: RefCell::default(),
             news: RefCell::default(),
         }))
@@ -96,22 +96,22 @@
         *self.news.borrow_mut() = Some(Box::new(news));
         loop {
             self.tell(Event::Tick);
-            let most = self.alarm.now() + TICK_MOST;
+            let most = self.timer.now() + TICK_MOST;
             let wake = self.follower.borrow().next_wake().map_or(most, |wake| wake.min(most));
-            self.alarm.sleep(Some(wake)).await;
+            self.timer.sleep(Some(wake)).await;
         }
     }
 
     /// How far the copy can be trusted, its age where it was ever proved, its revision, and what was done.
-    pub fn status(&self) -> (View, Option<Duration>, Option<u64>, Counts) {
+    pub fn status(&self) -> (Freshness, Option<Duration>, Option<u64>, Counts) {
         let follower = self.follower.borrow();
-        let age = follower.age(self.alarm.now());
+        let age = follower.age(self.timer.now());
         (follower.view(), age, follower.revision(), follower.counts().clone())
     }
 
     fn tell(self: &Rc<Self>, event: Event) {
         let mut actions = Vec::new();
-        self.follower.borrow_mut().handle(self.alarm.now(), event, &mut actions);
+        self.follower.borrow_mut().handle(self.timer.now(), event, &mut actions);
         for action in actions {
             match action {
                 Action::Call { call, endpoint, ask } => self.call(call, endpoint, ask),
@@ -132,7 +132,7 @@
                 Action::Note(note) => self.hand_over(News::Note(note)),
             }
         }
-        self.alarm.sooner(self.follower.borrow().next_wake());
+        self.timer.wake_no_later_than(self.follower.borrow().next_wake());
     }
 
     fn hand_over(&self, news: News) {
--- a/crates/spurdrum-sources/src/report.rs
+++ b/crates/spurdrum-sources/src/report.rs
@@ -6,7 +6,7 @@
 
 use hyper::StatusCode;
 
-use crate::follower::{Ask, CallId, CloseReason, Failure};
+use crate::follower::{CallId, CloseReason, Failure, Query};
 
 /// Why a call to discovery failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -14,15 +14,15 @@
     /// No connection came up.
     Unreachable,
     /// The connection broke.
-    Broke,
+    ConnectionLost,
     /// A kept connection had been dead.
-    KeptWasDead,
+    ReusedConnectionClosed,
     /// An answer that is not 200.
     Status(StatusCode),
     /// A body that stopped short or is too long.
-    Body,
+    IncompleteBody,
     /// A body that is no list.
-    NoList,
+    InvalidList,
 }
 
 impl CallError {
@@ -31,9 +31,9 @@
     pub fn failure(self) -> Failure {
         match self {
             Self::Unreachable => Failure::Unreachable,
-            Self::Broke | Self::Body => Failure::Broke,
-            Self::KeptWasDead => Failure::Kept,
-            Self::Status(_) | Self::NoList => Failure::NoList,
+            Self::ConnectionLost | Self::IncompleteBody => Failure::ConnectionLost,
+            Self::ReusedConnectionClosed => Failure::ReusedConnectionClosed,
+            Self::Status(_) | Self::InvalidList => Failure::InvalidList,
         }
     }
 }
@@ -42,11 +42,11 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Unreachable => f.write_str("no connection"),
-            Self::Broke => f.write_str("the connection broke"),
-            Self::KeptWasDead => f.write_str("the kept connection was dead"),
+            Self::ConnectionLost => f.write_str("the connection broke"),
+            Self::ReusedConnectionClosed => f.write_str("the kept connection was dead"),
             Self::Status(status) => write!(f, "status {}", status.as_u16()),
-            Self::Body => f.write_str("the answer broke off"),
-            Self::NoList => f.write_str("the answer is no list"),
+            Self::IncompleteBody => f.write_str("the answer broke off"),
+            Self::InvalidList => f.write_str("the answer is no list"),
         }
     }
 }
@@ -73,11 +73,11 @@
     /// Its number.
     pub call: CallId,
     /// What was asked.
-    pub ask: Ask,
+    pub query: Query,
     /// Where.
     pub address: SocketAddr,
     /// How long it was out.
-    pub took: Duration,
+    pub elapsed: Duration,
     /// How it ended.
     pub end: CallEnd,
 }
@@ -90,7 +90,7 @@
     #[must_use]
     pub fn is_notable(&self) -> bool {
         match self.end {
-            CallEnd::Answered { entries, .. } => entries > 0 || self.took > self.ask.wait() + SLOW,
+            CallEnd::Answered { entries, .. } => entries > 0 || self.elapsed > self.query.wait() + SLOW,
             CallEnd::Failed(_) | CallEnd::Closed(_) => true,
         }
     }
@@ -98,8 +98,8 @@
 
 impl fmt::Display for CallReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { call, ask, address, took, end } = self;
-        write!(f, "list call {} to {address} ({ask}) ", call.0)?;
+        let Self { call, query, address, elapsed, end } = self;
+        write!(f, "list call {} to {address} ({query}) ", call.0)?;
         match end {
             CallEnd::Answered { revision, entries } => {
                 write!(f, "answered with version {revision}, {entries} entries,")?;
@@ -107,6 +107,6 @@
             CallEnd::Failed(error) => write!(f, "failed, {error},")?,
             CallEnd::Closed(reason) => write!(f, "closed, {reason},")?,
         }
-        write!(f, " after {:.3} s", took.as_secs_f64())
+        write!(f, " after {:.3} s", elapsed.as_secs_f64())
     }
 }
--- a/crates/spurdrum-sources/tests/catalog.rs
+++ b/crates/spurdrum-sources/tests/catalog.rs
@@ -4,8 +4,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use spurdrum_sources::catalog::{Catalog, News};
-use spurdrum_sources::follower::{Counts, Settings, View};
+use spurdrum_sources::catalog::{Catalog, CatalogEvent};
+use spurdrum_sources::follower::{Counts, Freshness, Settings};
 use spurdrum_standin::scenario::Scenario;
 use spurdrum_standin::Fleet;
 use tokio::sync::mpsc;
@@ -18,13 +18,13 @@
 fn settings() -> Settings {
     // Times are short where nothing is asserted of them.
     let ms = Duration::from_millis;
-    Settings { wait_least: ms(100), wait_most: ms(400), patience: ms(400), ..Settings::default() }
+    Settings { min_wait: ms(100), max_wait: ms(400), silence_timeout: ms(400), ..Settings::default() }
 }
 
 /// What a node has heard.
 struct Heard {
     versions: Vec<u64>,
-    views: Vec<View>,
+    views: Vec<Freshness>,
 }
 
 /// Follows a fleet's catalog until something is so.
@@ -39,9 +39,12 @@
         let to = Rc::clone(&heard);
         let following = tokio::task::spawn_local(Rc::clone(&catalog).follow(move |news| {
             match news {
-                News::List(list) => to.borrow_mut().versions.push(list.revision),
-                News::View { to: view, .. } => to.borrow_mut().views.push(view),
-                News::Begun { .. } | News::Started { .. } | News::Shorter(..) | News::Call(_) => {}
+                CatalogEvent::List(list) => to.borrow_mut().versions.push(list.revision),
+                CatalogEvent::FreshnessChanged { to: view, .. } => to.borrow_mut().views.push(view),
+                CatalogEvent::Started { .. }
+                | CatalogEvent::Ready { .. }
+                | CatalogEvent::ListShrunk(..)
+                | CatalogEvent::CallEnded(_) => {}
             }
             let _ = tell.send(());
         }));
@@ -72,13 +75,13 @@
 #[test]
 fn a_change_is_known_although_every_watch_hangs() {
     let counts = knows_in_spite_of("kind = \"hang_watches\"");
-    assert!(counts.hung > 0 && counts.calls[1] > 0, "{counts}");
+    assert!(counts.timed_out > 0 && counts.calls[1] > 0, "{counts}");
 }
 
 #[test]
 fn a_change_is_known_although_reads_hang() {
     let counts = knows_in_spite_of("kind = \"hang_reads\"");
-    assert_eq!(counts.hung, 0, "watches need none: {counts}");
+    assert_eq!(counts.timed_out, 0, "watches need none: {counts}");
 }
 
 #[test]
@@ -105,8 +108,8 @@
 #[test]
 fn an_outage_is_seen_told_and_over_when_it_is_over() {
     let settled = |heard: &Heard, _: &Rc<Catalog>, _: &Fleet| {
-        let blind = heard.views.contains(&View::Blind);
-        blind && heard.views.last() == Some(&View::Fresh)
+        let blind = heard.views.contains(&Freshness::Stale);
+        blind && heard.views.last() == Some(&Freshness::Fresh)
     };
     let counts = follow("[[fault]]\non = \"catalog\"\nkind = \"outage\"\nat_s = 1.0\nfor_s = 4.0\n", settled);
     assert!(counts.failed > 0, "{counts}");
@@ -118,8 +121,8 @@
                   [[fault]]\non = \"s0\"\nkind = \"drain\"\nat_s = 1.0\nfor_s = 0.5\n";
     follow(script, |heard, catalog, fleet| {
         // Told once it has gone silent; told again, that is no news.
-        if heard.views.last() != Some(&View::Fresh) && heard.views.len() > 1 {
-            catalog.move_to(fleet.moved_catalog);
+        if heard.views.last() != Some(&Freshness::Fresh) && heard.views.len() > 1 {
+            catalog.set_address(fleet.moved_catalog);
         }
         heard.versions.last() == Some(&5)
     });
--- a/crates/spurdrum-sources/tests/consul.rs
+++ b/crates/spurdrum-sources/tests/consul.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use serde_json::json;
-use spurdrum_sources::follower::View;
+use spurdrum_sources::follower::Freshness;
 use spurdrum_sources::registry::consul::{Consul, Service};
 use spurdrum_sources::registry::follower::{Interface, Settings};
 use spurdrum_sources::registry::schema::{Mapper, Schema};
@@ -75,7 +75,7 @@
         }));
         let until = async |what: &str, so: &dyn Fn(&BTreeMap<String, Member>) -> bool| {
             let is_so = async {
-                while !so(&listed.borrow()) || shell.status().0 != View::Fresh {
+                while !so(&listed.borrow()) || shell.status().0 != Freshness::Fresh {
                     sleep(ms(5)).await;
                 }
             };
@@ -128,7 +128,7 @@
             let shell = Shell::new(Consul::new(service).expect("sound"), settings, 5).expect("sound");
             let following = tokio::task::spawn_local(Rc::clone(&shell).follow(|_| {}));
             let settled = async {
-                while shell.status().0 != View::Fresh && shell.status().3.failed < 3 {
+                while shell.status().0 != Freshness::Fresh && shell.status().3.failed < 3 {
                     sleep(Duration::from_millis(5)).await;
                 }
             };
--- a/crates/spurdrum-sources/tests/etcd.rs
+++ b/crates/spurdrum-sources/tests/etcd.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use signed::signed;
-use spurdrum_sources::follower::View;
+use spurdrum_sources::follower::Freshness;
 use spurdrum_sources::registry::etcd::{Cluster, Etcd};
 use spurdrum_sources::registry::follower::{Change, Counts, Note, Settings, Value};
 use spurdrum_sources::registry::shell::{News, Shell};
@@ -28,7 +28,7 @@
     copy: BTreeMap<Vec<u8>, Vec<u8>>,
     changes: Vec<Change>,
     notes: Vec<Note>,
-    view: Option<View>,
+    view: Option<Freshness>,
 }
 
 struct Played {
@@ -51,7 +51,7 @@
 
     async fn same(&self, what: &str) {
         let state = self.cluster.with(|registry| registry.state(registry.revision()));
-        self.until(what, |heard, etcd| heard.copy == state && etcd.status().0 == View::Fresh).await;
+        self.until(what, |heard, etcd| heard.copy == state && etcd.status().0 == Freshness::Fresh).await;
     }
 
     fn counts(&self) -> Counts {
--- a/crates/spurdrum-sources/tests/follower.rs
+++ b/crates/spurdrum-sources/tests/follower.rs
@@ -6,8 +6,8 @@
 
 use proptest::prelude::*;
 use spurdrum_sources::follower::{
-    Action, Ask, CallId, Cause, Event, Evidence, Failure, Follower, Settings, StartEnd, View, AWAITED_MOST,
-    CALLS_MOST,
+    Action, CallId, Cause, Event, Evidence, Failure, Follower, Freshness, Query, Settings, StartupResult,
+    MAX_AWAITED_CALLS, MAX_OPEN_CALLS,
 };
 use spurdrum_sources::{List, Member, Phase};
 
@@ -37,13 +37,13 @@
     follower: Follower,
     now: Duration,
     /// Calls that are out.
-    out: Vec<(CallId, Ask, Duration)>,
+    out: Vec<(CallId, Query, Duration)>,
     applied: Vec<u64>,
     /// The servers as they were last applied.
     listed: BTreeMap<String, Phase>,
-    states: Vec<(View, Cause)>,
+    states: Vec<(Freshness, Cause)>,
     shorter: Vec<(usize, usize)>,
-    started: Option<StartEnd>,
+    started: Option<StartupResult>,
     calls: usize,
 }
 
@@ -65,7 +65,7 @@
         node.feed(Event::Tick);
         node.pass_until(|node| !node.out.is_empty());
         // The list of the earlier run is confirmed before the first watch.
-        assert_eq!(node.out[0].1, Ask::Poll { since: 41 });
+        assert_eq!(node.out[0].1, Query::Poll { since: 41 });
         node
     }
 
@@ -73,7 +73,7 @@
     fn new(settings: Settings) -> Self {
         let mut node = Self::starting(settings);
         node.answer(list(41, false, &[]));
-        assert_eq!(node.started, Some(StartEnd::Confirmed));
+        assert_eq!(node.started, Some(StartupResult::Confirmed));
         node.pass_until(|node| !node.out.is_empty());
         node
     }
@@ -84,7 +84,7 @@
         for _ in 0..8 {
             node.quiet();
         }
-        assert_eq!(node.follower.view(), View::Fresh);
+        assert_eq!(node.follower.freshness(), Freshness::Fresh);
         node
     }
 
@@ -93,9 +93,9 @@
         self.follower.handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Call { call, ask } => {
+                Action::Call { call, query } => {
                     self.calls += 1;
-                    self.out.push((call, ask, self.now));
+                    self.out.push((call, query, self.now));
                 }
                 Action::Close { call, .. } => self.out.retain(|(id, ..)| *id != call),
                 Action::Apply(list) => {
@@ -105,16 +105,16 @@
                     }
                     self.listed.extend(list.members.into_iter().map(|member| (member.id, member.phase)));
                 }
-                Action::State { to, cause, .. } => self.states.push((to, cause)),
-                Action::Shorter(before, now) => self.shorter.push((before, now)),
-                Action::Started(end) => {
+                Action::FreshnessChanged { to, cause, .. } => self.states.push((to, cause)),
+                Action::ListShrunk(before, now) => self.shorter.push((before, now)),
+                Action::Ready(end) => {
                     assert_eq!(self.started, None, "a process starts once");
                     self.started = Some(end);
                 }
             }
         }
-        assert!(self.out.len() <= CALLS_MOST, "{:?}", self.out);
-        assert!(self.follower.awaited() <= AWAITED_MOST, "{:?}", self.out);
+        assert!(self.out.len() <= MAX_OPEN_CALLS, "{:?}", self.out);
+        assert!(self.follower.awaited_calls() <= MAX_AWAITED_CALLS, "{:?}", self.out);
     }
 
     fn pass(&mut self, time: Duration) {
@@ -149,23 +149,23 @@
     }
 
     /// Calls that are out, but for these.
-    fn out_beside(&self, others: &[CallId]) -> Vec<Ask> {
-        self.out.iter().filter(|(id, ..)| !others.contains(id)).map(|(_, ask, _)| *ask).collect()
+    fn out_beside(&self, others: &[CallId]) -> Vec<Query> {
+        self.out.iter().filter(|(id, ..)| !others.contains(id)).map(|(_, query, _)| *query).collect()
     }
 
     fn ids_out(&self) -> Vec<CallId> {
         self.out.iter().map(|(id, ..)| *id).collect()
     }
 
-    fn fail(&mut self, why: Failure) {
+    fn fail(&mut self, failure: Failure) {
         let (call, ..) = self.out.remove(0);
-        self.feed(Event::Failed { call, why });
+        self.feed(Event::Failed { call, failure });
     }
 
     /// The watch that is out ends without news.
     fn quiet(&mut self) {
-        let (_, ask, since) = self.out[0];
-        let Ask::Watch { wait, .. } = ask else { panic!("no watch: {ask:?}") };
+        let (_, query, since) = self.out[0];
+        let Query::Watch { wait, .. } = query else { panic!("no watch: {query:?}") };
         let until = (since + wait + ms(2)).saturating_sub(self.now);
         self.pass(until);
         let held = self.follower.revision().expect("held");
@@ -175,8 +175,8 @@
 
     fn wait(&self) -> Duration {
         match self.out[0].1 {
-            Ask::Watch { wait, .. } => wait,
-            ask => panic!("no watch: {ask:?}"),
+            Query::Watch { wait, .. } => wait,
+            query => panic!("no watch: {query:?}"),
         }
     }
 }
@@ -192,14 +192,14 @@
     // The watch hangs: soon after its time a call goes out beside it, and the answer of that one counts.
     let seen = node.pass_until(|node| node.out.len() == 2);
     assert!(seen <= ms(5500 + 300), "{seen:?}");
-    assert_eq!(node.states.last(), Some(&(View::Doubtful, Cause::Overdue)));
-    assert_eq!(node.out[1].1, Ask::Poll { since: 41 });
+    assert_eq!(node.states.last(), Some(&(Freshness::Doubtful, Cause::Overdue)));
+    assert_eq!(node.out[1].1, Query::Poll { since: 41 });
     node.out.remove(0);
     node.answer(list(43, false, &["s1"]));
     node.pass(ms(20));
-    assert_eq!((node.applied.last(), node.follower.view()), (Some(&43), View::Fresh));
+    assert_eq!((node.applied.last(), node.follower.freshness()), (Some(&43), Freshness::Fresh));
     assert!(node.wait() <= ms(1100), "{:?}", node.wait());
-    assert_eq!(node.follower.counts().hung, 1);
+    assert_eq!(node.follower.counts().timed_out, 1);
 }
 
 #[test]
@@ -215,16 +215,16 @@
 fn a_silent_discovery_is_told_once_and_not_asked_ever_faster() {
     let mut node = Node::proved();
     node.pass(ms(60_000));
-    assert_eq!(node.follower.view(), View::Blind);
-    let views: Vec<View> = node.states.iter().map(|(to, _)| *to).collect();
-    assert_eq!(views[views.len() - 2..], [View::Doubtful, View::Blind]);
+    assert_eq!(node.follower.freshness(), Freshness::Stale);
+    let views: Vec<Freshness> = node.states.iter().map(|(to, _)| *to).collect();
+    assert_eq!(views[views.len() - 2..], [Freshness::Doubtful, Freshness::Stale]);
     let calls = node.calls;
     node.pass(ms(60_000));
     assert!(node.calls - calls <= 60, "{} calls in a minute", node.calls - calls);
     // It is there again: an answer is all that is needed.
     node.pass_until(|node| !node.out.is_empty());
     node.answer(list(41, false, &[]));
-    assert_eq!(node.follower.view(), View::Fresh);
+    assert_eq!(node.follower.freshness(), Freshness::Fresh);
 }
 
 #[test]
@@ -235,15 +235,21 @@
     assert_eq!(node.out.len(), 1, "one server alone is its own trouble");
     node.feed(Event::Evidence(Evidence::Unreachable(2)));
     assert_eq!(node.out.len(), 2);
-    assert_eq!(node.out[1].1, Ask::Poll { since: 41 });
-    assert!(matches!(node.states.last(), Some((View::Doubtful, Cause::Servers(Evidence::Unreachable(2))))));
+    assert_eq!(node.out[1].1, Query::Poll { since: 41 });
+    assert!(matches!(
+        node.states.last(),
+        Some((Freshness::Doubtful, Cause::Evidence(Evidence::Unreachable(2))))
+    ));
     // The poll knows more than the watch, which is deaf then: another one follows at once.
     node.pass(ms(5));
     let deaf = node.out[0];
     node.out.swap(0, 1);
     node.answer(list(42, false, &["s2"]));
     node.pass(ms(20));
-    assert!(node.out.iter().any(|(id, ask, _)| *id != deaf.0 && matches!(ask, Ask::Watch { since: 42, .. })));
+    assert!(node
+        .out
+        .iter()
+        .any(|(id, query, _)| *id != deaf.0 && matches!(query, Query::Watch { since: 42, .. })));
     node.pass(ms(1000));
     assert!(node.out.iter().all(|(id, ..)| *id != deaf.0), "it is not waited for");
     // Servers that go on like that without news need ever more of it.
@@ -252,7 +258,7 @@
     for _ in 0..600 {
         node.feed(Event::Evidence(Evidence::Refused { idle: true }));
         node.pass(ms(100));
-        while let Some(at) = node.out.iter().position(|(_, ask, _)| !matches!(ask, Ask::Watch { .. })) {
+        while let Some(at) = node.out.iter().position(|(_, query, _)| !matches!(query, Query::Watch { .. })) {
             polls += 1;
             let (call, ..) = node.out.remove(at);
             node.feed(Event::Answered { call, list: list(41, false, &[]) });
@@ -271,12 +277,15 @@
     node.out.swap(0, 1);
     node.answer(list(50, true, &["s1", "s2"]));
     // The watch was begun before that; its answer crosses.
-    let at =
-        node.out.iter().position(|(_, ask, _)| matches!(ask, Ask::Watch { since: 41, .. })).expect("out");
+    let at = node
+        .out
+        .iter()
+        .position(|(_, query, _)| matches!(query, Query::Watch { since: 41, .. }))
+        .expect("out");
     let (call, ..) = node.out.remove(at);
     node.feed(Event::Answered { call, list: list(45, false, &["s9"]) });
     assert_eq!(node.applied.last(), Some(&50));
-    assert_eq!((node.follower.revision(), node.follower.counts().stale), (Some(50), 1));
+    assert_eq!((node.follower.revision(), node.follower.counts().outdated), (Some(50), 1));
 }
 
 #[test]
@@ -284,13 +293,13 @@
     let mut node = Node::proved();
     node.answer(list(3, true, &["s1"]));
     assert_eq!(node.applied.last(), None, "one answer alone may be a stray");
-    assert_eq!(node.states.last(), Some(&(View::Doubtful, Cause::Backwards)));
+    assert_eq!(node.states.last(), Some(&(Freshness::Doubtful, Cause::RevisionWentBack)));
     node.pass_until(|node| !node.out.is_empty());
-    assert_eq!(node.out[0].1, Ask::Read);
+    assert_eq!(node.out[0].1, Query::Read);
     node.answer(list(4, true, &["s1"]));
     node.pass(ms(20));
     assert_eq!((node.applied.last(), node.follower.revision()), (Some(&4), Some(4)));
-    assert!(matches!(node.out[0].1, Ask::Watch { since: 4, .. }));
+    assert!(matches!(node.out[0].1, Query::Watch { since: 4, .. }));
 }
 
 #[test]
@@ -298,19 +307,19 @@
     let mut node = Node::proved();
     node.pass_until(|node| node.out.len() == 2);
     let former = node.ids_out();
-    node.feed(Event::Moved);
+    node.feed(Event::AddressChanged);
     node.pass(ms(20));
-    assert_eq!(node.out_beside(&former), [Ask::Read]);
+    assert_eq!(node.out_beside(&former), [Query::Read]);
     // A change that follows on nothing is of no use; the versions of the new one may be lower.
     node.answer_newest(list(2, false, &["s1"]));
     assert_eq!(node.applied.last(), None);
     node.pass_until(|node| !node.out_beside(&former).is_empty());
-    assert_eq!(node.out_beside(&former), [Ask::Read]);
+    assert_eq!(node.out_beside(&former), [Query::Read]);
     node.answer_newest(list(2, true, &["s1"]));
     assert_eq!(node.applied.last(), Some(&2));
     node.pass(ms(20));
     assert!(node.ids_out().iter().all(|id| !former.contains(id)), "{:?}", node.out);
-    assert!(matches!(node.out[..], [(_, Ask::Watch { since: 2, .. }, _)]), "{:?}", node.out);
+    assert!(matches!(node.out[..], [(_, Query::Watch { since: 2, .. }, _)]), "{:?}", node.out);
 }
 
 /// Incident of 2026-12-02: what the former discovery wrote counts as told, and a new one may be slow, or move again.
@@ -318,29 +327,29 @@
 fn until_a_new_discovery_answers_what_the_former_ones_wrote_is_heeded() {
     let mut node = Node::proved();
     let (watch, ..) = node.out[0];
-    node.feed(Event::Moved);
+    node.feed(Event::AddressChanged);
     node.pass(ms(1));
-    let (first, ask, _) = *node.out.last().expect("the new one is asked");
-    assert_eq!(ask, Ask::Read);
-    node.feed(Event::Moved);
+    let (first, query, _) = *node.out.last().expect("the new one is asked");
+    assert_eq!(query, Query::Read);
+    node.feed(Event::AddressChanged);
     node.pass(ms(900));
     assert_eq!(node.ids_out(), [watch, first], "moves in a row are one");
     node.pass(ms(200));
-    let (second, ask, _) = *node.out.last().expect("the newest one is asked");
-    assert_eq!((ask, node.out.len()), (Ask::Read, 3));
+    let (second, query, _) = *node.out.last().expect("the newest one is asked");
+    assert_eq!((query, node.out.len()), (Query::Read, 3));
     let answered = |node: &mut Node, call, list| {
         node.out.retain(|(id, ..)| *id != call);
         node.feed(Event::Answered { call, list });
     };
     answered(&mut node, watch, list(43, false, &["s1"]));
     assert_eq!(node.applied, [43]);
-    assert_ne!(node.follower.view(), View::Fresh, "the new one has not answered");
+    assert_ne!(node.follower.freshness(), Freshness::Fresh, "the new one has not answered");
     // The one in between knows more than the first; then what the first says no longer counts.
     answered(&mut node, first, list(7, true, &["s2"]));
     assert_eq!((&node.applied[..], node.follower.revision()), (&[43, 7][..], None));
     answered(&mut node, second, list(3, true, &["s3"]));
     assert_eq!((&node.applied[..], node.follower.revision()), (&[43, 7, 3][..], Some(3)));
-    assert_eq!(node.follower.view(), View::Fresh);
+    assert_eq!(node.follower.freshness(), Freshness::Fresh);
     answered(&mut node, first, list(8, true, &["s4"]));
     assert_eq!(node.applied, [43, 7, 3]);
 }
@@ -355,21 +364,21 @@
     ] {
         let mut node = Node::proved();
         let (watch, ..) = node.out.remove(0);
-        node.feed(Event::Moved);
+        node.feed(Event::AddressChanged);
         node.feed(Event::Answered { call: watch, list: answer });
         assert_eq!(node.applied.last().copied(), applied);
     }
     // A read of one in between tells changes of a list that was never whole.
     let mut node = Node::proved();
-    node.feed(Event::Moved);
+    node.feed(Event::AddressChanged);
     node.pass(ms(1));
     let (read, ..) = node.out.pop().expect("asked");
-    node.feed(Event::Moved);
+    node.feed(Event::AddressChanged);
     node.feed(Event::Answered { call: read, list: list(50, false, &["s1"]) });
     assert!(node.applied.is_empty());
     // It has ended, so the newest one need not wait.
     node.pass(ms(20));
-    assert_eq!(node.out.last().map(|(_, ask, _)| *ask), Some(Ask::Read));
+    assert_eq!(node.out.last().map(|(_, query, _)| *query), Some(Query::Read));
 }
 
 /// After SIGHUP, or at discovery's return, a list may be older than the one held.
@@ -390,7 +399,7 @@
         node.answer(phased(51, false, &leaving));
         node.pass(ms(20));
         let former = node.ids_out();
-        node.feed(Event::Moved);
+        node.feed(Event::AddressChanged);
         node.pass_until(|node| !node.out_beside(&former).is_empty());
         let mut older = phased(42, true, &active);
         // A server that was started again is another one.
@@ -411,9 +420,9 @@
     }
     // Told by the list of an earlier run.
     let mut node = Node::new(Settings::default());
-    node.follower.remember(phased(41, true, &leaving[..2]));
+    node.follower.restore_leaving(phased(41, true, &leaving[..2]));
     let former = node.ids_out();
-    node.feed(Event::Moved);
+    node.feed(Event::AddressChanged);
     node.pass_until(|node| !node.out_beside(&former).is_empty());
     node.answer_newest(phased(7, true, &active));
     assert_eq!(held(&node), 2, "s3 and s4: {:?}", node.listed);
@@ -423,12 +432,12 @@
 fn a_body_that_does_not_come_is_not_waited_for_but_a_long_one_is() {
     let mut node = Node::proved();
     let (call, ..) = node.out[0];
-    node.feed(Event::Begun { call, length: 500 });
+    node.feed(Event::AnswerStarted { call, length: 500 });
     let waited = node.pass_until(|node| node.out.iter().all(|(id, ..)| *id != call));
     assert!(waited <= ms(1100), "{waited:?}");
     let mut node = Node::proved();
     let (call, ..) = node.out[0];
-    node.feed(Event::Begun { call, length: 3 << 20 });
+    node.feed(Event::AnswerStarted { call, length: 3 << 20 });
     let waited = node.pass_until(|node| node.out.iter().all(|(id, ..)| *id != call));
     assert!(waited >= ms(3900), "{waited:?}");
 }
@@ -440,12 +449,12 @@
     node.now += ms(3_600_000);
     node.feed(Event::Tick);
     assert!(node.out.iter().any(|(id, ..)| *id == call), "its answer may lie in the socket");
-    assert_eq!(node.states.last(), Some(&(View::Doubtful, Cause::Jumped)));
-    assert_eq!(node.follower.counts().hung, 0);
+    assert_eq!(node.states.last(), Some(&(Freshness::Doubtful, Cause::ProcessPaused)));
+    assert_eq!(node.follower.counts().timed_out, 0);
     let before = node.calls;
     node.out.retain(|(id, ..)| *id != call);
     node.feed(Event::Answered { call, list: list(44, false, &["s1"]) });
-    assert_eq!(node.follower.view(), View::Fresh);
+    assert_eq!(node.follower.freshness(), Freshness::Fresh);
     node.pass(ms(100));
     assert!(node.calls - before <= 2);
 }
@@ -467,7 +476,7 @@
 #[test]
 fn calls_that_break_are_tried_again_soon_then_ever_later() {
     let mut node = Node::proved();
-    node.fail(Failure::Broke);
+    node.fail(Failure::ConnectionLost);
     assert!(node.pass_until(|node| !node.out.is_empty()) <= ms(150), "it may have had something to tell");
     let mut pauses = Vec::new();
     for _ in 0..12 {
@@ -479,7 +488,7 @@
 
 #[test]
 fn many_nodes_ask_at_the_pace_that_answers_take() {
-    let settings = Settings { nodes: 300, me: 7, ..Settings::default() };
+    let settings = Settings { nodes: 300, node_index: 7, ..Settings::default() };
     let mut node = Node::new(settings);
     let mut first = Duration::ZERO;
     for late in [0, 1000, 1000, 1000, 1000, 1000, 1000] {
@@ -495,8 +504,9 @@
     assert!(node.wait() >= 2 * ms(1000), "{:?}", node.wait());
     (0..40).for_each(|_| node.quiet());
     assert!(node.wait() <= ms(11_000), "{:?}", node.wait());
-    let pushed = Node::new(Settings { nodes: 300, me: 7, pushed: true, ..Settings::default() });
-    assert!(pushed.wait() <= ms(100), "an agent costs discovery nothing");
+    let local_agent =
+        Node::new(Settings { nodes: 300, node_index: 7, local_agent: true, ..Settings::default() });
+    assert!(local_agent.wait() <= ms(100), "an agent costs discovery nothing");
 }
 
 #[test]
@@ -515,15 +525,15 @@
 fn settings_that_make_no_sense_are_named() {
     let wrong = |settings: Settings| Follower::new(settings, 0, None).err().map(|(key, _)| key);
     let base = Settings::default;
-    assert_eq!(wrong(Settings { wait_least: ms(9000), ..base() }), Some("wait_least_ms"));
-    assert_eq!(wrong(Settings { share: 0.0, ..base() }), Some("share"));
-    assert_eq!(wrong(Settings { share: f64::NAN, ..base() }), Some("share"));
-    assert_eq!(wrong(Settings { patience: ms(0), ..base() }), Some("patience_ms"));
+    assert_eq!(wrong(Settings { min_wait: ms(9000), ..base() }), Some("wait_least_ms"));
+    assert_eq!(wrong(Settings { discovery_share: 0.0, ..base() }), Some("share"));
+    assert_eq!(wrong(Settings { discovery_share: f64::NAN, ..base() }), Some("share"));
+    assert_eq!(wrong(Settings { silence_timeout: ms(0), ..base() }), Some("patience_ms"));
 }
 
 /// A node of a hundred, whose first watch is out.
 fn crowded() -> Node {
-    Node::new(Settings { nodes: 100, me: 40, ..Settings::default() })
+    Node::new(Settings { nodes: 100, node_index: 40, ..Settings::default() })
 }
 
 /// Size day herd+vast: each node asked by a poll beside a call that only waited its turn. Full fleet, roll+mass: after news a
@@ -533,7 +543,7 @@
     let mut node = crowded();
     let (first, ..) = node.out[0];
     node.feed(Event::Evidence(Evidence::Restarted));
-    node.feed(Event::Evidence(Evidence::TakenOut));
+    node.feed(Event::Evidence(Evidence::Ejected));
     node.pass(ms(2_000));
     assert_eq!(node.calls, 2, "after the first call of all, no poll beside it, whatever servers show");
     node.out.clear();
@@ -542,8 +552,8 @@
         let answered = node.now;
         node.pass_until(|node| !node.out.is_empty());
         assert!(node.now < answered + ms(200), "{:?} after {answered:?}: the watch has ended", node.now);
-        let (call, ask, _) = node.out.pop().expect("a call is out");
-        assert!(matches!(ask, Ask::Watch { since, .. } if since == revision - 1), "{ask:?}");
+        let (call, query, _) = node.out.pop().expect("a call is out");
+        assert!(matches!(query, Query::Watch { since, .. } if since == revision - 1), "{query:?}");
         node.feed(Event::Answered { call, list: list(revision, false, &["a"]) });
     }
 }
@@ -559,7 +569,7 @@
         if turn % 3 == 0 {
             node.feed(Event::Answered { call, list: list(42 + turn, false, &["a"]) });
         } else {
-            node.feed(Event::Failed { call, why: Failure::NoList });
+            node.feed(Event::Failed { call, failure: Failure::InvalidList });
         }
         node.pass_until(|node| !node.out.is_empty());
         assert!(node.now <= ended + ms(4_000), "turn {turn}: {:?} after {ended:?}", node.now);
@@ -571,12 +581,17 @@
 /// before its start may count as told at any moment.
 #[test]
 fn a_new_process_asks_in_half_of_the_time_that_the_settings_give() {
-    for (nodes, ask_within) in [(350, 10_000), (1_024, 10_000), (5_000, 4_000), (300, 100)] {
-        let settings = Settings { nodes, me: nodes - 1, ask_within: ms(ask_within), ..Settings::default() };
+    for (nodes, max_call_interval) in [(350, 10_000), (1_024, 10_000), (5_000, 4_000), (300, 100)] {
+        let settings = Settings {
+            nodes,
+            node_index: nodes - 1,
+            max_call_interval: ms(max_call_interval),
+            ..Settings::default()
+        };
         let node = Node::starting(settings);
         assert!(
-            node.now <= ms(ask_within / 2).min(ms(1_000)),
-            "{nodes} nodes, {ask_within} ms: {:?}",
+            node.now <= ms(max_call_interval / 2).min(ms(1_000)),
+            "{nodes} nodes, {max_call_interval} ms: {:?}",
             node.now
         );
     }
@@ -586,7 +601,7 @@
 /// it is back, and a call that was out before may never be answered.
 #[test]
 fn an_agent_that_was_silent_is_heard_again_within_the_grace() {
-    let settings = Settings { nodes: 300, me: 299, pushed: true, ..Settings::default() };
+    let settings = Settings { nodes: 300, node_index: 299, local_agent: true, ..Settings::default() };
     let first = Node::starting(settings.clone()).now;
     assert!(first <= ms(20), "a new process is told what the agent has from its first moment");
     let mut node = Node::new(settings);
@@ -619,7 +634,7 @@
 /// A busy moment is no silent agent: what it answered meanwhile lies in the socket.
 #[test]
 fn a_call_to_an_agent_is_not_given_up_by_a_loop_that_was_late() {
-    let mut node = Node::new(Settings { pushed: true, ..Settings::default() });
+    let mut node = Node::new(Settings { local_agent: true, ..Settings::default() });
     let (call, ..) = node.out[0];
     node.now += ms(170);
     node.feed(Event::Tick);
@@ -630,7 +645,7 @@
 /// Calls that are given up before a slow agent answers them would never bring a list.
 #[test]
 fn an_agent_that_is_always_slow_is_heard() {
-    let mut node = Node::new(Settings { pushed: true, ..Settings::default() });
+    let mut node = Node::new(Settings { local_agent: true, ..Settings::default() });
     for revision in 42..60 {
         let (oldest, _, since) = node.out[0];
         node.pass(since + ms(700) - node.now);
@@ -646,20 +661,20 @@
 #[test]
 fn a_watch_that_falls_silent_is_followed_by_another_call_before_its_news_counts_as_told() {
     let alone = Node::new(Settings { nodes: 3, ..Settings::default() });
-    let agent = Node::new(Settings { nodes: 300, pushed: true, ..Settings::default() });
+    let agent = Node::new(Settings { nodes: 300, local_agent: true, ..Settings::default() });
     for mut node in [crowded(), alone, agent] {
         for turn in 0..30 {
-            let (call, ask, since) = node.out[0];
-            let counts = since + ms(6_000).max(ask.wait() + ms(2_000));
+            let (call, query, since) = node.out[0];
+            let counts = since + ms(6_000).max(query.wait() + ms(2_000));
             node.pass_until(|node| node.out.iter().any(|(id, ..)| *id != call));
-            assert!(node.now + ms(900) <= counts, "turn {turn}: {:?} for {ask:?} of {since:?}", node.now);
+            assert!(node.now + ms(900) <= counts, "turn {turn}: {:?} for {query:?} of {since:?}", node.now);
             // Each answer comes late, and now and then a call fails.
             node.pass(ms(700));
             node.out.retain(|(id, ..)| *id != call);
             node.answer(list(41, false, &[]));
             node.pass_until(|node| !node.out.is_empty());
             if turn % 3 == 0 {
-                node.fail(Failure::Broke);
+                node.fail(Failure::ConnectionLost);
                 node.pass_until(|node| !node.out.is_empty());
             }
         }
@@ -676,8 +691,12 @@
 }
 
 fn ends() -> impl Strategy<Value = End> {
-    let failure = prop_oneof![Just(Failure::Unreachable), Just(Failure::Broke), Just(Failure::NoList)];
-    prop_oneof![(failure, 0_u64..3_000).prop_map(|(why, after)| End::Fails(why, after)), Just(End::Silent)]
+    let failure =
+        prop_oneof![Just(Failure::Unreachable), Just(Failure::ConnectionLost), Just(Failure::InvalidList)];
+    prop_oneof![
+        (failure, 0_u64..3_000).prop_map(|(failure, after)| End::Fails(failure, after)),
+        Just(End::Silent)
+    ]
 }
 
 proptest! {
@@ -690,23 +709,23 @@
         nodes in prop_oneof![Just(1_usize), Just(3), Just(12), Just(100), Just(350), Just(1_024)],
         ends in proptest::collection::vec(ends(), 1..40),
     ) {
-        let mut node = Node::new(Settings { nodes, me: nodes / 2, ..Settings::default() });
+        let mut node = Node::new(Settings { nodes, node_index: nodes / 2, ..Settings::default() });
         prop_assert!(node.now <= ms(3_500), "the first call: {:?}", node.now);
         for end in ends {
             // One that was begun beside it: where the other goes on, nothing is owed.
             while node.out.len() > 1 {
-                node.fail(Failure::Broke);
+                node.fail(Failure::ConnectionLost);
             }
-            let (call, ask, begun) = node.out[0];
+            let (call, query, begun) = node.out[0];
             let before = node.calls;
-            let mut latest = begun + ms(5_000).max(ask.wait() + ms(1_000));
-            if let End::Fails(why, after) = end {
+            let mut latest = begun + ms(5_000).max(query.wait() + ms(1_000));
+            if let End::Fails(failure, after) = end {
                 node.pass((begun + ms(after)).saturating_sub(node.now));
                 if let Some(at) = node.out.iter().position(|(id, ..)| *id == call) {
                     node.out.remove(at);
-                    node.feed(Event::Failed { call, why });
+                    node.feed(Event::Failed { call, failure });
                     let paused = node.now + ms(3_500);
-                    if !ask.wait().is_zero() {
+                    if !query.wait().is_zero() {
                         // A watch was one until it failed.
                         latest = paused;
                     } else if nodes >= 100 {
@@ -716,7 +735,7 @@
                 }
             }
             node.pass_until(|node| node.calls > before && !node.out.is_empty());
-            prop_assert!(node.now <= latest, "{end:?} of {ask:?} of {begun:?}: {:?}", node.now);
+            prop_assert!(node.now <= latest, "{end:?} of {query:?} of {begun:?}: {:?}", node.now);
         }
     }
 }
@@ -726,18 +745,18 @@
 #[test]
 fn a_process_starts_with_the_first_answer_or_without_one_in_time() {
     for nodes in [1, 30, 300, 1_024] {
-        let settings = Settings { nodes, me: nodes - 1, ..Settings::default() };
+        let settings = Settings { nodes, node_index: nodes - 1, ..Settings::default() };
         let mut broken = Node::starting(settings.clone());
         for _ in 0..2 {
             let failed = broken.now;
-            broken.fail(Failure::NoList);
+            broken.fail(Failure::InvalidList);
             broken.pass_until(|node| !node.out.is_empty());
             assert!(broken.now <= failed + ms(1_000), "{nodes} nodes: {:?} after {failed:?}", broken.now);
         }
         let mut silent = Node::starting(settings);
         silent.pass_until(|node| node.started.is_some());
-        assert_eq!((silent.started, silent.now), (Some(StartEnd::TimedOut), ms(1_500)), "{nodes} nodes");
+        assert_eq!((silent.started, silent.now), (Some(StartupResult::TimedOut), ms(1_500)), "{nodes} nodes");
         silent.answer(list(42, false, &["a"]));
-        assert_eq!((&silent.applied[..], silent.follower.view()), (&[42][..], View::Fresh));
+        assert_eq!((&silent.applied[..], silent.follower.freshness()), (&[42][..], Freshness::Fresh));
     }
 }
--- a/crates/spurdrum-sources/tests/reconciler.rs
+++ b/crates/spurdrum-sources/tests/reconciler.rs
@@ -5,7 +5,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use spurdrum_sources::follower::View;
+use spurdrum_sources::follower::Freshness;
 use spurdrum_sources::reconciler::{Action, Combine, Event, Reconciler, Settings};
 use spurdrum_sources::{Member, Phase};
 
@@ -166,7 +166,7 @@
 
 #[test]
 fn a_server_that_flaps_is_held_back_longer_each_time_up_to_a_bound_and_not_the_whole_fleet() {
-    let settings = Settings { hold_most: MS(2000), ..Settings::default() };
+    let settings = Settings { max_hold: MS(2000), ..Settings::default() };
     let mut played = Played::new(settings, 1);
     played.put(0, &fleet(10));
     let flap = |played: &mut Played| {
@@ -203,12 +203,12 @@
     played.whole(0, &fleet(10));
     played.whole(0, &[]);
     assert_eq!(played.said, [Action::Suspect { source: 0, before: 10, now: 0 }]);
-    assert_eq!((played.list.len(), played.reconciler.of_source(0)), (10, (0, 10)));
+    assert_eq!((played.list.len(), played.reconciler.source_counts(0)), (10, (0, 10)));
     played.put(0, &[member("s3", 1003, Phase::Left, 5.0)]);
     assert_eq!(played.phase("s3"), Some(Phase::Leaving));
     // It has them again.
     played.whole(0, &fleet(10));
-    assert_eq!(played.said.last(), Some(&Action::Settled(0)));
+    assert_eq!(played.said.last(), Some(&Action::Trusted(0)));
     played.whole(0, &[]);
     played.pass(MS(59_000));
     assert_eq!(played.phase("s0"), Some(Phase::Active));
@@ -224,18 +224,18 @@
 
 #[test]
 fn a_blind_source_counts_for_a_while_and_for_as_long_as_all_are_blind() {
-    let mut played = Played::new(Settings { keep: MS(10_000), ..Settings::default() }, 2);
+    let mut played = Played::new(Settings { keep_stale_for: MS(10_000), ..Settings::default() }, 2);
     played.put(0, &[member("a", 1, Phase::Active, 5.0)]);
     played.put(1, &[member("b", 2, Phase::Active, 5.0)]);
     for source in [0, 1] {
-        played.tell(Event::View { source, view: View::Blind });
+        played.tell(Event::Freshness { source, freshness: Freshness::Stale });
     }
     played.pass(MS(60_000));
     assert_eq!(played.list.len(), 2);
-    played.tell(Event::View { source: 1, view: View::Fresh });
+    played.tell(Event::Freshness { source: 1, freshness: Freshness::Fresh });
     assert_eq!(played.phase("a"), Some(Phase::Leaving));
     played.pass(MS(1001));
-    played.tell(Event::View { source: 0, view: View::Fresh });
+    played.tell(Event::Freshness { source: 0, freshness: Freshness::Fresh });
     assert_eq!(played.phase("a"), Some(Phase::Active));
 }
 
@@ -254,7 +254,7 @@
     Put(usize, u8, u8, bool),
     Gone(usize, u8),
     Whole(usize, u8),
-    View(usize, bool),
+    Freshness(usize, bool),
     Pass(u64),
 }
 
@@ -263,7 +263,7 @@
         4 => (0..3_usize, 0..8_u8, 0..3_u8, any::<bool>()).prop_map(|(s, id, phase, start)| Step::Put(s, id, phase, start)),
         3 => (0..3_usize, 0..8_u8).prop_map(|(s, id)| Step::Gone(s, id)),
         1 => (0..3_usize, any::<u8>()).prop_map(|(s, ids)| Step::Whole(s, ids)),
-        1 => (0..3_usize, any::<bool>()).prop_map(|(s, blind)| Step::View(s, blind)),
+        1 => (0..3_usize, any::<bool>()).prop_map(|(s, blind)| Step::Freshness(s, blind)),
         2 => (0..3000_u64).prop_map(Step::Pass),
     ]
 }
@@ -279,7 +279,7 @@
         all: bool,
     ) {
         let combine = if all { Combine::All } else { Combine::Any };
-        let mut played = Played::new(Settings { combine, floor: 0.0, ..Settings::default() }, 3);
+        let mut played = Played::new(Settings { combine, suspect_below: 0.0, ..Settings::default() }, 3);
         let mut said = vec![BTreeMap::<String, Phase>::new(); 3];
         let mut told = [false; 3];
         for step in steps {
@@ -304,9 +304,9 @@
                     told[source] = true;
                     played.whole(source, &members);
                 }
-                Step::View(source, blind) => {
-                    let view = if blind { View::Blind } else { View::Fresh };
-                    played.tell(Event::View { source, view });
+                Step::Freshness(source, blind) => {
+                    let freshness = if blind { Freshness::Stale } else { Freshness::Fresh };
+                    played.tell(Event::Freshness { source, freshness });
                 }
                 Step::Pass(ms) => played.pass(MS(ms)),
             }
@@ -327,7 +327,7 @@
             }
         }
         for source in 0..3 {
-            played.tell(Event::View { source, view: View::Fresh });
+            played.tell(Event::Freshness { source, freshness: Freshness::Fresh });
         }
         played.pass(MS(120_000));
         let there = |id: &String| {
--- a/crates/spurdrum-sources/tests/registry.rs
+++ b/crates/spurdrum-sources/tests/registry.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use spurdrum_sources::follower::View;
+use spurdrum_sources::follower::Freshness;
 use spurdrum_sources::registry::follower::{
     Action, Ask, CallId, Change, Edit, Event, Failure, Follower, Header, Interface, Note, Settings, Value,
 };
@@ -178,9 +178,9 @@
     played.page(call, header(14), &[("b", "2")], false);
     assert_eq!(played.last().2, Ask::Watch { from: 11 });
     assert_eq!((played.changes.len(), played.changes[0].revision, played.changes[0].put.len()), (1, 10, 2));
-    assert_eq!(played.follower.view(), View::Doubtful);
+    assert_eq!(played.follower.view(), Freshness::Doubtful);
     played.open(header(14));
-    assert_eq!((played.follower.view(), played.follower.revision()), (View::Fresh, Some(14)));
+    assert_eq!((played.follower.view(), played.follower.revision()), (Freshness::Fresh, Some(14)));
 }
 
 #[test]
@@ -279,7 +279,7 @@
     let (mut played, silent) = Played::watching(settings.clone(), &[("a", "1")]);
     let calls = played.calls.len();
     played.pass(settings.noticed_within() + MS(1));
-    assert_eq!(played.follower.view(), View::Doubtful);
+    assert_eq!(played.follower.view(), Freshness::Doubtful);
     let (beside, endpoint, ask) = played.last();
     assert_eq!((played.calls.len(), ask), (calls + 1, Ask::Watch { from: 11 }));
     assert_ne!(endpoint, played.calls[calls - 1].1);
@@ -289,7 +289,7 @@
     played.changed(beside, 11, vec![put("b", "1", 11)], false);
     assert_eq!(played.changes.len(), 2);
     played.tell(Event::Progress { call: beside, header: header(11) });
-    assert_eq!((played.follower.view(), played.aborted.as_slice()), (View::Fresh, &[silent][..]));
+    assert_eq!((played.follower.view(), played.aborted.as_slice()), (Freshness::Fresh, &[silent][..]));
 }
 
 #[test]
@@ -307,7 +307,7 @@
             played.pass(MS(10));
             played.tell(Event::Progress { call, header: header(20) });
         }
-        assert_eq!(played.follower.view(), View::Doubtful);
+        assert_eq!(played.follower.view(), Freshness::Doubtful);
     }
     let (call, _, ask) = played.last();
     assert!(matches!(ask, Ask::Range { stale: false, .. }), "{ask:?}");
@@ -322,7 +322,7 @@
     let settings = three();
     let (mut played, call) = Played::watching(settings.clone(), &[("a", "1")]);
     let confirm = played.confirm(header(10));
-    assert_eq!(played.follower.view(), View::Fresh);
+    assert_eq!(played.follower.view(), Freshness::Fresh);
     let watched = played.calls.iter().find(|(id, ..)| *id == call).expect("a watch").1;
     assert_ne!(confirm.1, watched, "one that is cut off does not know it");
     played.page(confirm.0, header(17), &[], false);
@@ -336,11 +336,11 @@
     let settings = three();
     let (mut played, _) = Played::watching(settings.clone(), &[("a", "1")]);
     played.pass_alive(settings.confirm * 6, header(10));
-    assert_ne!(played.follower.view(), View::Fresh);
+    assert_ne!(played.follower.view(), Freshness::Fresh);
     let (call, ..) = played.confirm(header(10));
     played.page(call, header(10), &[], false);
     played.pass_alive(settings.probe * 3, header(10));
-    assert_eq!(played.follower.view(), View::Fresh);
+    assert_eq!(played.follower.view(), Freshness::Fresh);
 }
 
 #[test]
@@ -421,7 +421,7 @@
     played.tell(Event::Tick);
     let after = played.calls.iter().filter(|(_, _, ask)| *ask != Ask::Confirm).count();
     assert_eq!((after, played.aborted.len()), (calls, 0));
-    assert_eq!(played.follower.view(), View::Doubtful);
+    assert_eq!(played.follower.view(), Freshness::Doubtful);
     played.pass(MS(110));
     assert!(played.probes.contains(&call));
 }
@@ -520,7 +520,7 @@
         "{:?}",
         played.calls
     );
-    assert_eq!(played.follower.view(), View::Fresh);
+    assert_eq!(played.follower.view(), Freshness::Fresh);
 }
 
 #[test]
@@ -562,7 +562,7 @@
     assert_eq!(watches, 2, "one beside it, and no third");
     played.tell(Event::Opened { call: slow, header: header(10) });
     played.tell(Event::Progress { call: slow, header: header(10) });
-    assert_eq!(played.follower.view(), View::Fresh);
+    assert_eq!(played.follower.view(), Freshness::Fresh);
 }
 
 #[test]
--- a/crates/spurdrum/src/file.rs
+++ b/crates/spurdrum/src/file.rs
@@ -11,7 +11,7 @@
 use spurdrum_facts::file;
 use spurdrum_http::Names;
 use spurdrum_policy::{Class, Effect, Group, Weights};
-use spurdrum_sources::{follower, List, Static};
+use spurdrum_sources::{follower, List, StaticList};
 
 use crate::affinity::{AffinityTable, Bindings};
 use crate::config::{Config, Source};
@@ -164,7 +164,7 @@
 struct Sources {
     catalog: Option<Following>,
     #[serde(rename = "static")]
-    fixed: Option<Static>,
+    fixed: Option<StaticList>,
     registry: Option<RegistryTable>,
     merge: Option<MergeTable>,
 }
@@ -296,15 +296,15 @@
         let Some(table) = self.sources.as_ref().and_then(|sources| sources.catalog.as_ref()) else {
             return settings;
         };
-        set_time(&mut settings.wait_least, table.wait_least_ms);
-        set_time(&mut settings.wait_most, table.wait_most_ms);
-        set_time(&mut settings.patience, table.patience_ms);
-        set_time(&mut settings.blind_after, table.blind_after_ms);
-        set_time(&mut settings.ready_within, table.ready_within_ms);
-        set_time(&mut settings.retry_least, table.retry_least_ms);
-        set_time(&mut settings.retry_most, table.retry_most_ms);
-        set(&mut settings.share, table.share);
-        set(&mut settings.extra, table.extra);
+        set_time(&mut settings.min_wait, table.wait_least_ms);
+        set_time(&mut settings.max_wait, table.wait_most_ms);
+        set_time(&mut settings.silence_timeout, table.patience_ms);
+        set_time(&mut settings.stale_after, table.blind_after_ms);
+        set_time(&mut settings.startup_timeout, table.ready_within_ms);
+        set_time(&mut settings.min_retry_delay, table.retry_least_ms);
+        set_time(&mut settings.max_retry_delay, table.retry_most_ms);
+        set(&mut settings.discovery_share, table.share);
+        set(&mut settings.burst_calls, table.extra);
         settings
     }
 
@@ -409,7 +409,7 @@
         })
     }
 
-    fn fixed(&self) -> Option<&Static> {
+    fn fixed(&self) -> Option<&StaticList> {
         self.sources.as_ref().and_then(|sources| sources.fixed.as_ref())
     }
 
@@ -478,9 +478,9 @@
         let node = self.node.as_ref()?;
         let places = self.places(node);
         let settings = self.settings(node, &places);
-        let known = self.fixed().map(Static::list);
+        let known = self.fixed().map(StaticList::list);
         let mut following = self.following();
-        (following.nodes, following.me) = (node.nodes, node.me);
+        (following.nodes, following.node_index) = (node.nodes, node.me);
         let time = |ms: Option<u64>, default| Duration::from_millis(ms.unwrap_or(default));
         let servers = self.servers.as_ref();
         Some(Config {
--- a/crates/spurdrum/src/following.rs
+++ b/crates/spurdrum/src/following.rs
@@ -7,8 +7,8 @@
 
 use spurdrum_core::Node;
 use spurdrum_http::Upstream;
-use spurdrum_sources::catalog::{Catalog, News};
-use spurdrum_sources::follower::View;
+use spurdrum_sources::catalog::{Catalog, CatalogEvent};
+use spurdrum_sources::follower::Freshness;
 use spurdrum_sources::reconciler::Event;
 use spurdrum_sources::{List, Phase};
 
@@ -34,14 +34,16 @@
 
 impl Sink {
     /// What the log says of attempts as the view changes: how many went out while nothing confirmed the list.
-    fn attempts_on_trust(&self, from: View, to: View) -> String {
+    fn attempts_on_trust(&self, from: Freshness, to: Freshness) -> String {
         let attempts = self.node.figures.attempts();
-        if from == View::Fresh {
+        if from == Freshness::Fresh {
             self.attempts_when_confirmed.set(attempts);
         }
         match to {
-            View::Fresh => format!("; {} attempts meanwhile", attempts - self.attempts_when_confirmed.get()),
-            View::Doubtful | View::Blind => String::new(),
+            Freshness::Fresh => {
+                format!("; {} attempts meanwhile", attempts - self.attempts_when_confirmed.get())
+            }
+            Freshness::Doubtful | Freshness::Stale => String::new(),
         }
     }
 
@@ -63,7 +65,7 @@
 pub async fn follow(catalog: Rc<Catalog>, sink: Rc<Sink>) {
     let shown = Rc::clone(&catalog);
     let news = move |news| match news {
-        News::Begun { first_call } => {
+        CatalogEvent::Started { first_call } => {
             let known = sink.told.borrow();
             let (servers, version) = (known.members.len(), known.revision);
             let after = first_call.as_secs_f64();
@@ -71,10 +73,10 @@
                 "started with {servers} servers of version {version}; the first list call in {after:.3} s"
             );
         }
-        News::List(list) => sink.listed(merge::CATALOG, list),
-        News::View { from, to, cause } => {
+        CatalogEvent::List(list) => sink.listed(merge::CATALOG, list),
+        CatalogEvent::FreshnessChanged { from, to, cause } => {
             if let Some(merged) = &sink.merged {
-                merged.tell(Event::View { source: merge::CATALOG, view: to });
+                merged.tell(Event::Freshness { source: merge::CATALOG, freshness: to });
             }
             let attempts = sink.attempts_on_trust(from, to);
             tracing::info!(
@@ -82,14 +84,14 @@
                 list::trust(shown.status())
             );
         }
-        News::Started { end, after } => {
+        CatalogEvent::Ready { end, after } => {
             sink.node.serve();
             tracing::info!("ready {:.3} s after the start: {end}", after.as_secs_f64());
         }
-        News::Shorter(before, now) => {
+        CatalogEvent::ListShrunk(before, now) => {
             tracing::warn!("the list of servers is shorter by much: {before} before, {now} now");
         }
-        News::Call(report) => tracing::info!("{report}"),
+        CatalogEvent::CallEnded(report) => tracing::info!("{report}"),
     };
     catalog.follow(news).await;
 }
--- a/crates/spurdrum/src/list.rs
+++ b/crates/spurdrum/src/list.rs
@@ -2,7 +2,7 @@
 
 use spurdrum_core::{Listed, Sign};
 use spurdrum_policy::{Availability, ServerEntry, ServerId};
-use spurdrum_sources::follower::{Counts, Evidence, View};
+use spurdrum_sources::follower::{Counts, Evidence, Freshness};
 use spurdrum_sources::{List, Member, Phase};
 
 /// Names in the order of the settings, whose indices the decisions use.
@@ -45,7 +45,7 @@
     match sign {
         Sign::Unreachable(server) => Evidence::Unreachable(server.0 as u64),
         Sign::Refused { idle } => Evidence::Refused { idle },
-        Sign::TakenOut => Evidence::TakenOut,
+        Sign::TakenOut => Evidence::Ejected,
         Sign::Restarted => Evidence::Restarted,
     }
 }
@@ -57,7 +57,7 @@
 }
 
 /// How far a list is trusted, its age, its version, and what was done to follow it.
-type Status = (View, Option<std::time::Duration>, Option<u64>, Counts);
+type Status = (Freshness, Option<std::time::Duration>, Option<u64>, Counts);
 
 /// The age and version of a list, for a line that tells of its view.
 pub fn trust((_, age, revision, _): Status) -> String {
--- a/crates/spurdrum/src/main.rs
+++ b/crates/spurdrum/src/main.rs
@@ -200,7 +200,7 @@
             let known = (known.revision > 0 || !known.members.is_empty()).then_some(known.revision);
             let catalog = Catalog::new(address, config.following.clone(), config.seed, known);
             let catalog = catalog.map_err(|(key, why)| format!("`sources.catalog.{key}`: {why}"))?;
-            catalog.remember(config.known.clone());
+            catalog.restore_leaving(config.known.clone());
             Some(catalog)
         }
     };
@@ -246,7 +246,7 @@
         upstream,
         move |sign| {
             if let Some(catalog) = &signs {
-                catalog.evidence(list::evidence(sign));
+                catalog.report_evidence(list::evidence(sign));
             }
         },
         affinity.clone(),
@@ -450,7 +450,7 @@
     match (read, catalog) {
         (Ok(Ok(config)), Some(catalog)) => {
             if let Source::Catalog(address) = config.source {
-                if catalog.move_to(address) {
+                if catalog.set_address(address) {
                     tracing::info!("discovery is now at {address}");
                 }
             }
--- a/crates/spurdrum/src/merge.rs
+++ b/crates/spurdrum/src/merge.rs
@@ -8,7 +8,7 @@
 use spurdrum_sources::reconciler::{Action, Event, Reconciler, Settings};
 use spurdrum_sources::registry::schema::{Compiled, Mapper};
 use spurdrum_sources::registry::shell::{News, Shell, Wire};
-use spurdrum_sources::{Alarm, List, Member};
+use spurdrum_sources::{List, Member, Timer};
 
 use crate::list::{self, Places};
 
@@ -25,7 +25,7 @@
     node: Rc<Node<Upstream>>,
     places: Rc<Places>,
     reconciler: RefCell<Reconciler>,
-    alarm: Alarm,
+    timer: Timer,
 }
 
 impl Merged {
@@ -33,7 +33,7 @@
     pub fn new(node: Rc<Node<Upstream>>, places: Rc<Places>, settings: Settings) -> Result<Rc<Self>, String> {
         let reconciler = Reconciler::new(settings, NAMES.len(), unix_ms()?);
         let reconciler = reconciler.map_err(|(key, why)| format!("`sources.merge.{key}`: {why}"))?;
-        Ok(Rc::new(Self { node, places, reconciler: RefCell::new(reconciler), alarm: Alarm::default() }))
+        Ok(Rc::new(Self { node, places, reconciler: RefCell::new(reconciler), timer: Timer::default() }))
     }
 
     /// A source tells a list, whole or of changes.
@@ -48,21 +48,25 @@
     /// Something has happened.
     pub fn tell(&self, event: Event) {
         let mut actions = Vec::new();
-        self.reconciler.borrow_mut().handle(self.alarm.now(), event, &mut actions);
+        self.reconciler.borrow_mut().handle(self.timer.now(), event, &mut actions);
         for action in actions {
             match action {
                 Action::Suspect { source, before, now } => tracing::warn!(
                     "{} had {before} servers and has {now} at once: it is doubted, and they stay",
                     NAMES[source]
                 ),
-                Action::Settled(source) => tracing::info!("{} is believed again", NAMES[source]),
+                Action::Trusted(source) => tracing::info!("{} is believed again", NAMES[source]),
                 Action::Flapping(id, hold) => {
                     tracing::warn!("server {id} comes and goes: nothing new for {} ms", hold.as_millis());
                 }
-                Action::Counted { source, counts } => tracing::info!(
+                Action::Included { source, included } => tracing::info!(
                     "the servers of {} {}",
                     NAMES[source],
-                    if counts { "count again" } else { "do not count any more: it has been blind for long" }
+                    if included {
+                        "count again"
+                    } else {
+                        "do not count any more: it has been blind for long"
+                    }
                 ),
                 Action::Apply(members) => {
                     let list = List { revision: 0, complete: false, members };
@@ -70,7 +74,7 @@
                 }
             }
         }
-        self.alarm.sooner(self.reconciler.borrow().next_wake());
+        self.timer.wake_no_later_than(self.reconciler.borrow().next_wake());
     }
 
     /// Keeps time for as long as this is awaited.
@@ -78,7 +82,7 @@
         loop {
             self.tell(Event::Tick);
             let wake = self.reconciler.borrow().next_wake();
-            self.alarm.sleep(wake).await;
+            self.timer.sleep(wake).await;
         }
     }
 
@@ -96,7 +100,7 @@
             }
             News::View { from, to, cause } => {
                 tracing::info!("the registry: {from} -> {to}, {cause}; {}", status(&shown));
-                self.tell(Event::View { source: REGISTRY, view: to });
+                self.tell(Event::Freshness { source: REGISTRY, freshness: to });
             }
             News::Note(note) => tracing::warn!("the registry: {note}"),
         };
@@ -106,7 +110,7 @@
     /// What operators are shown of it.
     pub fn status(&self) -> String {
         let reconciler = self.reconciler.borrow();
-        let (standing, kept) = reconciler.of_source(REGISTRY);
+        let (standing, kept) = reconciler.source_counts(REGISTRY);
         format!(
             "servers {}, of the registry {standing}, kept in doubt {kept}, held back {}",
             reconciler.list().count(),
--- a/crates/spurdrum/src/platform.rs
+++ b/crates/spurdrum/src/platform.rs
@@ -47,12 +47,12 @@
     check_classes(facts, &names)?;
     let allowed = &facts["allowed"];
     let mut following = file.following();
-    (following.nodes, following.me) = (settings.nodes, settings.me);
-    following.pushed = settings.discovery == Discovery::Push;
+    (following.nodes, following.node_index) = (settings.nodes, settings.me);
+    following.local_agent = settings.discovery == Discovery::Push;
     let asked = settings.ask_within_ms.clamp(100.0, 3_600_000.0);
-    following.ask_within = Duration::from_secs_f64(asked / 1000.0);
+    following.max_call_interval = Duration::from_secs_f64(asked / 1000.0);
     if let Some(grace) = grace(&facts["rules"])? {
-        following.grace = grace;
+        following.agent_deadline = grace;
     }
     Ok(Config {
         name,
--- a/crates/spurdrum/src/registry.rs
+++ b/crates/spurdrum/src/registry.rs
@@ -278,14 +278,14 @@
     fn read(&self) -> reconciler::Settings {
         let mut settings = reconciler::Settings::default();
         set(&mut settings.combine, self.combine);
-        set(&mut settings.floor, self.floor);
+        set(&mut settings.suspect_below, self.floor);
         set_time(&mut settings.suspect_for, self.suspect_for_ms);
-        set_time(&mut settings.linger, self.linger_ms);
-        set(&mut settings.flaps, self.flaps);
+        set_time(&mut settings.retain_for, self.linger_ms);
+        set(&mut settings.max_flaps, self.flaps);
         set_time(&mut settings.flap_window, self.flap_window_ms);
-        set_time(&mut settings.hold_least, self.hold_least_ms);
-        set_time(&mut settings.hold_most, self.hold_most_ms);
-        set_time(&mut settings.keep, self.keep_ms);
+        set_time(&mut settings.min_hold, self.hold_least_ms);
+        set_time(&mut settings.max_hold, self.hold_most_ms);
+        set_time(&mut settings.keep_stale_for, self.keep_ms);
         set(&mut settings.shared_addresses, self.shared_addresses);
         settings
     }
