--- a/crates/spurdrum-bench/src/registry.rs
+++ b/crates/spurdrum-bench/src/registry.rs
@@ -12,7 +12,7 @@
 use spurdrum_sources::registry::etcd::{Cluster, Etcd};
 use spurdrum_sources::registry::follower::Settings;
 use spurdrum_sources::registry::schema::{Mapper, Schema};
-use spurdrum_sources::registry::shell::{News, Shell};
+use spurdrum_sources::registry::shell::{RegistryEvent, Shell};
 use spurdrum_sources::Phase;
 use spurdrum_standin::registry::etcd::Etcd as StandIn;
 use tokio::task::LocalSet;
@@ -59,7 +59,7 @@
     let runtime = runtime.map_err(|error| error.to_string())?;
     let wrong = |(key, why): (&str, &str)| format!("{key}: {why}");
     LocalSet::new().block_on(&runtime, async {
-        let place = Cluster { endpoints: cluster.uris(), prefix: b"/spurdrum/servers/".to_vec(), user: None, tls: None };
+        let place = Cluster { endpoints: cluster.uris(), prefix: b"/spurdrum/servers/".to_vec(), credentials: None, tls: None };
         let settings = Settings { endpoints: 3, ..Settings::default() };
         let shell = Shell::new(Etcd::new(place).map_err(wrong)?, settings, 1).map_err(wrong)?;
         let mapper = RefCell::new(Mapper::new(Schema::default().compile().map_err(wrong)?));
@@ -75,12 +75,12 @@
             (Rc::clone(&reconciler), Rc::clone(&behind), Rc::clone(&revision), Rc::clone(&newcomers));
         let committed = Arc::clone(&commits);
         tokio::task::spawn_local(Rc::clone(&shell).follow(move |news| {
-            let News::Change(change) = news else { return };
+            let RegistryEvent::Change(change) = news else { return };
             let mapped = mapper.borrow_mut().map(&change);
             let update = reconciler::Event::Update {
                 source: 0,
                 complete: false,
-                members: mapped.put,
+                members: mapped.updated,
                 gone: mapped.gone,
             };
             let mut actions = Vec::new();
--- a/crates/spurdrum-lab/src/main.rs
+++ b/crates/spurdrum-lab/src/main.rs
@@ -357,7 +357,7 @@
     println!("From a commit to a node's knowing, in ms: over all, and where nothing befell the node or the registry.\n");
     println!("| fault | kind | p50 | p99 | worst | connected p99 | whole reads a node | wrong |");
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
-    let kinds = [("streams", Interface::Streams), ("blocking", Interface::Blocking)];
+    let kinds = [("streams", Interface::WatchStreams), ("blocking", Interface::BlockingQueries)];
     let cases: Vec<_> = cases.iter().flat_map(|case| kinds.iter().map(move |kind| (case, kind))).collect();
     let rows: Vec<String> = cases
         .par_iter()
@@ -365,7 +365,7 @@
             let settings = registry::settings(*interface, false);
             let plan = registry::Plan { settings, faults: faults.clone(), ..base.clone() };
             let played = registry::play(&plan);
-            let reads: u64 = played.counts.iter().map(|counts| counts.reads).sum();
+            let reads: u64 = played.counts.iter().map(|counts| counts.full_reads).sum();
             format!(
                 "| {name} | {kind} | {:.2} | {:.1} | {:.0} | {:.2} | {:.1} | {} |",
                 played.within_ms(0.5),
@@ -417,7 +417,7 @@
         for every in [ms(10), s(1), s(100)] {
             for kind in &kinds {
                 // A whole answer of 10,000 servers for each change takes the lab too long to be of interest.
-                if kind.1 == Interface::Streams || servers < 10_000 || every > ms(10) {
+                if kind.1 == Interface::WatchStreams || servers < 10_000 || every > ms(10) {
                     cases.push((servers, every, kind));
                 }
             }
--- a/crates/spurdrum-lab/src/registry.rs
+++ b/crates/spurdrum-lab/src/registry.rs
@@ -12,7 +12,7 @@
 use spurdrum_sources::follower::View;
 use spurdrum_sources::reconciler::{self, Reconciler};
 use spurdrum_sources::registry::follower::{
-    Action, Ask, CallId, Counts, Edit, Event, Failure, Follower, Header, Interface, Settings, Value,
+    Action, CallId, Counts, Edit, Event, Failure, Follower, Header, Interface, Query, Settings, Value,
 };
 use spurdrum_sources::registry::schema::{Mapper, Schema};
 use spurdrum_sources::Phase;
@@ -129,7 +129,7 @@
         node: usize,
         call: CallId,
         endpoint: usize,
-        ask: Ask,
+        query: Query,
     },
     Probe {
         node: usize,
@@ -158,7 +158,7 @@
 /// A call as its endpoint has it.
 struct Stream {
     endpoint: usize,
-    ask: Ask,
+    query: Query,
     /// The next revision that it is told.
     next: u64,
     /// Messages keep their order.
@@ -273,10 +273,14 @@
         self.registry.commit(&first);
         self.views = vec![self.registry.revision(); plan.endpoints];
         self.note_state();
-        for me in 0..plan.nodes {
-            let settings =
-                Settings { nodes: plan.nodes, me, endpoints: plan.endpoints, ..plan.settings.clone() };
-            let follower = Follower::new(settings, plan.seed ^ me as u64).expect("sound settings");
+        for node_index in 0..plan.nodes {
+            let settings = Settings {
+                nodes: plan.nodes,
+                node_index,
+                endpoints: plan.endpoints,
+                ..plan.settings.clone()
+            };
+            let follower = Follower::new(settings, plan.seed ^ node_index as u64).expect("sound settings");
             let mapper = Mapper::new(Schema::default().compile().expect("sound"));
             let reconciler = Reconciler::new(reconciler::Settings::default(), 1, 1e12).expect("sound");
             let node = Node {
@@ -289,9 +293,9 @@
                 outage_until: Duration::ZERO,
             };
             self.nodes.push(node);
-            self.after(Duration::ZERO, What::Tick(me));
+            self.after(Duration::ZERO, What::Tick(node_index));
             for (rate, deaf) in [(plan.faults.breaks, false), (plan.faults.deaf, true)] {
-                self.after_random(rate, What::Break { node: me, deaf });
+                self.after_random(rate, What::Break { node: node_index, deaf });
             }
         }
         self.after(plan.every, What::Commit);
@@ -368,15 +372,15 @@
             let epoch = self.epoch;
             self.after(lag, What::Advance { endpoint, revision, epoch });
         }
-        if self.plan.settings.interface == Interface::Blocking && !self.plan.settings.stale {
+        if self.plan.settings.interface == Interface::BlockingQueries && !self.plan.settings.allow_stale {
             self.after(Duration::ZERO, What::Led);
         }
     }
 
     /// The revision as of which a blocking query is answered: the leader's, or what the endpoint has.
     fn answers_as_of(&self, stream: &Stream) -> u64 {
-        match stream.ask {
-            Ask::Block { stale: false, .. } => self.registry.revision(),
+        match stream.query {
+            Query::Blocking { allow_stale: false, .. } => self.registry.revision(),
             _ => self.views[stream.endpoint],
         }
     }
@@ -438,7 +442,7 @@
                     self.tell(node, Event::Tick);
                 }
             }
-            What::Arrive { node, call, endpoint, ask } => self.arrive(node, call, endpoint, ask),
+            What::Arrive { node, call, endpoint, query } => self.arrive(node, call, endpoint, query),
             What::Probe { node, call } => {
                 let Some(stream) = self.streams.get(&(node, call)) else { return };
                 let header = self.header(self.views[stream.endpoint]);
@@ -477,7 +481,11 @@
                     } else {
                         self.after(
                             Duration::ZERO,
-                            What::Hear { node, call, event: Event::Failed { call, why: Failure::Broke } },
+                            What::Hear {
+                                node,
+                                call,
+                                event: Event::Failed { call, failure: Failure::ConnectionLost },
+                            },
                         );
                     }
                 }
@@ -527,7 +535,7 @@
         for (node, call) in calls {
             self.after(
                 Duration::ZERO,
-                What::Hear { node, call, event: Event::Failed { call, why: Failure::Broke } },
+                What::Hear { node, call, event: Event::Failed { call, failure: Failure::ConnectionLost } },
             );
         }
     }
@@ -579,21 +587,21 @@
         self.after(wait, What::Hear { node, call, event });
     }
 
-    fn arrive(&mut self, node: usize, call: CallId, endpoint: usize, ask: Ask) {
+    fn arrive(&mut self, node: usize, call: CallId, endpoint: usize, query: Query) {
         if self.away || self.now < self.nodes[node].outage_until {
-            let stream = Stream { endpoint, ask, next: 0, heard_at: self.now, deaf: false };
+            let stream = Stream { endpoint, query, next: 0, heard_at: self.now, deaf: false };
             self.streams.insert((node, call), stream);
-            return self.say(node, call, Event::Failed { call, why: Failure::Unreachable }, 0);
+            return self.say(node, call, Event::Failed { call, failure: Failure::Unreachable }, 0);
         }
-        let stream = Stream { endpoint, ask: ask.clone(), next: 0, heard_at: self.now, deaf: false };
+        let stream = Stream { endpoint, query: query.clone(), next: 0, heard_at: self.now, deaf: false };
         self.streams.insert((node, call), stream);
         let view = self.views[endpoint];
-        match ask {
-            Ask::Range { after, revision, limit, stale } => {
-                if !stale && self.is_cut(endpoint) {
+        match query {
+            Query::Range { after, revision, limit, allow_stale } => {
+                if !allow_stale && self.is_cut(endpoint) {
                     return;
                 }
-                let now = if stale { view } else { self.registry.revision() };
+                let now = if allow_stale { view } else { self.registry.revision() };
                 let from = after.map_or(b"/spurdrum/servers/".to_vec(), |mut after| {
                     after.push(0);
                     after
@@ -606,7 +614,7 @@
                 );
                 match found {
                     Err(_) => {
-                        self.say(node, call, Event::Failed { call, why: Failure::Compacted }, MESSAGE);
+                        self.say(node, call, Event::Failed { call, failure: Failure::Compacted }, MESSAGE);
                     }
                     Ok((found, count)) => {
                         let more = found.len() < count;
@@ -618,13 +626,13 @@
                     }
                 }
             }
-            Ask::Watch { from } => {
+            Query::Watch { from } => {
                 let header = self.header(view);
                 self.streams.get_mut(&(node, call)).expect("there").next = from;
                 self.say(node, call, Event::Opened { call, header }, MESSAGE);
                 self.push(node, call);
             }
-            Ask::Confirm => {
+            Query::RevisionCheck => {
                 if !self.is_cut(endpoint) {
                     let header = self.header(self.registry.revision());
                     self.say(
@@ -635,8 +643,8 @@
                     );
                 }
             }
-            Ask::Block { index, wait, stale } => {
-                let here = match (stale, self.is_cut(endpoint)) {
+            Query::Blocking { index, wait, allow_stale } => {
+                let here = match (allow_stale, self.is_cut(endpoint)) {
                     (true, _) => view,
                     (false, true) => return,
                     (false, false) => self.registry.revision(),
@@ -654,13 +662,13 @@
     fn push(&mut self, node: usize, call: CallId) {
         let Some(stream) = self.streams.get(&(node, call)) else { return };
         let view = self.answers_as_of(stream);
-        let is_deaf_to_leader =
-            matches!(stream.ask, Ask::Block { stale: false, .. }) && self.is_cut(stream.endpoint);
+        let is_deaf_to_leader = matches!(stream.query, Query::Blocking { allow_stale: false, .. })
+            && self.is_cut(stream.endpoint);
         let Some(stream) = self.streams.get_mut(&(node, call)) else { return };
-        match stream.ask {
-            Ask::Block { .. } if is_deaf_to_leader => return,
-            Ask::Block { index, .. } if view > index => return self.answer(node, call),
-            Ask::Watch { .. } if stream.next > 0 && stream.next <= view => {}
+        match stream.query {
+            Query::Blocking { .. } if is_deaf_to_leader => return,
+            Query::Blocking { index, .. } if view > index => return self.answer(node, call),
+            Query::Watch { .. } if stream.next > 0 && stream.next <= view => {}
             _ => return,
         }
         let changes = self.registry.since(stream.next, view);
@@ -689,11 +697,11 @@
         let endpoint = stream.endpoint;
         let Some(stream) = self.streams.get(&(node, call)) else { return };
         let revision = self.answers_as_of(stream);
-        let contact = if self.is_cut(endpoint) { None } else { Some(Duration::ZERO) };
+        let leader_contact = if self.is_cut(endpoint) { None } else { Some(Duration::ZERO) };
         let entries: Vec<_> = self.registry.state(revision).into_iter().collect();
         let bytes = bytes_of(&entries);
         let header = Header { cluster: 0, revision };
-        self.say(node, call, Event::Whole { call, header, entries, contact }, bytes);
+        self.say(node, call, Event::Snapshot { call, header, entries, leader_contact }, bytes);
     }
 
     // ---- Nodes
@@ -704,10 +712,10 @@
         let mut lists = Vec::new();
         for action in actions {
             match action {
-                Action::Call { call, endpoint, ask } => {
+                Action::Call { call, endpoint, query } => {
                     self.outcome.messages += 1;
                     let way = self.way();
-                    self.after(way, What::Arrive { node: n, call, endpoint, ask });
+                    self.after(way, What::Arrive { node: n, call, endpoint, query });
                 }
                 Action::Probe(call) => {
                     self.outcome.messages += 1;
@@ -725,13 +733,13 @@
                     let update = reconciler::Event::Update {
                         source: 0,
                         complete: false,
-                        members: mapped.put,
+                        members: mapped.updated,
                         gone: mapped.gone,
                     };
                     node.reconciler.handle(now, update, &mut lists);
                     self.known(n, change.revision);
                 }
-                Action::State { .. } | Action::Note(_) => {}
+                Action::FreshnessChanged { .. } | Action::Note(_) => {}
             }
         }
         self.nodes[n].reconciler.handle(self.now, reconciler::Event::Tick, &mut lists);
@@ -783,7 +791,7 @@
             Value::TooLong(_) => Vec::new(),
         };
         let held: Vec<_> =
-            self.nodes[n].follower.held().iter().map(|(key, held)| (key.clone(), value(held))).collect();
+            self.nodes[n].follower.copy().iter().map(|(key, held)| (key.clone(), value(held))).collect();
         hash_of(held.iter().map(|(key, value)| (key.as_slice(), value.as_slice())))
     }
 
@@ -806,7 +814,7 @@
         let expected: Vec<String> =
             state.keys().map(|key| String::from_utf8_lossy(&key[18..]).into_owned()).collect();
         for n in 0..self.nodes.len() {
-            let held = self.nodes[n].follower.held();
+            let held = self.nodes[n].follower.copy();
             let same = held.len() == state.len()
                 && held.iter().zip(&state).all(|((a, held), (b, value))| {
                     a == b && matches!(held, Value::Whole(held) if held == value)
@@ -826,7 +834,7 @@
                 ));
             }
             let follower = &self.nodes[n].follower;
-            self.outcome.views.push(follower.view());
+            self.outcome.views.push(follower.freshness());
             self.outcome.counts.push(follower.counts().clone());
         }
     }
@@ -837,8 +845,8 @@
 }
 
 /// The settings of a registry of this kind.
-pub fn settings(interface: Interface, stale: bool) -> Settings {
-    Settings { interface, stale, ..Settings::default() }
+pub fn settings(interface: Interface, allow_stale: bool) -> Settings {
+    Settings { interface, allow_stale, ..Settings::default() }
 }
 
 /// Bytes of a whole read of so many servers.
--- a/crates/spurdrum-lab/tests/registry.rs
+++ b/crates/spurdrum-lab/tests/registry.rs
@@ -19,7 +19,7 @@
         seed: 11,
         length: S(length),
         every: MS(400),
-        settings: settings(Interface::Streams, false),
+        settings: settings(Interface::WatchStreams, false),
         faults,
         check: true,
     }
@@ -48,7 +48,10 @@
     };
     let outcome = play(&plan(600, faults));
     is_sound(&outcome);
-    assert!(outcome.counts.iter().all(|counts| counts.compacted > 10 && counts.silent + counts.failed > 50));
+    assert!(outcome
+        .counts
+        .iter()
+        .all(|counts| counts.compactions > 10 && counts.timed_out + counts.failed > 50));
     // From the commit, with nothing wrong; and whatever happens, within the time that the page states.
     assert!(
         outcome.connected.value_at_quantile(0.99) < 50_000,
@@ -63,9 +66,9 @@
 #[test]
 fn a_member_that_is_cut_off_is_left_for_one_that_is_not() {
     let cut = Some((S(10), S(40)));
-    for stale in [false, true] {
+    for allow_stale in [false, true] {
         let plan = Plan {
-            settings: settings(Interface::Streams, stale),
+            settings: settings(Interface::WatchStreams, allow_stale),
             ..plan(60, Faults { cut, ..Faults::default() })
         };
         let outcome = play(&plan);
@@ -80,7 +83,7 @@
 #[test]
 fn away_for_ten_minutes_and_back_with_everything_changed() {
     let faults = Faults { away: Some((S(10), S(610))), changed_while_away: true, ..Faults::default() };
-    for interface in [Interface::Streams, Interface::Blocking] {
+    for interface in [Interface::WatchStreams, Interface::BlockingQueries] {
         let plan = Plan { settings: settings(interface, false), ..plan(700, faults.clone()) };
         let outcome = play(&plan);
         is_sound(&outcome);
@@ -89,25 +92,25 @@
 
 #[test]
 fn a_registry_that_is_put_back_or_replaced_is_believed() {
-    for interface in [Interface::Streams, Interface::Blocking] {
-        for stale in [false, true] {
+    for interface in [Interface::WatchStreams, Interface::BlockingQueries] {
+        for allow_stale in [false, true] {
             let put_back = Faults { put_back: Some((S(30), S(10))), ..Faults::default() };
-            let plan = Plan { settings: settings(interface, stale), ..plan(120, put_back) };
+            let plan = Plan { settings: settings(interface, allow_stale), ..plan(120, put_back) };
             let outcome = play(&plan);
-            assert_eq!(outcome.wrong, Vec::<String>::new(), "{interface:?} {stale}");
+            assert_eq!(outcome.wrong, Vec::<String>::new(), "{interface:?} {allow_stale}");
         }
     }
     let replaced = Faults { replaced: Some(S(30)), ..Faults::default() };
     let outcome = play(&plan(120, replaced));
     is_sound(&outcome);
-    assert!(outcome.counts.iter().all(|counts| counts.reads >= 2));
+    assert!(outcome.counts.iter().all(|counts| counts.full_reads >= 2));
 }
 
 #[test]
 fn an_open_watch_that_is_silent_costs_no_more_than_a_probe_and_its_patience() {
     let outcome = play(&plan(120, Faults { deaf: 0.3, ..Faults::default() }));
     is_sound(&outcome);
-    let bound = Settings::default().noticed_within() + MS(100);
+    let bound = Settings::default().silence_detected_within() + MS(100);
     assert!(outcome.behind.max() > 50_000, "{}", outcome.behind.max());
     assert!(outcome.behind.max() < bound.as_micros() as u64, "{}", outcome.behind.max());
 }
@@ -155,16 +158,16 @@
         pause in 1..2000_u64,
         lag in 0..400_u64,
         outage in 0..3000_u64,
-        page in 1..40_u32,
-        stale: bool,
+        page_size in 1..40_u32,
+        allow_stale: bool,
         blocking: bool,
     ) {
-        let interface = if blocking { Interface::Blocking } else { Interface::Streams };
+        let interface = if blocking { Interface::BlockingQueries } else { Interface::WatchStreams };
         let faults = Faults {
             breaks, deaf, compactions, pauses: (pauses, MS(pause)), lag: MS(lag),
             outage: MS(outage), ..Faults::default()
         };
-        let settings = Settings { page, ..settings(interface, stale) };
+        let settings = Settings { page_size, ..settings(interface, allow_stale) };
         let plan = Plan { nodes: 2, endpoints, servers: 12, seed, every: MS(150), settings, ..plan(45, faults) };
         let outcome = play(&plan);
         prop_assert_eq!(outcome.wrong, Vec::<String>::new());
--- a/crates/spurdrum-sources/src/registry/consul.rs
+++ b/crates/spurdrum-sources/src/registry/consul.rs
@@ -22,8 +22,8 @@
 use tokio_rustls::rustls::pki_types::ServerName;
 use tokio_rustls::TlsConnector;
 
-use super::follower::{Ask, CallId, Event, Failure, Header};
-use super::shell::Wire;
+use super::follower::{CallId, Event, Failure, Header, Query};
+use super::shell::RegistryClient;
 use super::tls::Tls;
 
 /// An answer may be this long: 10,000 instances and some more.
@@ -151,9 +151,9 @@
         }
         let stream = timeout(DIAL_MOST, TcpStream::connect(self.service.endpoints[endpoint])).await;
         let stream = stream.ok().and_then(Result::ok).ok_or(Failure::Unreachable)?;
-        stream.set_nodelay(true).map_err(|_| Failure::Broke)?;
+        stream.set_nodelay(true).map_err(|_| Failure::ConnectionLost)?;
         let Some(tls) = &self.tls else { return handshake(stream).await };
-        let named = self.service.tls.as_ref().and_then(|tls| tls.name.clone());
+        let named = self.service.tls.as_ref().and_then(|tls| tls.server_name.clone());
         let name = match named {
             Some(name) => ServerName::try_from(name).map_err(|_| Failure::Unreachable)?,
             None => ServerName::from(self.service.endpoints[endpoint].ip()),
@@ -167,33 +167,34 @@
 where
     S: AsyncRead + AsyncWrite + Unpin + 'static,
 {
-    let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.map_err(|_| Failure::Broke)?;
+    let (sender, connection) =
+        http1::handshake(TokioIo::new(stream)).await.map_err(|_| Failure::ConnectionLost)?;
     tokio::task::spawn_local(connection);
     Ok(sender)
 }
 
-impl Wire for Consul {
-    async fn ask(
+impl RegistryClient for Consul {
+    async fn query(
         &self,
         call: CallId,
         endpoint: usize,
-        ask: Ask,
+        query: Query,
         _probes: mpsc::Receiver<()>,
         _tell: impl Fn(Event),
     ) -> Result<Event, Failure> {
-        let Ask::Block { index, wait, stale } = ask else { return Err(Failure::Broke) };
+        let Query::Blocking { index, wait, allow_stale } = query else { return Err(Failure::ConnectionLost) };
         let mut path = format!("/v1/health/service/{}?", self.service.name);
         if index > 0 {
             path += &format!("index={index}&wait={}ms&", wait.as_millis());
         }
-        path += if stale { "stale" } else { "consistent" };
+        path += if allow_stale { "stale" } else { "consistent" };
         let mut request = Request::get(path).header("Host", self.service.endpoints[endpoint].to_string());
         if let Some(token) = &self.service.token {
             request = request.header("X-Consul-Token", token);
         }
         let request = request.body(Empty::new()).map_err(|_| Failure::Denied)?;
         let mut sender = self.sender(endpoint).await?;
-        let response = sender.send_request(request).await.map_err(|_| Failure::Broke)?;
+        let response = sender.send_request(request).await.map_err(|_| Failure::ConnectionLost)?;
         match response.status() {
             StatusCode::OK => {}
             StatusCode::FORBIDDEN | StatusCode::UNAUTHORIZED => return Err(Failure::Denied),
@@ -201,23 +202,24 @@
         }
         let header = |name: &str| response.headers().get(name).and_then(|value| value.to_str().ok());
         let index: u64 =
-            header("X-Consul-Index").and_then(|index| index.parse().ok()).ok_or(Failure::Broke)?;
+            header("X-Consul-Index").and_then(|index| index.parse().ok()).ok_or(Failure::ConnectionLost)?;
         let led = header("X-Consul-KnownLeader").is_none_or(|known| known == "true");
-        let contact = header("X-Consul-LastContact").and_then(|ms| ms.parse().ok()).unwrap_or(0);
-        let contact = led.then(|| Duration::from_millis(contact));
+        let leader_contact = header("X-Consul-LastContact").and_then(|ms| ms.parse().ok()).unwrap_or(0);
+        let leader_contact = led.then(|| Duration::from_millis(leader_contact));
         let body = Limited::new(response.into_body(), ANSWER_MOST).collect().await;
         let body = body.map_err(|error| match error.is::<http_body_util::LengthLimitError>() {
             true => Failure::TooLong,
-            false => Failure::Broke,
+            false => Failure::ConnectionLost,
         })?;
-        let instances: Vec<Value> = serde_json::from_slice(&body.to_bytes()).map_err(|_| Failure::Broke)?;
+        let instances: Vec<Value> =
+            serde_json::from_slice(&body.to_bytes()).map_err(|_| Failure::ConnectionLost)?;
         self.kept.borrow_mut()[endpoint] = Some(sender);
         let entries = instances.into_iter().enumerate().map(entry).collect();
         let header = Header { cluster: 0, revision: index };
-        Ok(Event::Whole { call, header, entries, contact })
+        Ok(Event::Snapshot { call, header, entries, leader_contact })
     }
 
-    fn forget(&self, endpoint: usize, _why: Option<Failure>) {
+    fn forget(&self, endpoint: usize, _failure: Option<Failure>) {
         self.kept.borrow_mut()[endpoint] = None;
     }
 }
--- a/crates/spurdrum-sources/src/registry/etcd.rs
+++ b/crates/spurdrum-sources/src/registry/etcd.rs
@@ -20,9 +20,9 @@
 use tonic::transport::{Certificate, Channel, ClientTlsConfig, Endpoint, Identity};
 use tonic::{Code, Request, Status};
 
-use super::follower::{Ask, CallId, Edit, Event, Failure, Header};
-use super::registrar::{self, Got, Registrar, State};
-use super::shell::Wire;
+use super::follower::{CallId, Edit, Event, Failure, Header, Query};
+use super::registrar::{self, CallResult, Registrar, State};
+use super::shell::RegistryClient;
 use super::tls::Tls;
 
 /// One message may be this long. Servers take requests of 1.5 MiB unless they are told otherwise.
@@ -41,7 +41,7 @@
     /// All keys begin with this.
     pub prefix: Vec<u8>,
     /// A user and their password; none where it asks for none.
-    pub user: Option<(String, String)>,
+    pub credentials: Option<(String, String)>,
     /// What is spoken to `https://` endpoints.
     pub tls: Option<Tls>,
 }
@@ -52,7 +52,7 @@
     /// # Errors
     ///
     /// The key that makes no sense, and why.
-    pub fn check(&self) -> Result<(), (&'static str, &'static str)> {
+    pub fn validate(&self) -> Result<(), (&'static str, &'static str)> {
         self.places(false).map(drop)
     }
 
@@ -75,7 +75,7 @@
             if let Some((certificate, key)) = &tls.identity {
                 config = config.identity(Identity::from_pem(certificate, key));
             }
-            if let Some(name) = &tls.name {
+            if let Some(name) = &tls.server_name {
                 config = config.domain_name(name);
             }
             place
@@ -98,22 +98,22 @@
     token: RefCell<Option<Token>>,
 }
 
-impl Wire for Etcd {
-    async fn ask(
+impl RegistryClient for Etcd {
+    async fn query(
         &self,
         call: CallId,
         endpoint: usize,
-        ask: Ask,
+        query: Query,
         probes: mpsc::Receiver<()>,
         tell: impl Fn(Event),
     ) -> Result<Event, Failure> {
-        self.request(call, endpoint, ask, probes, tell).await.map_err(|status| failure(&status))
+        self.request(call, endpoint, query, probes, tell).await.map_err(|status| failure(&status))
     }
 
-    fn forget(&self, endpoint: usize, why: Option<Failure>) {
-        match why {
+    fn forget(&self, endpoint: usize, failure: Option<Failure>) {
+        match failure {
             Some(Failure::Denied) => *self.token.borrow_mut() = None,
-            None | Some(Failure::Unreachable | Failure::Broke) => {
+            None | Some(Failure::Unreachable | Failure::ConnectionLost) => {
                 self.channels.borrow_mut()[endpoint] = None;
             }
             Some(_) => {}
@@ -152,7 +152,7 @@
     /// A request with the token that the cluster gave for the user, where there is one.
     async fn signed<T>(&self, channel: &Channel, message: T) -> Result<Request<T>, Status> {
         let mut request = Request::new(message);
-        let Some((name, password)) = &self.cluster.user else { return Ok(request) };
+        let Some((name, password)) = &self.cluster.credentials else { return Ok(request) };
         let kept = self.token.borrow().clone();
         let token = match kept {
             Some(token) => token,
@@ -173,14 +173,14 @@
         &self,
         call: CallId,
         endpoint: usize,
-        ask: Ask,
+        query: Query,
         probes: mpsc::Receiver<()>,
         tell: impl Fn(Event),
     ) -> Result<Event, Status> {
         let channel = self.channel(endpoint).await?;
-        let range = match ask {
-            Ask::Watch { from } => return self.watch(call, channel, from, probes, tell).await,
-            Ask::Range { after, revision, limit, stale } => RangeRequest {
+        let range = match query {
+            Query::Watch { from } => return self.watch(call, channel, from, probes, tell).await,
+            Query::Range { after, revision, limit, allow_stale } => RangeRequest {
                 // The first key behind another is that with a NUL.
                 key: after.map_or(self.cluster.prefix.clone(), |mut after| {
                     after.push(0);
@@ -189,10 +189,10 @@
                 range_end: self.end.clone(),
                 limit: limit.into(),
                 revision: revision.map_or(0, signed),
-                serializable: stale,
+                serializable: allow_stale,
                 ..RangeRequest::default()
             },
-            Ask::Confirm | Ask::Block { .. } => RangeRequest {
+            Query::RevisionCheck | Query::Blocking { .. } => RangeRequest {
                 key: self.cluster.prefix.clone(),
                 range_end: self.end.clone(),
                 limit: 1,
@@ -289,7 +289,7 @@
         Code::Unauthenticated | Code::PermissionDenied | Code::InvalidArgument => Failure::Denied,
         Code::Unavailable if status.message().contains("etcdserver") => Failure::Unavailable,
         Code::Unavailable => Failure::Unreachable,
-        _ => Failure::Broke,
+        _ => Failure::ConnectionLost,
     }
 }
 
@@ -300,12 +300,12 @@
     /// The key.
     pub key: Vec<u8>,
     /// Its value while the node serves...
-    pub active: Vec<u8>,
+    pub active_value: Vec<u8>,
     /// ...and once it is to end.
-    pub leaving: Vec<u8>,
+    pub leaving_value: Vec<u8>,
 }
 
-type Asked<'r> = Pin<Box<dyn Future<Output = (registrar::CallId, Got)> + 'r>>;
+type Asked<'r> = Pin<Box<dyn Future<Output = (registrar::CallId, CallResult)> + 'r>>;
 
 impl Registration {
     /// Keeps the key, from now until it has been taken out once `leave` has come. Each change of its state is told.
@@ -313,7 +313,7 @@
     /// # Errors
     ///
     /// The first setting that makes no sense, and why.
-    pub async fn keep(
+    pub async fn run(
         &self,
         settings: registrar::Settings,
         seed: u64,
@@ -344,9 +344,9 @@
                 }
             };
             event = tokio::select! {
-                (call, got) = ended => {
+                (call, result) = ended => {
                     out = None;
-                    registrar::Event::Ended { call, got }
+                    registrar::Event::Ended { call, result }
                 }
                 () = &mut leave, if !leaves => {
                     leaves = true;
@@ -357,44 +357,44 @@
         }
     }
 
-    async fn ask(&self, endpoint: usize, ask: registrar::Ask) -> Got {
+    async fn ask(&self, endpoint: usize, ask: registrar::Operation) -> CallResult {
         match self.request(endpoint, ask).await {
             Ok(got) => got,
-            Err(status) if status.code() == Code::NotFound => Got::NoLease,
+            Err(status) if status.code() == Code::NotFound => CallResult::NoLease,
             Err(status) => {
                 self.etcd.forget(endpoint, Some(failure(&status)));
-                Got::Failed
+                CallResult::Failed
             }
         }
     }
 
-    async fn request(&self, endpoint: usize, ask: registrar::Ask) -> Result<Got, Status> {
+    async fn request(&self, endpoint: usize, ask: registrar::Operation) -> Result<CallResult, Status> {
         let channel = self.etcd.channel(endpoint).await?;
         let seconds = |ttl: i64| Duration::from_secs(u64::try_from(ttl).unwrap_or(0));
         let mut leases = LeaseClient::new(channel.clone());
         match ask {
-            registrar::Ask::Grant { ttl } => {
+            registrar::Operation::Grant { ttl } => {
                 let ask = LeaseGrantRequest { ttl: ttl.as_secs() as i64, id: 0 };
                 let request = self.etcd.signed(&channel, ask).await?;
                 let lease = leases.lease_grant(request).await?.into_inner();
-                Ok(Got::Granted { lease: lease.id, ttl: seconds(lease.ttl) })
+                Ok(CallResult::Granted { lease: lease.id, ttl: seconds(lease.ttl) })
             }
-            registrar::Ask::Put { lease, leaving } => {
-                let value = if leaving { self.leaving.clone() } else { self.active.clone() };
+            registrar::Operation::Put { lease, leaving } => {
+                let value = if leaving { self.leaving_value.clone() } else { self.active_value.clone() };
                 let ask = PutRequest { key: self.key.clone(), value, lease };
                 let request = self.etcd.signed(&channel, ask).await?;
-                KVClient::new(channel).put(request).await.map(|_| Got::Done)
+                KVClient::new(channel).put(request).await.map(|_| CallResult::Done)
             }
-            registrar::Ask::Renew { lease } => {
+            registrar::Operation::Renew { lease } => {
                 let asks = tokio_stream::once(LeaseKeepAliveRequest { id: lease });
                 let request = self.etcd.signed(&channel, asks).await?;
                 let answer = leases.lease_keep_alive(request).await?.into_inner().message().await?;
                 let answer = answer.ok_or_else(|| Status::aborted("the stream has ended"))?;
-                Ok(Got::Renewed { ttl: seconds(answer.ttl) })
+                Ok(CallResult::Renewed { ttl: seconds(answer.ttl) })
             }
-            registrar::Ask::Revoke { lease } => {
+            registrar::Operation::Revoke { lease } => {
                 let request = self.etcd.signed(&channel, LeaseRevokeRequest { id: lease }).await?;
-                leases.lease_revoke(request).await.map(|_| Got::Done)
+                leases.lease_revoke(request).await.map(|_| CallResult::Done)
             }
         }
     }
@@ -415,7 +415,7 @@
             (Status::unauthenticated("etcdserver: invalid auth token"), Failure::Denied),
             (Status::unavailable("etcdserver: no leader"), Failure::Unavailable),
             (Status::unavailable("connection refused"), Failure::Unreachable),
-            (Status::unknown(""), Failure::Broke),
+            (Status::unknown(""), Failure::ConnectionLost),
         ];
         for (status, expected) in cases {
             assert_eq!(failure(&status), expected, "{status}");
--- a/crates/spurdrum-sources/src/registry/follower.rs
+++ b/crates/spurdrum-sources/src/registry/follower.rs
@@ -2,7 +2,7 @@
 //!
 //! ```
 //! use std::time::Duration;
-//! use spurdrum_sources::registry::follower::{Action, Ask, Event, Follower, Header, Settings};
+//! use spurdrum_sources::registry::follower::{Action, Query, Event, Follower, Header, Settings};
 //!
 //! let mut follower = Follower::new(Settings::default(), 7).expect("sound settings");
 //! let mut actions = Vec::new();
@@ -10,11 +10,11 @@
 //! let due = follower.next_wake().expect("a first call is due");
 //! follower.handle(due, Event::Tick, &mut actions);
 //! // Nothing is held yet: the whole state is read first, then changes from the next revision on.
-//! let Action::Call { call, ask: Ask::Range { .. }, .. } = actions[0] else { panic!() };
+//! let Action::Call { call, ask: Query::Range { .. }, .. } = actions[0] else { panic!() };
 //! let header = Header { cluster: 1, revision: 41 };
 //! actions.clear();
 //! follower.handle(due, Event::Page { call, header, entries: Vec::new(), more: false }, &mut actions);
-//! assert!(matches!(actions[1], Action::Call { ask: Ask::Watch { from: 42 }, .. }));
+//! assert!(matches!(actions[1], Action::Call { ask: Query::Watch { from: 42 }, .. }));
 //! ```
 //!
 //! Two kinds of registry are followed alike. One of *streams* (etcd v3) has a revision for each change, a whole read as of
@@ -36,7 +36,7 @@
 use crate::follower::View;
 
 /// Calls out at once, at most, without those that ask for the true revision: one that is silent, and one beside it.
-pub const CALLS_MOST: usize = 2;
+pub const MAX_OPEN_CALLS: usize = 2;
 /// A tick that comes later than this after its time means that this machine stood still.
 const JUMP: Duration = Duration::from_secs(3);
 /// After each call that was silent the next may be silent for twice as long, up to this many times what is set: a registry that is slow and
@@ -61,9 +61,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Interface {
     /// Whole reads as of a revision, and watches from one on.
-    Streams,
+    WatchStreams,
     /// Whole answers, once an index has been passed.
-    Blocking,
+    BlockingQueries,
 }
 
 /// How a registry is followed.
@@ -76,68 +76,68 @@
     /// Nodes that follow it, and this one's number among them.
     pub nodes: usize,
     /// See `nodes`.
-    pub me: usize,
+    pub node_index: usize,
     /// Whether whole reads may come from one member alone, which may be behind.
-    pub stale: bool,
+    pub allow_stale: bool,
     /// Keys that are read at once.
-    pub page: u32,
+    pub page_size: u32,
     /// Keys that are held at the most.
-    pub keys: usize,
+    pub max_keys: usize,
     /// A value of more bytes is held back.
-    pub value: usize,
+    pub max_value_bytes: usize,
     /// A change that comes in pieces is dropped, and all read anew, beyond so many bytes.
-    pub change: usize,
+    pub max_change_bytes: usize,
     /// An open watch is asked for its progress this long after it last spoke.
-    pub probe: Duration,
+    pub probe_interval: Duration,
     /// Probes of all nodes together, a second, at most.
     pub probes_per_s: f64,
     /// A probe may stay unanswered for this long before another watch is opened beside.
-    pub patience: Duration,
+    pub overdue_after: Duration,
     /// A call that is silent for so long is given up.
-    pub give_up: Duration,
+    pub silence_timeout: Duration,
     /// The true revision is asked for this often...
-    pub confirm: Duration,
+    pub revision_check_interval: Duration,
     /// ...and a watch that is not there so long after is behind.
-    pub lag: Duration,
+    pub max_lag: Duration,
     /// Without proof for so long after the first trouble, the view is blind.
-    pub blind_after: Duration,
+    pub stale_after: Duration,
     /// Between rounds of calls that fail: at first, about...
-    pub retry_least: Duration,
+    pub min_retry_delay: Duration,
     /// ...and at the most.
-    pub retry_most: Duration,
+    pub max_retry_delay: Duration,
     /// After a break, whole reads of all nodes are spread over this time for each.
-    pub spread: Duration,
+    pub spread_per_node: Duration,
     /// The wait of a blocking query while the view is doubtful...
-    pub wait_least: Duration,
+    pub min_wait: Duration,
     /// ...and once it has proved good.
-    pub wait_most: Duration,
+    pub max_wait: Duration,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         let ms = Duration::from_millis;
         Self {
-            interface: Interface::Streams,
+            interface: Interface::WatchStreams,
             endpoints: 1,
             nodes: 1,
-            me: 0,
-            stale: false,
-            page: 1000,
-            keys: 20_000,
-            value: 64 << 10,
-            change: 16 << 20,
-            probe: ms(100),
+            node_index: 0,
+            allow_stale: false,
+            page_size: 1000,
+            max_keys: 20_000,
+            max_value_bytes: 64 << 10,
+            max_change_bytes: 16 << 20,
+            probe_interval: ms(100),
             probes_per_s: 5_000.0,
-            patience: ms(100),
-            give_up: ms(1000),
-            confirm: ms(2000),
-            lag: ms(250),
-            blind_after: ms(3000),
-            retry_least: ms(50),
-            retry_most: ms(2000),
-            spread: ms(1),
-            wait_least: ms(500),
-            wait_most: ms(5000),
+            overdue_after: ms(100),
+            silence_timeout: ms(1000),
+            revision_check_interval: ms(2000),
+            max_lag: ms(250),
+            stale_after: ms(3000),
+            min_retry_delay: ms(50),
+            max_retry_delay: ms(2000),
+            spread_per_node: ms(1),
+            min_wait: ms(500),
+            max_wait: ms(5000),
         }
     }
 }
@@ -149,39 +149,43 @@
     ///
     /// The first key that does not, and why.
     pub fn validate(&self) -> Result<(), (&'static str, &'static str)> {
-        let need = |ok: bool, key, why| if ok { Ok(()) } else { Err((key, why)) };
+        let need = |ok: bool, key, failure| if ok { Ok(()) } else { Err((key, failure)) };
         need(self.endpoints > 0, "endpoints", "names none")?;
-        need(self.nodes > 0 && self.me < self.nodes, "nodes", "is not above `me`")?;
-        need(self.page > 0 && self.page <= 100_000, "page", "is not from 1 to 100000")?;
-        need(self.keys > 0 && self.keys <= 1_000_000, "keys", "is not from 1 to 1000000")?;
-        need(self.value > 0 && self.value <= 8 << 20, "value_bytes", "is not from 1 to 8 MiB")?;
-        need(self.change >= self.value, "change_bytes", "is under `value_bytes`")?;
+        need(self.nodes > 0 && self.node_index < self.nodes, "nodes", "is not above `me`")?;
+        need(self.page_size > 0 && self.page_size <= 100_000, "page", "is not from 1 to 100000")?;
+        need(self.max_keys > 0 && self.max_keys <= 1_000_000, "keys", "is not from 1 to 1000000")?;
+        need(
+            self.max_value_bytes > 0 && self.max_value_bytes <= 8 << 20,
+            "value_bytes",
+            "is not from 1 to 8 MiB",
+        )?;
+        need(self.max_change_bytes >= self.max_value_bytes, "change_bytes", "is under `value_bytes`")?;
         need(self.probes_per_s >= 1.0 && self.probes_per_s <= 1e9, "probes_per_s", "is under 1")?;
         let times = [
-            (self.probe, "probe_ms"),
-            (self.patience, "patience_ms"),
-            (self.give_up, "give_up_ms"),
-            (self.confirm, "confirm_ms"),
-            (self.lag, "lag_ms"),
-            (self.blind_after, "blind_after_ms"),
-            (self.retry_least, "retry_least_ms"),
-            (self.retry_most, "retry_most_ms"),
-            (self.wait_least, "wait_least_ms"),
-            (self.wait_most, "wait_most_ms"),
+            (self.probe_interval, "probe_ms"),
+            (self.overdue_after, "patience_ms"),
+            (self.silence_timeout, "give_up_ms"),
+            (self.revision_check_interval, "confirm_ms"),
+            (self.max_lag, "lag_ms"),
+            (self.stale_after, "blind_after_ms"),
+            (self.min_retry_delay, "retry_least_ms"),
+            (self.max_retry_delay, "retry_most_ms"),
+            (self.min_wait, "wait_least_ms"),
+            (self.max_wait, "wait_most_ms"),
         ];
         for (time, key) in times {
             let ok = time >= Duration::from_millis(1) && time <= Duration::from_secs(60);
             need(ok, key, "is no time from 1 ms to a minute")?;
         }
-        need(self.spread <= Duration::from_secs(1), "spread_ms", "is over a second")?;
-        need(self.patience <= self.give_up, "patience_ms", "is above `give_up_ms`")?;
-        need(self.retry_least <= self.retry_most, "retry_least_ms", "is above `retry_most_ms`")?;
-        need(self.wait_least <= self.wait_most, "wait_least_ms", "is above `wait_most_ms`")
+        need(self.spread_per_node <= Duration::from_secs(1), "spread_ms", "is over a second")?;
+        need(self.overdue_after <= self.silence_timeout, "patience_ms", "is above `give_up_ms`")?;
+        need(self.min_retry_delay <= self.max_retry_delay, "retry_least_ms", "is above `retry_most_ms`")?;
+        need(self.min_wait <= self.max_wait, "wait_least_ms", "is above `wait_most_ms`")
     }
 
     /// How long after it last spoke a watch is asked for its progress, by what all nodes may ask together.
-    pub fn probe_every(&self) -> Duration {
-        self.probe.max(self.turn())
+    pub fn probe_interval(&self) -> Duration {
+        self.probe_interval.max(self.turn())
     }
 
     /// Time in which each node may ask once, by what all of them may ask together.
@@ -190,8 +194,8 @@
     }
 
     /// A watch that falls silent has another beside it after this time, at the most, where the way is short.
-    pub fn noticed_within(&self) -> Duration {
-        self.probe_every() + self.patience
+    pub fn silence_detected_within(&self) -> Duration {
+        self.probe_interval() + self.overdue_after
     }
 }
 
@@ -201,7 +205,7 @@
 
 /// What is asked.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ask {
+pub enum Query {
     /// A page of the whole state.
     Range {
         /// From the key behind this one on, or from the first.
@@ -211,7 +215,7 @@
         /// Keys, at most.
         limit: u32,
         /// Whether one member may answer from what it has.
-        stale: bool,
+        allow_stale: bool,
     },
     /// Changes, from this revision on, until it is given up.
     Watch {
@@ -219,16 +223,16 @@
         from: u64,
     },
     /// The whole state, once the index has passed this one or the wait is over; at once for 0.
-    Block {
+    Blocking {
         /// The index held.
         index: u64,
         /// The longest that the registry may wait.
         wait: Duration,
         /// Whether one member may answer from what it has.
-        stale: bool,
+        allow_stale: bool,
     },
     /// The true revision: a linearized read of no keys.
-    Confirm,
+    RevisionCheck,
 }
 
 /// Who answered, and as of when.
@@ -275,7 +279,7 @@
     /// No connection.
     Unreachable,
     /// The connection or the answer broke, or it is none.
-    Broke,
+    ConnectionLost,
     /// The endpoint says that it cannot answer: no leader, overload.
     Unavailable,
     /// Credentials are not, or no longer, good.
@@ -291,7 +295,7 @@
 pub enum Event {
     /// Time has passed; the first one begins.
     Tick,
-    /// A page of the whole state, or the answer to [`Ask::Confirm`].
+    /// A page of the whole state, or the answer to [`Query::RevisionCheck`].
     Page {
         /// The call.
         call: CallId,
@@ -335,7 +339,7 @@
         compacted: bool,
     },
     /// A blocking query was answered.
-    Whole {
+    Snapshot {
         /// The call.
         call: CallId,
         /// Its index.
@@ -343,14 +347,14 @@
         /// Every key with its value.
         entries: Vec<(Vec<u8>, Vec<u8>)>,
         /// How long ago the member that answered heard of its leader; none where it knows of none.
-        contact: Option<Duration>,
+        leader_contact: Option<Duration>,
     },
     /// A call has failed.
     Failed {
         /// The call.
         call: CallId,
         /// How.
-        why: Failure,
+        failure: Failure,
     },
 }
 
@@ -360,33 +364,33 @@
     /// The copy is the registry's state as of this revision now.
     pub revision: u64,
     /// Whether it came of a whole read, and not of a watch.
-    pub whole: bool,
+    pub from_full_read: bool,
     /// Keys that are new or have another value.
     pub put: Vec<Entry>,
     /// Keys that are gone.
-    pub gone: Vec<Vec<u8>>,
+    pub deleted: Vec<Vec<u8>>,
 }
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Ask an endpoint.
+    /// Query an endpoint.
     Call {
         /// Its number from now on.
         call: CallId,
         /// Which endpoint.
         endpoint: usize,
         /// What.
-        ask: Ask,
+        query: Query,
     },
-    /// Ask an open watch for its progress.
+    /// Query an open watch for its progress.
     Probe(CallId),
     /// Give a call up; nothing more is heard of it.
     Abort(CallId),
     /// The copy has changed.
     Apply(Change),
     /// The view is trusted otherwise than before.
-    State {
+    FreshnessChanged {
         /// Before.
         from: View,
         /// Now.
@@ -402,9 +406,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
     /// Nothing has been read yet.
-    Start,
+    NotYetRead,
     /// A watch does not answer a probe, or a query is overdue.
-    Silent,
+    Overdue,
     /// A call failed.
     Failed(Failure),
     /// The endpoint ended the watch.
@@ -412,41 +416,41 @@
     /// The endpoint is behind.
     Behind,
     /// No endpoint tells the true revision.
-    Unconfirmed,
+    RevisionCheckFailed,
     /// The cluster is another.
     Replaced,
     /// Revisions run backwards.
-    Backwards,
+    RevisionWentBack,
     /// There are more keys than may be held.
-    Full,
+    TooManyKeys,
     /// The machine stood still.
-    Jumped,
+    ProcessPaused,
     /// Nothing has proved it for too long.
-    Unproved,
+    Unconfirmed,
     /// It is proved.
-    Proved,
+    Confirmed,
 }
 
 impl fmt::Display for Cause {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Start => "nothing has been read yet",
-            Self::Silent => "a call is silent",
+            Self::NotYetRead => "nothing has been read yet",
+            Self::Overdue => "a call is silent",
             Self::Failed(Failure::Unreachable) => "an endpoint cannot be reached",
-            Self::Failed(Failure::Broke) => "a call broke",
+            Self::Failed(Failure::ConnectionLost) => "a call broke",
             Self::Failed(Failure::Unavailable) => "an endpoint cannot answer",
             Self::Failed(Failure::Denied) => "credentials are refused",
             Self::Failed(Failure::TooLong) => "an answer is too long",
             Self::Failed(Failure::Compacted) => "the revision read has been compacted",
             Self::Cancelled => "an endpoint has ended the watch",
             Self::Behind => "an endpoint is behind",
-            Self::Unconfirmed => "no endpoint tells the true revision",
+            Self::RevisionCheckFailed => "no endpoint tells the true revision",
             Self::Replaced => "the cluster is another",
-            Self::Backwards => "revisions run backwards",
-            Self::Full => "there are more keys than may be held",
-            Self::Jumped => "this machine stood still",
-            Self::Unproved => "nothing has proved it",
-            Self::Proved => "it is proved",
+            Self::RevisionWentBack => "revisions run backwards",
+            Self::TooManyKeys => "there are more keys than may be held",
+            Self::ProcessPaused => "this machine stood still",
+            Self::Unconfirmed => "nothing has proved it",
+            Self::Confirmed => "it is proved",
         })
     }
 }
@@ -464,14 +468,14 @@
         to: u64,
     },
     /// Revisions have begun anew: the held one, and the one that is believed now.
-    Backwards {
+    RevisionWentBack {
         /// Held.
         from: u64,
         /// Believed.
         to: u64,
     },
     /// More keys than may be held.
-    Full,
+    TooManyKeys,
 }
 
 impl fmt::Display for Note {
@@ -479,8 +483,10 @@
         match self {
             Self::Compacted => f.write_str("the revision that was wanted is gone: all is read again"),
             Self::Replaced { from, to } => write!(f, "cluster {to:x} answers in place of {from:x}"),
-            Self::Backwards { from, to } => write!(f, "its revisions have begun anew: {to} after {from}"),
-            Self::Full => f.write_str("it has more keys than may be held"),
+            Self::RevisionWentBack { from, to } => {
+                write!(f, "its revisions have begun anew: {to} after {from}")
+            }
+            Self::TooManyKeys => f.write_str("it has more keys than may be held"),
         }
     }
 }
@@ -495,19 +501,19 @@
     /// Changes of keys that were applied.
     pub edits: u64,
     /// Those that were known already.
-    pub known: u64,
+    pub already_applied: u64,
     /// Whole reads that were taken.
-    pub reads: u64,
+    pub full_reads: u64,
     /// Compactions met.
-    pub compacted: u64,
+    pub compactions: u64,
     /// Calls given up as silent, and that failed otherwise.
-    pub silent: u64,
+    pub timed_out: u64,
     /// See `silent`.
     pub failed: u64,
     /// Endpoints found behind.
     pub behind: u64,
     /// Keys that found no room.
-    pub over: u64,
+    pub over_limit: u64,
 }
 
 impl fmt::Display for Counts {
@@ -519,13 +525,13 @@
              known {}, whole reads {}, compactions {}, silent {}, failed {}, behind {}, without room {}",
             self.probes,
             self.edits,
-            self.known,
-            self.reads,
-            self.compacted,
-            self.silent,
+            self.already_applied,
+            self.full_reads,
+            self.compactions,
+            self.timed_out,
             self.failed,
             self.behind,
-            self.over
+            self.over_limit
         )
     }
 }
@@ -533,9 +539,9 @@
 struct Call {
     id: CallId,
     endpoint: usize,
-    ask: Ask,
+    query: Query,
     /// It is given up after so long without a word, where it has not been answered yet.
-    give_up: Duration,
+    silence_timeout: Duration,
     /// The copy's revision when it was begun.
     held: Option<u64>,
     open: bool,
@@ -555,7 +561,7 @@
 
 impl Call {
     fn is_watch(&self) -> bool {
-        matches!(self.ask, Ask::Watch { .. })
+        matches!(self.query, Query::Watch { .. })
     }
 
     /// Asks for its progress.
@@ -573,26 +579,28 @@
     }
 
     /// When it should have spoken, where answers are waited for so long.
-    fn due_at(&self, patience: Duration) -> Duration {
-        match (&self.ask, self.probed_at) {
-            (Ask::Block { index: 1.., wait, .. }, _) => {
-                self.spoke_at + wait.mul_f64(1.0 + BLOCK_JITTER) + patience
+    fn due_at(&self, overdue_after: Duration) -> Duration {
+        match (&self.query, self.probed_at) {
+            (Query::Blocking { index: 1.., wait, .. }, _) => {
+                self.spoke_at + wait.mul_f64(1.0 + BLOCK_JITTER) + overdue_after
             }
             // Whatever it says since shows that it lives.
-            (Ask::Watch { .. }, Some(at)) if self.open => at.max(self.spoke_at) + patience,
-            (Ask::Watch { .. }, None) if self.open => Duration::MAX,
-            (Ask::Watch { .. }, _) => self.spoke_at + 2 * patience,
-            _ => self.spoke_at + self.give_up,
+            (Query::Watch { .. }, Some(at)) if self.open => at.max(self.spoke_at) + overdue_after,
+            (Query::Watch { .. }, None) if self.open => Duration::MAX,
+            (Query::Watch { .. }, _) => self.spoke_at + 2 * overdue_after,
+            _ => self.spoke_at + self.silence_timeout,
         }
     }
 
     /// When it is given up.
     fn give_up_at(&self, settings: &Settings) -> Duration {
-        match (&self.ask, self.probed_at) {
-            (Ask::Block { index: 1.., .. }, _) => self.due_at(settings.patience) + settings.give_up,
-            (Ask::Watch { .. }, Some(at)) if self.open => at.max(self.spoke_at) + settings.give_up,
-            (Ask::Watch { .. }, None) if self.open => Duration::MAX,
-            _ => self.spoke_at + self.give_up,
+        match (&self.query, self.probed_at) {
+            (Query::Blocking { index: 1.., .. }, _) => {
+                self.due_at(settings.overdue_after) + settings.silence_timeout
+            }
+            (Query::Watch { .. }, Some(at)) if self.open => at.max(self.spoke_at) + settings.silence_timeout,
+            (Query::Watch { .. }, None) if self.open => Duration::MAX,
+            _ => self.spoke_at + self.silence_timeout,
         }
     }
 }
@@ -661,22 +669,22 @@
             cluster: 0,
             read: true,
             reading: None,
-            page: settings.page,
+            page: settings.page_size,
             over: false,
             calls: Vec::new(),
             last_call: 0,
             due: None,
             // Nodes begin at different endpoints.
-            endpoint: settings.me % settings.endpoints,
+            endpoint: settings.node_index % settings.endpoints,
             doublings: 0,
             failures: 0,
             outrun: 0,
             older: 0,
             way: None,
-            confirm: (Duration::ZERO, settings.me % settings.endpoints, 0),
+            confirm: (Duration::ZERO, settings.node_index % settings.endpoints, 0),
             good: 0,
             view: View::Doubtful,
-            cause: Cause::Start,
+            cause: Cause::NotYetRead,
             trouble_since: None,
             proved_at: None,
             counts: Counts::default(),
@@ -706,10 +714,10 @@
             }
             Event::Progress { call, header } => self.progress(now, call, header, actions),
             Event::Cancelled { call, compacted } => self.cancelled(now, call, compacted, actions),
-            Event::Whole { call, header, entries, contact } => {
-                self.whole(now, call, header, entries, contact, actions);
+            Event::Snapshot { call, header, entries, leader_contact } => {
+                self.whole(now, call, header, entries, leader_contact, actions);
             }
-            Event::Failed { call, why } => self.failed(now, call, why, actions),
+            Event::Failed { call, failure } => self.failed(now, call, failure, actions),
         }
         self.settle(now, actions);
     }
@@ -718,21 +726,22 @@
     pub fn next_wake(&self) -> Option<Duration> {
         let settings = &self.settings;
         let call = |call: &Call| {
-            let due_at = call.due_at(self.patience());
+            let due_at = call.due_at(self.overdue_after());
             let spoken = if call.left { call.give_up_at(settings) } else { due_at };
             let probe = (call.open && call.is_watch() && call.probed_at.is_none())
-                .then(|| call.spoke_at + settings.probe_every());
+                .then(|| call.spoke_at + settings.probe_interval());
             let reach = call.must_reach.filter(|_| !call.left).map(|(_, by)| by);
             [Some(spoken), probe, reach].into_iter().flatten().min().unwrap_or(spoken)
         };
         let blind = self.trouble_since.filter(|_| self.view != View::Blind);
-        let blind = blind.map(|since| since + settings.blind_after);
-        let confirms = (self.started && settings.interface == Interface::Streams).then_some(self.confirm.0);
+        let blind = blind.map(|since| since + settings.stale_after);
+        let confirms =
+            (self.started && settings.interface == Interface::WatchStreams).then_some(self.confirm.0);
         self.calls.iter().map(call).chain(self.due).chain(blind).chain(confirms).min()
     }
 
     /// How far the copy can be trusted.
-    pub fn view(&self) -> View {
+    pub fn freshness(&self) -> View {
         self.view
     }
 
@@ -747,7 +756,7 @@
     }
 
     /// The copy.
-    pub fn held(&self) -> &BTreeMap<Vec<u8>, Value> {
+    pub fn copy(&self) -> &BTreeMap<Vec<u8>, Value> {
         &self.held
     }
 
@@ -761,12 +770,15 @@
     /// This node's part of the time, so long at most, over which all of them spread what costs so much of a whole read.
     fn spread(&mut self, cost: f64, most: Duration) -> Duration {
         let nodes = self.settings.nodes as f64;
-        let all = self.settings.spread.mul_f64(nodes * cost).min(most);
-        all.mul_f64((self.settings.me as f64 + self.random.f64()) / nodes)
+        let all = self.settings.spread_per_node.mul_f64(nodes * cost).min(most);
+        all.mul_f64((self.settings.node_index as f64 + self.random.f64()) / nodes)
     }
 
     fn confirm_every(&mut self) -> Duration {
-        self.settings.confirm.max(self.settings.turn()).mul_f64(0.75 + 0.5 * self.random.f64())
+        self.settings
+            .revision_check_interval
+            .max(self.settings.turn())
+            .mul_f64(0.75 + 0.5 * self.random.f64())
     }
 
     /// How long to wait before the next call after a failure.
@@ -777,25 +789,25 @@
         if rounds == 0 {
             return spread;
         }
-        let Settings { retry_least, retry_most, .. } = self.settings;
-        back_off(&mut self.random, retry_least, retry_most, rounds as u32 - 1).max(spread)
+        let Settings { min_retry_delay, max_retry_delay, .. } = self.settings;
+        back_off(&mut self.random, min_retry_delay, max_retry_delay, rounds as u32 - 1).max(spread)
     }
 
     /// How long an answer may take before it is late: as long as is set, and longer where the way is.
-    fn patience(&self) -> Duration {
-        let Some((mean, deviation)) = self.way else { return self.settings.patience };
+    fn overdue_after(&self) -> Duration {
+        let Some((mean, deviation)) = self.way else { return self.settings.overdue_after };
         let usual = Duration::from_secs_f64((mean + 4.0 * deviation).min(60.0));
-        usual.min(self.settings.give_up / 2).max(self.settings.patience)
+        usual.min(self.settings.silence_timeout / 2).max(self.settings.overdue_after)
     }
 
     /// How long a call that has not been answered may be silent.
-    fn give_up(&self) -> Duration {
-        self.settings.give_up * (1 << self.doublings)
+    fn silence_timeout(&self) -> Duration {
+        self.settings.silence_timeout * (1 << self.doublings)
     }
 
     /// What may be silent is as long again as the last answer took, where that is more than what is set.
     fn note_answer(&mut self, took: Duration) {
-        let enough = |doublings: &u32| self.settings.give_up * (1 << doublings) >= 2 * took;
+        let enough = |doublings: &u32| self.settings.silence_timeout * (1 << doublings) >= 2 * took;
         self.doublings = (0..GIVE_UP_DOUBLINGS).find(enough).unwrap_or(GIVE_UP_DOUBLINGS);
     }
 
@@ -815,12 +827,12 @@
 
     // ---- Calls
 
-    fn begin(&mut self, now: Duration, endpoint: usize, ask: Ask, actions: &mut Vec<Action>) {
-        let kind = match ask {
-            Ask::Range { .. } => 0,
-            Ask::Watch { .. } => 1,
-            Ask::Block { .. } => 2,
-            Ask::Confirm => 3,
+    fn begin(&mut self, now: Duration, endpoint: usize, query: Query, actions: &mut Vec<Action>) {
+        let kind = match query {
+            Query::Range { .. } => 0,
+            Query::Watch { .. } => 1,
+            Query::Blocking { .. } => 2,
+            Query::RevisionCheck => 3,
         };
         self.counts.calls[kind] += 1;
         self.last_call += 1;
@@ -828,8 +840,8 @@
         self.calls.push(Call {
             id,
             endpoint,
-            ask: ask.clone(),
-            give_up: self.give_up(),
+            query: query.clone(),
+            silence_timeout: self.silence_timeout(),
             held: self.revision,
             open: false,
             spoke_at: now,
@@ -839,12 +851,12 @@
             told: 0,
             pieces: (Vec::new(), 0),
         });
-        actions.push(Action::Call { call: id, endpoint, ask });
+        actions.push(Action::Call { call: id, endpoint, query });
     }
 
     /// What follows the copy, or is to.
     fn following(&self) -> impl Iterator<Item = &Call> {
-        self.calls.iter().filter(|call| call.ask != Ask::Confirm)
+        self.calls.iter().filter(|call| call.query != Query::RevisionCheck)
     }
 
     fn is_followed(&self) -> bool {
@@ -857,7 +869,7 @@
 
     /// Begins the next ordinary call.
     fn next(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        while self.following().count() >= CALLS_MOST {
+        while self.following().count() >= MAX_OPEN_CALLS {
             // One that has spoken and does not any more. One that never did may be on a long way.
             let least = self.calls.iter().position(|call| call.left && (call.open || !call.is_watch()));
             let Some(least) = least else { return };
@@ -865,21 +877,21 @@
         }
         let endpoint = self.endpoint;
         // Once all endpoints have shown less than the copy, only what the cluster agrees on counts.
-        let stale = self.settings.stale && self.older < self.settings.endpoints;
-        let ask = match (self.settings.interface, self.revision) {
-            (Interface::Blocking, held) => {
+        let allow_stale = self.settings.allow_stale && self.older < self.settings.endpoints;
+        let query = match (self.settings.interface, self.revision) {
+            (Interface::BlockingQueries, held) => {
                 let beside = self.following().next().is_some() || self.read || held.is_none();
                 let index = if beside { 0 } else { held.unwrap_or(0) };
-                Ask::Block { index, wait: self.wait(), stale }
+                Query::Blocking { index, wait: self.wait(), allow_stale }
             }
-            (Interface::Streams, Some(held)) if !self.read => Ask::Watch { from: held + 1 },
-            (Interface::Streams, _) => {
+            (Interface::WatchStreams, Some(held)) if !self.read => Query::Watch { from: held + 1 },
+            (Interface::WatchStreams, _) => {
                 self.reading = None;
-                self.abort(|call| matches!(call.ask, Ask::Range { .. }), actions);
-                Ask::Range { after: None, revision: None, limit: self.page, stale }
+                self.abort(|call| matches!(call.query, Query::Range { .. }), actions);
+                Query::Range { after: None, revision: None, limit: self.page, allow_stale }
             }
         };
-        self.begin(now, endpoint, ask, actions);
+        self.begin(now, endpoint, query, actions);
     }
 
     fn abort(&mut self, which: impl Fn(&Call) -> bool, actions: &mut Vec<Action>) {
@@ -894,27 +906,27 @@
 
     /// The wait of a blocking query: how long its silence stays unseen.
     fn wait(&self) -> Duration {
-        let grown = self.settings.wait_least.saturating_mul(1 << self.good.min(16));
-        grown.min(self.settings.wait_most)
+        let grown = self.settings.min_wait.saturating_mul(1 << self.good.min(16));
+        grown.min(self.settings.max_wait)
     }
 
     /// Gives up what is silent, probes, begins what is due, and says how far the copy can be trusted.
     fn settle(&mut self, now: Duration, actions: &mut Vec<Action>) {
         for n in (0..self.calls.len()).rev() {
-            let patience = self.patience();
+            let overdue_after = self.overdue_after();
             let settings = &self.settings;
             let call = &mut self.calls[n];
             if now >= call.give_up_at(settings) {
                 let call = self.calls.remove(n);
                 actions.push(Action::Abort(call.id));
-                self.counts.silent += 1;
-                if !call.open && call.ask != Ask::Confirm {
+                self.counts.timed_out += 1;
+                if !call.open && call.query != Query::RevisionCheck {
                     self.doublings = (self.doublings + 1).min(GIVE_UP_DOUBLINGS);
                 }
-                self.lost(now, &call, Cause::Silent);
+                self.lost(now, &call, Cause::Overdue);
                 continue;
             }
-            let late = now >= call.due_at(patience);
+            let late = now >= call.due_at(overdue_after);
             let behind = call.must_reach.is_some_and(|(to, by)| call.told < to && now >= by);
             if !call.left && (late || behind) {
                 call.left = true;
@@ -927,10 +939,10 @@
                     self.read |= self.older >= self.settings.endpoints;
                 }
                 self.next_endpoint(endpoint);
-                self.doubt(now, if late { Cause::Silent } else { Cause::Behind });
+                self.doubt(now, if late { Cause::Overdue } else { Cause::Behind });
                 continue;
             }
-            let probe_at = call.spoke_at + settings.probe_every();
+            let probe_at = call.spoke_at + settings.probe_interval();
             if call.open && call.is_watch() && call.probed_at.is_none() && now >= probe_at {
                 call.probe(now, &mut self.counts, actions);
             }
@@ -942,10 +954,10 @@
             self.due = None;
             self.next(now, actions);
         }
-        let streams = self.settings.interface == Interface::Streams;
+        let streams = self.settings.interface == Interface::WatchStreams;
         if streams && now >= self.confirm.0 {
             self.confirm.0 = now + self.confirm_every();
-            let out = self.calls.iter().any(|call| call.ask == Ask::Confirm);
+            let out = self.calls.iter().any(|call| call.query == Query::RevisionCheck);
             if self.revision.is_some() && !out {
                 // Another endpoint than the watch's, where there is one: one alone can't tell that it is cut off.
                 self.confirm.1 = (self.confirm.1 + 1) % self.settings.endpoints;
@@ -953,15 +965,15 @@
                 if Some(self.confirm.1) == watched {
                     self.confirm.1 = (self.confirm.1 + 1) % self.settings.endpoints;
                 }
-                self.begin(now, self.confirm.1, Ask::Confirm, actions);
+                self.begin(now, self.confirm.1, Query::RevisionCheck, actions);
             }
         }
-        let blind = self.trouble_since.is_some_and(|since| now >= since + self.settings.blind_after);
+        let blind = self.trouble_since.is_some_and(|since| now >= since + self.settings.stale_after);
         match self.view {
-            View::Fresh | View::Doubtful if blind => self.show(View::Blind, Cause::Unproved, actions),
+            View::Fresh | View::Doubtful if blind => self.show(View::Blind, Cause::Unconfirmed, actions),
             View::Fresh if self.trouble_since.is_some() => self.show(View::Doubtful, self.cause, actions),
             View::Doubtful | View::Blind if self.trouble_since.is_none() => {
-                self.show(View::Fresh, Cause::Proved, actions);
+                self.show(View::Fresh, Cause::Confirmed, actions);
             }
             _ => {}
         }
@@ -969,7 +981,7 @@
 
     fn show(&mut self, to: View, cause: Cause, actions: &mut Vec<Action>) {
         let from = std::mem::replace(&mut self.view, to);
-        actions.push(Action::State { from, to, cause });
+        actions.push(Action::FreshnessChanged { from, to, cause });
     }
 
     fn doubt(&mut self, now: Duration, cause: Cause) {
@@ -988,7 +1000,7 @@
             self.trouble_since = None;
         }
         // What was silent or behind, or stands beside, is not needed any more.
-        self.abort(|call| call.id != by && call.ask != Ask::Confirm, actions);
+        self.abort(|call| call.id != by && call.query != Query::RevisionCheck, actions);
         if let Some(call) = self.call(by) {
             call.left = false;
             self.endpoint = call.endpoint;
@@ -1020,22 +1032,22 @@
             call.probed_at = call.probed_at.map(|_| now);
             call.must_reach = None;
         }
-        self.doubt(now, Cause::Jumped);
+        self.doubt(now, Cause::ProcessPaused);
         self.trouble_since = Some(now);
     }
 
     /// A call has come to nothing.
     fn lost(&mut self, now: Duration, call: &Call, cause: Cause) {
-        if call.ask == Ask::Confirm {
+        if call.query == Query::RevisionCheck {
             self.confirm.2 += 1;
             if self.is_unconfirmed() {
-                self.doubt(now, Cause::Unconfirmed);
+                self.doubt(now, Cause::RevisionCheckFailed);
             }
             return;
         }
         self.failures = self.failures.saturating_add(1);
         self.good = 0;
-        if matches!(call.ask, Ask::Range { .. }) {
+        if matches!(call.query, Query::Range { .. }) {
             self.reading = None;
         }
         self.next_endpoint(call.endpoint);
@@ -1046,10 +1058,10 @@
         }
     }
 
-    fn failed(&mut self, now: Duration, id: CallId, why: Failure, actions: &mut Vec<Action>) {
+    fn failed(&mut self, now: Duration, id: CallId, failure: Failure, actions: &mut Vec<Action>) {
         let Some(call) = self.take(id) else { return };
-        let reading = matches!(call.ask, Ask::Range { .. });
-        match why {
+        let reading = matches!(call.query, Query::Range { .. });
+        match failure {
             Failure::Compacted => return self.compacted(now, actions),
             Failure::TooLong if reading && self.page > PAGE_LEAST => {
                 self.page = (self.page / 2).max(PAGE_LEAST);
@@ -1060,12 +1072,12 @@
             _ => {}
         }
         self.counts.failed += 1;
-        self.lost(now, &call, Cause::Failed(why));
+        self.lost(now, &call, Cause::Failed(failure));
     }
 
     /// What was asked for is no longer there: all is read again.
     fn compacted(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        self.counts.compacted += 1;
+        self.counts.compactions += 1;
         self.outrun = self.outrun.saturating_add(1);
         self.read = true;
         self.reading = None;
@@ -1103,7 +1115,7 @@
         actions: &mut Vec<Action>,
     ) {
         let Some(call) = self.take(id) else { return };
-        let Ask::Range { stale, .. } = call.ask else {
+        let Query::Range { allow_stale, .. } = call.query else {
             return self.confirmed(now, call.held, header, actions);
         };
         self.note_answer(now - call.spoke_at);
@@ -1114,32 +1126,32 @@
             None => Reading { header, entries: BTreeMap::new() },
         };
         let last = entries.last().map(|(key, _)| key.clone());
-        let value_most = self.settings.value;
+        let value_most = self.settings.max_value_bytes;
         reading.entries.extend(entries.into_iter().map(|(key, value)| (key, bounded(value, value_most))));
-        let full = reading.entries.len() > self.settings.keys;
+        let full = reading.entries.len() > self.settings.max_keys;
         if more && !full {
             if let Some(after) = last {
                 let (limit, revision) = (self.page, Some(reading.header.revision));
                 self.reading = Some(reading);
-                let ask = Ask::Range { after: Some(after), revision, limit, stale };
-                return self.begin(now, call.endpoint, ask, actions);
+                let query = Query::Range { after: Some(after), revision, limit, allow_stale };
+                return self.begin(now, call.endpoint, query, actions);
             }
         }
         self.over = full;
-        while reading.entries.len() > self.settings.keys {
+        while reading.entries.len() > self.settings.max_keys {
             reading.entries.pop_last();
-            self.counts.over += 1;
+            self.counts.over_limit += 1;
         }
         if full {
-            actions.push(Action::Note(Note::Full));
+            actions.push(Action::Note(Note::TooManyKeys));
         }
         let Reading { header, entries } = reading;
-        if !self.is_to_be_taken(now, &call, header, !stale, actions) {
+        if !self.is_to_be_taken(now, &call, header, !allow_stale, actions) {
             return;
         }
         self.replace(header, entries, actions);
         // Guards against changes of a cluster that has been replaced or put back: no older watch speaks any more.
-        self.abort(|call| call.ask != Ask::Confirm, actions);
+        self.abort(|call| call.query != Query::RevisionCheck, actions);
         // Changes from the next revision on, at the endpoint that has just shown what it has.
         self.endpoint = call.endpoint;
         self.due = None;
@@ -1172,8 +1184,8 @@
         // One endpoint may be behind. What the cluster agrees on, or each endpoint says alike, is believed.
         self.older += 1;
         if agreed || self.older > self.settings.endpoints {
-            actions.push(Action::Note(Note::Backwards { from: held, to: header.revision }));
-            self.doubt(now, Cause::Backwards);
+            actions.push(Action::Note(Note::RevisionWentBack { from: held, to: header.revision }));
+            self.doubt(now, Cause::RevisionWentBack);
             return true;
         }
         self.counts.behind += 1;
@@ -1188,11 +1200,11 @@
 
     /// The copy is this from now on; the difference is handed on.
     fn replace(&mut self, header: Header, entries: BTreeMap<Vec<u8>, Value>, actions: &mut Vec<Action>) {
-        self.counts.reads += 1;
+        self.counts.full_reads += 1;
         self.read = false;
         self.cluster = header.cluster;
         let first = self.revision.is_none();
-        let gone: Vec<Vec<u8>> =
+        let deleted: Vec<Vec<u8>> =
             self.held.keys().filter(|key| !entries.contains_key(*key)).cloned().collect();
         let put: Vec<Entry> = entries
             .iter()
@@ -1201,9 +1213,14 @@
             .collect();
         self.held = entries;
         self.revision = Some(header.revision);
-        self.counts.edits += (gone.len() + put.len()) as u64;
-        if first || !gone.is_empty() || !put.is_empty() {
-            actions.push(Action::Apply(Change { revision: header.revision, whole: true, put, gone }));
+        self.counts.edits += (deleted.len() + put.len()) as u64;
+        if first || !deleted.is_empty() || !put.is_empty() {
+            actions.push(Action::Apply(Change {
+                revision: header.revision,
+                from_full_read: true,
+                put,
+                deleted,
+            }));
         }
     }
 
@@ -1216,10 +1233,10 @@
             // Another cluster, or one that was put back: the whole read settles it.
             self.read = true;
             self.older = self.settings.endpoints;
-            self.doubt(now, if other { Cause::Replaced } else { Cause::Backwards });
+            self.doubt(now, if other { Cause::Replaced } else { Cause::RevisionWentBack });
             return self.due_by(now);
         }
-        let by = now + self.settings.lag;
+        let by = now + self.settings.max_lag;
         for call in self.calls.iter_mut().filter(|call| call.open && call.is_watch()) {
             if call.told < header.revision {
                 // Guards against a deadline that moves on with each confirmation, and is never met.
@@ -1251,9 +1268,9 @@
         if !self.is_of_this(now, id, header, actions) {
             return;
         }
-        let lag = self.settings.lag;
+        let lag = self.settings.max_lag;
         let Some(call) = self.calls.iter_mut().find(|call| call.id == id) else { return };
-        let Ask::Watch { from } = call.ask else { return };
+        let Query::Watch { from } = call.query else { return };
         call.open = true;
         call.left = false;
         // It proves itself by its progress: open, it may still be silent, or behind.
@@ -1273,7 +1290,7 @@
         if !self.is_of_this(now, id, header, actions) {
             return;
         }
-        let change_most = self.settings.change;
+        let change_most = self.settings.max_change_bytes;
         let Some(call) = self.call(id) else { return };
         let bytes: usize =
             edits.iter().map(|edit| edit.key.len() + edit.value.as_ref().map_or(0, Vec::len)).sum();
@@ -1299,34 +1316,34 @@
         let Some(held) = self.revision else { return };
         let last = edits.last().map_or(held, |edit| edit.revision);
         if last <= held {
-            self.counts.known += edits.len() as u64;
+            self.counts.already_applied += edits.len() as u64;
             return;
         }
         // By its last change only: what was put and deleted in between never stood in the copy.
         let mut latest = BTreeMap::new();
         for edit in edits {
             if edit.revision <= held {
-                self.counts.known += 1;
+                self.counts.already_applied += 1;
                 continue;
             }
             self.counts.edits += 1;
             latest.insert(edit.key, edit.value);
         }
-        let (mut put, mut gone) = (Vec::new(), Vec::new());
+        let (mut put, mut deleted) = (Vec::new(), Vec::new());
         for (key, value) in latest {
             match value {
                 None => {
                     if self.held.remove(&key).is_some() {
-                        gone.push(key);
+                        deleted.push(key);
                     }
                 }
                 Some(value) => {
-                    let value = bounded(value, self.settings.value);
-                    if self.held.len() >= self.settings.keys && !self.held.contains_key(&key) {
+                    let value = bounded(value, self.settings.max_value_bytes);
+                    if self.held.len() >= self.settings.max_keys && !self.held.contains_key(&key) {
                         if !std::mem::replace(&mut self.over, true) {
-                            actions.push(Action::Note(Note::Full));
+                            actions.push(Action::Note(Note::TooManyKeys));
                         }
-                        self.counts.over += 1;
+                        self.counts.over_limit += 1;
                         continue;
                     }
                     self.held.insert(key.clone(), value.clone());
@@ -1334,15 +1351,15 @@
                 }
             }
         }
-        if self.over && !gone.is_empty() {
+        if self.over && !deleted.is_empty() {
             // There is room again for what had none.
             self.over = false;
             self.read = true;
             self.due_by(Duration::ZERO);
         }
         self.revision = Some(last);
-        if !put.is_empty() || !gone.is_empty() {
-            actions.push(Action::Apply(Change { revision: last, whole: false, put, gone }));
+        if !put.is_empty() || !deleted.is_empty() {
+            actions.push(Action::Apply(Change { revision: last, from_full_read: false, put, deleted }));
         }
     }
 
@@ -1378,32 +1395,32 @@
         id: CallId,
         header: Header,
         entries: Vec<(Vec<u8>, Vec<u8>)>,
-        contact: Option<Duration>,
+        leader_contact: Option<Duration>,
         actions: &mut Vec<Action>,
     ) {
         let Some(call) = self.take(id) else { return };
-        let Ask::Block { stale, index, wait, .. } = call.ask else { return };
+        let Query::Blocking { allow_stale, index, wait, .. } = call.query else { return };
         if index == 0 {
             self.note_answer(now - call.spoke_at);
         }
-        if contact.is_none_or(|contact| contact > self.settings.lag) {
+        if leader_contact.is_none_or(|leader_contact| leader_contact > self.settings.max_lag) {
             // A member without a leader, or far from it, does not know better than the copy.
             self.counts.behind += 1;
             return self.lost(now, &call, Cause::Behind);
         }
         // An index of 0 would make the next query return at once, for ever.
         let header = Header { revision: header.revision.max(1), ..header };
-        if !self.is_to_be_taken(now, &call, header, !stale, actions) {
+        if !self.is_to_be_taken(now, &call, header, !allow_stale, actions) {
             return;
         }
         let news = self.revision != Some(header.revision);
         let mut held = BTreeMap::new();
         for (key, value) in entries {
-            if held.len() >= self.settings.keys {
-                self.counts.over += 1;
+            if held.len() >= self.settings.max_keys {
+                self.counts.over_limit += 1;
                 continue;
             }
-            held.insert(key, bounded(value, self.settings.value));
+            held.insert(key, bounded(value, self.settings.max_value_bytes));
         }
         self.replace(header, held, actions);
         self.good = self.good.saturating_add(1);
@@ -1411,7 +1428,7 @@
         self.prove(now, id, actions);
         // Guards against a registry that answers at once though it has no news.
         let early = !news && index > 0 && now < call.spoke_at + wait / 2;
-        let apart = if early { self.settings.wait_least } else { BLOCK_APART };
+        let apart = if early { self.settings.min_wait } else { BLOCK_APART };
         self.due = Some(now.max(call.spoke_at + apart));
     }
 }
--- a/crates/spurdrum-sources/src/registry/registrar.rs
+++ b/crates/spurdrum-sources/src/registry/registrar.rs
@@ -2,12 +2,12 @@
 //!
 //! ```
 //! use std::time::Duration;
-//! use spurdrum_sources::registry::registrar::{Action, Ask, Event, Registrar, Settings};
+//! use spurdrum_sources::registry::registrar::{Action, Operation, Event, Registrar, Settings};
 //!
 //! let mut registrar = Registrar::new(Settings::default(), 7).expect("sound settings");
 //! let mut actions = Vec::new();
 //! registrar.handle(Duration::ZERO, Event::Tick, &mut actions);
-//! assert!(matches!(actions[0], Action::Call { ask: Ask::Grant { .. }, .. }));
+//! assert!(matches!(actions[0], Action::Call { ask: Operation::Grant { .. }, .. }));
 //! ```
 //!
 //! The key goes with the lease, so a node that dies is gone once that ends, and one that is cut off comes back under a new
@@ -32,11 +32,11 @@
     /// Before it ends, the node stands as leaving for so long.
     pub drain: Duration,
     /// A call that is silent for so long has failed.
-    pub give_up: Duration,
+    pub silence_timeout: Duration,
     /// Between calls that fail: at first, about...
-    pub retry_least: Duration,
+    pub min_retry_delay: Duration,
     /// ...and at the most.
-    pub retry_most: Duration,
+    pub max_retry_delay: Duration,
 }
 
 impl Default for Settings {
@@ -46,9 +46,9 @@
             endpoints: 1,
             ttl: ms(10_000),
             drain: ms(500),
-            give_up: ms(1000),
-            retry_least: ms(100),
-            retry_most: ms(2000),
+            silence_timeout: ms(1000),
+            min_retry_delay: ms(100),
+            max_retry_delay: ms(2000),
         }
     }
 }
@@ -65,8 +65,12 @@
         need(self.endpoints > 0, "endpoints", "names none")?;
         need(self.ttl >= s(2) && self.ttl <= s(3600), "ttl_ms", "is not from 2 s to an hour")?;
         need(self.drain <= s(60), "drain_ms", "is over a minute")?;
-        need(self.give_up >= Duration::from_millis(1) && self.give_up <= s(60), "give_up_ms", "is no time")?;
-        need(self.retry_least <= self.retry_most, "retry_least_ms", "is above `retry_most_ms`")
+        need(
+            self.silence_timeout >= Duration::from_millis(1) && self.silence_timeout <= s(60),
+            "give_up_ms",
+            "is no time",
+        )?;
+        need(self.min_retry_delay <= self.max_retry_delay, "retry_least_ms", "is above `retry_most_ms`")
     }
 }
 
@@ -76,7 +80,7 @@
 
 /// What is asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ask {
+pub enum Operation {
     /// A lease.
     Grant {
         /// For so long.
@@ -103,7 +107,7 @@
 
 /// What came of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Got {
+pub enum CallResult {
     /// A lease, for so long.
     Granted {
         /// Its number.
@@ -134,7 +138,7 @@
         /// The call.
         call: CallId,
         /// How.
-        got: Got,
+        result: CallResult,
     },
     /// The node is to end.
     Leave,
@@ -150,7 +154,7 @@
         /// Which endpoint.
         endpoint: usize,
         /// What.
-        ask: Ask,
+        ask: Operation,
     },
     /// Give a call up; nothing more is heard of it.
     Abort(CallId),
@@ -185,7 +189,7 @@
 struct Call {
     id: CallId,
     endpoint: usize,
-    ask: Ask,
+    ask: Operation,
     begun: Duration,
 }
 
@@ -246,7 +250,7 @@
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Tick => {}
-            Event::Ended { call, got } => self.ended(now, call, got, actions),
+            Event::Ended { call, result } => self.ended(now, call, result, actions),
             Event::Leave => self.leave(now, actions),
         }
         self.settle(now, actions);
@@ -257,7 +261,7 @@
         if self.state == State::Gone {
             return None;
         }
-        let call = self.call.as_ref().map(|call| call.begun + self.settings.give_up);
+        let call = self.call.as_ref().map(|call| call.begun + self.settings.silence_timeout);
         let next = self.next.filter(|_| self.call.is_none()).map(|(at, _)| at);
         let lease = self.lease.filter(|_| self.state != State::Absent).map(|(_, until)| until);
         let end = self.leaves.map(|since| since + self.longest());
@@ -266,7 +270,7 @@
 
     /// Leaving takes no longer than this, whatever the registry does: its lease ends by itself.
     fn longest(&self) -> Duration {
-        self.settings.drain + 2 * self.settings.give_up
+        self.settings.drain + 2 * self.settings.silence_timeout
     }
 
     fn settle(&mut self, now: Duration, actions: &mut Vec<Action>) {
@@ -276,10 +280,12 @@
         if self.leaves.is_some_and(|since| now >= since + self.longest()) {
             return self.gone(actions);
         }
-        if let Some(call) = self.call.as_ref().filter(|call| now >= call.begun + self.settings.give_up) {
+        if let Some(call) =
+            self.call.as_ref().filter(|call| now >= call.begun + self.settings.silence_timeout)
+        {
             let id = call.id;
             actions.push(Action::Abort(id));
-            self.ended(now, id, Got::Failed, actions);
+            self.ended(now, id, CallResult::Failed, actions);
         }
         if self.lease.is_some_and(|(_, until)| now >= until) {
             // It may be over: what stands in the registry is not this node's any more.
@@ -298,10 +304,10 @@
         self.next = None;
         let leaving = self.leaves.is_some();
         let ask = match (next, self.lease) {
-            (Next::Put, Some((lease, _))) => Ask::Put { lease, leaving },
-            (Next::Renew, Some((lease, _))) => Ask::Renew { lease },
-            (Next::Revoke, Some((lease, _))) => Ask::Revoke { lease },
-            (Next::Grant, _) | (_, None) => Ask::Grant { ttl: self.settings.ttl },
+            (Next::Put, Some((lease, _))) => Operation::Put { lease, leaving },
+            (Next::Renew, Some((lease, _))) => Operation::Renew { lease },
+            (Next::Revoke, Some((lease, _))) => Operation::Revoke { lease },
+            (Next::Grant, _) | (_, None) => Operation::Grant { ttl: self.settings.ttl },
         };
         self.last_call += 1;
         let call = Call { id: CallId(self.last_call), endpoint: self.endpoint, ask, begun: now };
@@ -328,8 +334,8 @@
         if rounds == 0 {
             return Duration::ZERO;
         }
-        let Settings { retry_least, retry_most, .. } = self.settings;
-        back_off(&mut self.random, retry_least, retry_most, rounds as u32 - 1)
+        let Settings { min_retry_delay, max_retry_delay, .. } = self.settings;
+        back_off(&mut self.random, min_retry_delay, max_retry_delay, rounds as u32 - 1)
     }
 
     fn leave(&mut self, now: Duration, actions: &mut Vec<Action>) {
@@ -347,33 +353,33 @@
         }
     }
 
-    fn ended(&mut self, now: Duration, id: CallId, got: Got, actions: &mut Vec<Action>) {
+    fn ended(&mut self, now: Duration, id: CallId, result: CallResult, actions: &mut Vec<Action>) {
         let Some(call) = self.call.take_if(|call| call.id == id) else { return };
         let renew = |ttl: Duration| call.begun + ttl / RENEW;
-        if got != Got::Failed {
+        if result != CallResult::Failed {
             self.failures = 0;
         }
-        match (call.ask, got) {
-            (Ask::Grant { .. }, Got::Granted { lease, ttl }) => {
+        match (call.ask, result) {
+            (Operation::Grant { .. }, CallResult::Granted { lease, ttl }) => {
                 self.lease = Some((lease, call.begun + ttl));
                 self.next = Some((now, Next::Put));
             }
-            (Ask::Put { leaving: true, .. }, Got::Done) => {
+            (Operation::Put { leaving: true, .. }, CallResult::Done) => {
                 self.show(State::Leaving, actions);
                 let until = self.leaves.unwrap_or(now) + self.settings.drain;
                 self.next = Some((until.max(now), Next::Revoke));
             }
-            (Ask::Put { .. }, Got::Done) => {
+            (Operation::Put { .. }, CallResult::Done) => {
                 self.show(State::Present, actions);
                 let until = self.lease.map_or(now, |(_, until)| until);
                 self.next = Some((now + until.saturating_sub(now) / RENEW, Next::Renew));
             }
-            (Ask::Renew { lease }, Got::Renewed { ttl }) if !ttl.is_zero() => {
+            (Operation::Renew { lease }, CallResult::Renewed { ttl }) if !ttl.is_zero() => {
                 self.lease = Some((lease, call.begun + ttl));
                 self.next = Some((renew(ttl).max(now), Next::Renew));
             }
-            (Ask::Revoke { .. }, Got::Done | Got::NoLease) => self.gone(actions),
-            (_, Got::NoLease | Got::Renewed { .. }) => {
+            (Operation::Revoke { .. }, CallResult::Done | CallResult::NoLease) => self.gone(actions),
+            (_, CallResult::NoLease | CallResult::Renewed { .. }) => {
                 self.lease = None;
                 self.show(State::Absent, actions);
                 match self.leaves {
@@ -385,10 +391,10 @@
                 self.failures = self.failures.saturating_add(1);
                 self.endpoint = (call.endpoint + 1) % self.settings.endpoints;
                 let again = match ask {
-                    Ask::Grant { .. } => Next::Grant,
-                    Ask::Put { .. } => Next::Put,
-                    Ask::Renew { .. } => Next::Renew,
-                    Ask::Revoke { .. } => Next::Revoke,
+                    Operation::Grant { .. } => Next::Grant,
+                    Operation::Put { .. } => Next::Put,
+                    Operation::Renew { .. } => Next::Renew,
+                    Operation::Revoke { .. } => Next::Revoke,
                 };
                 let wait = self.pause();
                 self.next = Some((now + wait, again));
@@ -407,7 +413,7 @@
     struct Played {
         registrar: Registrar,
         now: Duration,
-        calls: Vec<(CallId, Ask)>,
+        calls: Vec<(CallId, Operation)>,
         states: Vec<State>,
     }
 
@@ -432,9 +438,9 @@
             }
         }
 
-        fn end(&mut self, got: Got) {
+        fn end(&mut self, result: CallResult) {
             let (call, _) = *self.calls.last().expect("a call");
-            self.tell(Event::Ended { call, got });
+            self.tell(Event::Ended { call, result });
         }
 
         fn pass(&mut self, time: Duration) {
@@ -446,15 +452,15 @@
             self.now = end;
         }
 
-        fn asked(&self) -> Ask {
+        fn asked(&self) -> Operation {
             self.calls.last().expect("a call").1
         }
 
         fn present() -> Self {
             let mut played = Self::new();
-            played.end(Got::Granted { lease: 9, ttl: S(10) });
-            assert_eq!(played.asked(), Ask::Put { lease: 9, leaving: false });
-            played.end(Got::Done);
+            played.end(CallResult::Granted { lease: 9, ttl: S(10) });
+            assert_eq!(played.asked(), Operation::Put { lease: 9, leaving: false });
+            played.end(CallResult::Done);
             assert_eq!(played.states, [State::Present]);
             played
         }
@@ -467,15 +473,15 @@
             played.pass(S(3));
             let calls = played.calls.len();
             played.pass(S(10) / 3 - S(3));
-            assert_eq!((played.calls.len(), played.asked()), (calls + 1, Ask::Renew { lease: 9 }));
-            played.end(Got::Renewed { ttl: S(10) });
+            assert_eq!((played.calls.len(), played.asked()), (calls + 1, Operation::Renew { lease: 9 }));
+            played.end(CallResult::Renewed { ttl: S(10) });
         }
         played.pass(S(4));
         // etcd answers with a time of 0 for a lease that it does not have.
-        played.end(Got::Renewed { ttl: S(0) });
-        assert!(matches!(played.asked(), Ask::Grant { .. }));
-        played.end(Got::Granted { lease: 10, ttl: S(10) });
-        played.end(Got::Done);
+        played.end(CallResult::Renewed { ttl: S(0) });
+        assert!(matches!(played.asked(), Operation::Grant { .. }));
+        played.end(CallResult::Granted { lease: 10, ttl: S(10) });
+        played.end(CallResult::Done);
         assert_eq!(played.states, [State::Present, State::Absent, State::Present]);
     }
 
@@ -491,7 +497,7 @@
         played.pass(S(590));
         let tried = played.calls.len() - calls;
         assert!((150..400).contains(&tried), "{tried}");
-        assert!(matches!(played.asked(), Ask::Grant { .. }));
+        assert!(matches!(played.asked(), Operation::Grant { .. }));
     }
 
     #[test]
@@ -499,13 +505,13 @@
         let mut played = Played::present();
         played.pass(S(1));
         played.tell(Event::Leave);
-        assert_eq!(played.asked(), Ask::Put { lease: 9, leaving: true });
-        played.end(Got::Done);
+        assert_eq!(played.asked(), Operation::Put { lease: 9, leaving: true });
+        played.end(CallResult::Done);
         played.pass(Duration::from_millis(499));
-        assert_eq!(played.asked(), Ask::Put { lease: 9, leaving: true });
+        assert_eq!(played.asked(), Operation::Put { lease: 9, leaving: true });
         played.pass(Duration::from_millis(1));
-        assert_eq!(played.asked(), Ask::Revoke { lease: 9 });
-        played.end(Got::Done);
+        assert_eq!(played.asked(), Operation::Revoke { lease: 9 });
+        played.end(CallResult::Done);
         assert_eq!(played.states, [State::Present, State::Leaving, State::Gone]);
         assert_eq!(played.registrar.next_wake(), None);
     }
@@ -518,7 +524,7 @@
         assert_eq!(played.states.last(), Some(&State::Gone));
         let mut played = Played::present();
         played.tell(Event::Leave);
-        played.end(Got::NoLease);
+        played.end(CallResult::NoLease);
         assert_eq!(played.states.last(), Some(&State::Gone));
         // Before it ever was registered, at once.
         let mut played = Played::new();
--- a/crates/spurdrum-sources/src/registry/schema.rs
+++ b/crates/spurdrum-sources/src/registry/schema.rs
@@ -3,12 +3,12 @@
 //! A pattern says what the parts of a key are, and pointers (RFC 6901) where a JSON value has the rest:
 //!
 //! ```
-//! use spurdrum_sources::registry::schema::{Schema, ValueForm};
+//! use spurdrum_sources::registry::schema::{Schema, ValueFormat};
 //!
-//! let schema = Schema { key: "/sites/{zone}/{id}".into(), value: ValueForm::Address, ..Schema::default() };
+//! let schema = Schema { key: "/sites/{zone}/{id}".into(), value: ValueFormat::Address, ..Schema::default() };
 //! let schema = schema.compile().expect("sound");
 //! assert_eq!(schema.prefix(), "/sites/");
-//! let member = schema.read(b"/sites/north/s1", b"127.0.0.1:8080").expect("a server");
+//! let member = schema.parse(b"/sites/north/s1", b"127.0.0.1:8080").expect("a server");
 //! assert_eq!((member.id.as_str(), member.locality.as_str()), ("s1", "north"));
 //! ```
 
@@ -32,7 +32,7 @@
 /// What form values have.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum ValueForm {
+pub enum ValueFormat {
     /// A JSON object.
     #[default]
     Json,
@@ -49,7 +49,7 @@
     /// A pattern for keys: text, and parts in braces, each up to the text behind it.
     pub key: String,
     /// What form values have.
-    pub value: ValueForm,
+    pub value: ValueFormat,
     /// Where a JSON value tells a part, as RFC 6901 has it.
     pub fields: BTreeMap<String, String>,
 }
@@ -57,7 +57,7 @@
 impl Default for Schema {
     fn default() -> Self {
         let fields = PARTS.map(|part| (part.to_owned(), format!("/{part}")));
-        Self { key: "/spurdrum/servers/{id}".into(), value: ValueForm::Json, fields: fields.into() }
+        Self { key: "/spurdrum/servers/{id}".into(), value: ValueFormat::Json, fields: fields.into() }
     }
 }
 
@@ -67,7 +67,7 @@
         let of_meta = ["zone", "kind", "cell", "started_ms"].map(|part| (part, format!("/meta/{part}")));
         let own = ["address", "port", "weight", "phase"].map(|part| (part, format!("/{part}")));
         let fields = of_meta.into_iter().chain(own).map(|(part, at)| (part.to_owned(), at));
-        Self { key: "{id}".into(), value: ValueForm::Json, fields: fields.collect() }
+        Self { key: "{id}".into(), value: ValueFormat::Json, fields: fields.collect() }
     }
 
     /// Checks it, and makes it ready.
@@ -75,7 +75,7 @@
     /// # Errors
     ///
     /// The key that makes no sense, and why.
-    pub fn compile(&self) -> Result<Compiled, (&'static str, &'static str)> {
+    pub fn compile(&self) -> Result<CompiledSchema, (&'static str, &'static str)> {
         let pieces = pieces(&self.key).ok_or(("key", "has a brace without its other, or an unknown part"))?;
         let has = |name: &str| pieces.iter().any(|piece| matches!(piece, Piece::Part(part) if *part == name));
         let two = pieces.windows(2).any(|pair| matches!(pair, [Piece::Part(_), Piece::Part(_)]));
@@ -85,7 +85,7 @@
         if !has("id") && !has("address") {
             return Err(("key", "has neither {id} nor {address}: servers would have no names"));
         }
-        if self.value == ValueForm::None && !has("address") {
+        if self.value == ValueFormat::None && !has("address") {
             return Err(("value", "is none, and the key has no {address}"));
         }
         let known = self.fields.keys().all(|part| PARTS.contains(&part.as_str()));
@@ -95,10 +95,10 @@
         if !self.fields.values().all(|at| at.is_empty() || at.starts_with('/')) {
             return Err(("fields", "has a pointer that does not begin with /"));
         }
-        if self.value == ValueForm::Json && !has("address") && !self.fields.contains_key("address") {
+        if self.value == ValueFormat::Json && !has("address") && !self.fields.contains_key("address") {
             return Err(("fields", "has no address"));
         }
-        Ok(Compiled { pieces, value: self.value, fields: self.fields.clone() })
+        Ok(CompiledSchema { pieces, value: self.value, fields: self.fields.clone() })
     }
 }
 
@@ -133,40 +133,40 @@
 
 /// A schema that is ready.
 #[derive(Clone, Debug)]
-pub struct Compiled {
+pub struct CompiledSchema {
     pieces: Vec<Piece>,
-    value: ValueForm,
+    value: ValueFormat,
     fields: BTreeMap<String, String>,
 }
 
 /// Why a key holds no server.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum EntryError {
     /// The key has not the pattern's form.
-    Key,
+    KeyMismatch,
     /// The value has so many bytes, more than may be held.
     TooLong(usize),
     /// The value is no JSON object, or no address.
-    Form,
+    InvalidValue,
     /// This part is missing, of another type or out of range.
-    Part(&'static str),
+    InvalidField(&'static str),
     /// Another key has a server of the same name.
-    Twice(String),
+    DuplicateServer(String),
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for EntryError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Key => f.write_str("the key has not the form of the pattern"),
+            Self::KeyMismatch => f.write_str("the key has not the form of the pattern"),
             Self::TooLong(bytes) => write!(f, "the value has {bytes} bytes"),
-            Self::Form => f.write_str("the value has another form"),
-            Self::Part(part) => write!(f, "`{part}` is missing, of another type or out of range"),
-            Self::Twice(id) => write!(f, "the server {id} has another key"),
+            Self::InvalidValue => f.write_str("the value has another form"),
+            Self::InvalidField(part) => write!(f, "`{part}` is missing, of another type or out of range"),
+            Self::DuplicateServer(id) => write!(f, "the server {id} has another key"),
         }
     }
 }
 
-impl Compiled {
+impl CompiledSchema {
     /// What all keys begin with.
     pub fn prefix(&self) -> &str {
         match self.pieces.first() {
@@ -180,14 +180,14 @@
     /// # Errors
     ///
     /// Why they are none.
-    pub fn read(&self, key: &[u8], value: &[u8]) -> Result<Member, Fault> {
-        let key = std::str::from_utf8(key).map_err(|_| Fault::Key)?;
-        let of_key = self.parts(key).ok_or(Fault::Key)?;
+    pub fn parse(&self, key: &[u8], value: &[u8]) -> Result<Member, EntryError> {
+        let key = std::str::from_utf8(key).map_err(|_| EntryError::KeyMismatch)?;
+        let of_key = self.parts(key).ok_or(EntryError::KeyMismatch)?;
         let json = match self.value {
-            ValueForm::Json => {
-                serde_json::from_slice(value).ok().filter(Json::is_object).ok_or(Fault::Form)?
+            ValueFormat::Json => {
+                serde_json::from_slice(value).ok().filter(Json::is_object).ok_or(EntryError::InvalidValue)?
             }
-            ValueForm::Address | ValueForm::None => Json::Null,
+            ValueFormat::Address | ValueFormat::None => Json::Null,
         };
         let part = |name: &str| -> Option<Json> {
             if let Some(text) = of_key.get(name) {
@@ -199,17 +199,19 @@
             None => Ok(String::new()),
             Some(Json::String(text)) if text.len() <= NAME_MOST => Ok(text),
             Some(Json::Number(number)) => Ok(number.to_string()),
-            Some(_) => Err(Fault::Part(part_name)),
+            Some(_) => Err(EntryError::InvalidField(part_name)),
         };
         let number = |part_name: &'static str, default: f64| match part(part_name) {
             None => Ok(default),
             Some(found) => {
                 let read = found.as_f64().or_else(|| found.as_str()?.parse().ok());
-                read.filter(|number: &f64| number.is_finite()).ok_or(Fault::Part(part_name))
+                read.filter(|number: &f64| number.is_finite()).ok_or(EntryError::InvalidField(part_name))
             }
         };
         let address = match self.value {
-            ValueForm::Address => std::str::from_utf8(value).map_err(|_| Fault::Form)?.trim().to_owned(),
+            ValueFormat::Address => {
+                std::str::from_utf8(value).map_err(|_| EntryError::InvalidValue)?.trim().to_owned()
+            }
             _ => name("address")?,
         };
         let address = address
@@ -221,7 +223,7 @@
                 Some(SocketAddr::new(address.parse::<IpAddr>().ok()?, u16::try_from(port).ok()?))
             })
             .filter(|address| address.port() != 0 && !address.ip().is_unspecified())
-            .ok_or(Fault::Part("address"))?;
+            .ok_or(EntryError::InvalidField("address"))?;
         let id = match name("id")? {
             none if none.is_empty() => address.to_string(),
             id => id,
@@ -230,19 +232,19 @@
             "" | "active" => Phase::Active,
             "leaving" | "draining" => Phase::Leaving,
             "left" => Phase::Left,
-            _ => return Err(Fault::Part("phase")),
+            _ => return Err(EntryError::InvalidField("phase")),
         };
         let weight = number("weight", 1.0)?;
         if weight <= 0.0 || weight > 1e6 {
-            return Err(Fault::Part("weight"));
+            return Err(EntryError::InvalidField("weight"));
         }
         let cell = number("cell", 0.0)?;
         if !(0.0..=1e6).contains(&cell) || cell.fract() != 0.0 {
-            return Err(Fault::Part("cell"));
+            return Err(EntryError::InvalidField("cell"));
         }
         let up_since_ms = number("started_ms", 0.0)?;
         if !(0.0..=1e15).contains(&up_since_ms) {
-            return Err(Fault::Part("started_ms"));
+            return Err(EntryError::InvalidField("started_ms"));
         }
         Ok(Member {
             id,
@@ -284,32 +286,32 @@
 
 /// Servers that have come, changed or gone, and what could not be read.
 #[derive(Debug, Default)]
-pub struct Mapped {
+pub struct ServerChanges {
     /// As they are now; one that cannot be read any more is leaving.
-    pub put: Vec<Member>,
+    pub updated: Vec<Member>,
     /// Their names.
     pub gone: Vec<String>,
     /// Each key that holds no server, once.
-    pub faults: Vec<(String, Fault)>,
+    pub errors: Vec<(String, EntryError)>,
 }
 
 /// Maps changes of keys to changes of servers.
 #[derive(Debug)]
 pub struct Mapper {
-    schema: Compiled,
+    schema: CompiledSchema,
     /// The server of each key.
     servers: HashMap<Vec<u8>, Member>,
     /// The key of each server.
     keys: HashMap<String, Vec<u8>>,
     /// Keys that hold none, as they were told of.
-    faults: HashMap<Vec<u8>, Fault>,
+    faults: HashMap<Vec<u8>, EntryError>,
     /// Servers that already had another key, for when that goes.
     waiting: BTreeMap<Vec<u8>, Member>,
 }
 
 impl Mapper {
     /// A mapper that knows no key.
-    pub fn new(schema: Compiled) -> Self {
+    pub fn new(schema: CompiledSchema) -> Self {
         Self {
             schema,
             servers: HashMap::new(),
@@ -320,15 +322,15 @@
     }
 
     /// Keys that hold no server now.
-    pub fn faults(&self) -> usize {
+    pub fn invalid_keys(&self) -> usize {
         self.faults.len()
     }
 
     /// Maps a change. Its keys are mapped alone: one that cannot be read takes nothing else with it.
-    pub fn map(&mut self, change: &Change) -> Mapped {
-        let mut mapped = Mapped::default();
+    pub fn map(&mut self, change: &Change) -> ServerChanges {
+        let mut mapped = ServerChanges::default();
         // Keys that go first: a server may stand under another key by now.
-        for key in &change.gone {
+        for key in &change.deleted {
             self.faults.remove(key);
             self.waiting.remove(key);
             if let Some(member) = self.servers.remove(key) {
@@ -338,8 +340,8 @@
         }
         for entry in &change.put {
             let read = match &entry.value {
-                Value::Whole(value) => self.schema.read(&entry.key, value),
-                Value::TooLong(bytes) => Err(Fault::TooLong(*bytes)),
+                Value::Whole(value) => self.schema.parse(&entry.key, value),
+                Value::TooLong(bytes) => Err(EntryError::TooLong(*bytes)),
             };
             self.waiting.remove(&entry.key);
             match read {
@@ -361,9 +363,9 @@
         mapped
     }
 
-    fn put(&mut self, key: &[u8], member: Member, mapped: &mut Mapped) {
+    fn put(&mut self, key: &[u8], member: Member, mapped: &mut ServerChanges) {
         if self.keys.get(&member.id).is_some_and(|other| other != key) {
-            let fault = Fault::Twice(member.id.clone());
+            let fault = EntryError::DuplicateServer(member.id.clone());
             if self.waiting.len() < FAULTS_MOST {
                 self.waiting.insert(key.to_owned(), member);
             }
@@ -377,20 +379,20 @@
             mapped.gone.push(before.id);
         }
         self.keys.insert(member.id.clone(), key.to_owned());
-        mapped.put.push(member);
+        mapped.updated.push(member);
     }
 
-    fn fault(&mut self, key: &[u8], fault: Fault, mapped: &mut Mapped) {
+    fn fault(&mut self, key: &[u8], fault: EntryError, mapped: &mut ServerChanges) {
         // What it does now nobody can tell: it keeps what it has, and gets nothing new.
         if let Some(member) = self.servers.get_mut(key) {
             member.phase = Phase::Leaving;
-            mapped.put.push(member.clone());
+            mapped.updated.push(member.clone());
         }
         let told = self.faults.get(key) == Some(&fault);
         if !told && (self.faults.contains_key(key) || self.faults.len() < FAULTS_MOST) {
             self.faults.insert(key.to_owned(), fault.clone());
             let shown = String::from_utf8_lossy(&key[..key.len().min(NAME_MOST)]).into_owned();
-            mapped.faults.push((shown, fault));
+            mapped.errors.push((shown, fault));
         }
     }
 }
@@ -407,9 +409,9 @@
         Entry { key: key.into(), value: Value::Whole(value.into()) }
     }
 
-    fn change(put: Vec<Entry>, gone: &[&str]) -> Change {
-        let gone = gone.iter().map(|key| key.as_bytes().to_vec()).collect();
-        Change { revision: 1, whole: false, put, gone }
+    fn change(put: Vec<Entry>, deleted: &[&str]) -> Change {
+        let deleted = deleted.iter().map(|key| key.as_bytes().to_vec()).collect();
+        Change { revision: 1, from_full_read: false, put, deleted }
     }
 
     #[test]
@@ -418,17 +420,17 @@
         let (a, b) = ("/spurdrum/servers/a", "/spurdrum/servers/b");
         let good = r#"{"address":"127.0.0.1:1","zone":"n","weight":2}"#;
         let mapped = mapper.map(&change(vec![put(a, good), put(b, "{")], &[]));
-        assert_eq!((mapped.put.len(), mapped.put[0].size), (1, 2.0));
-        assert_eq!(mapped.faults, [(b.to_owned(), Fault::Form)]);
-        assert!(mapper.map(&change(vec![put(b, "{")], &[])).faults.is_empty());
+        assert_eq!((mapped.updated.len(), mapped.updated[0].size), (1, 2.0));
+        assert_eq!(mapped.errors, [(b.to_owned(), EntryError::InvalidValue)]);
+        assert!(mapper.map(&change(vec![put(b, "{")], &[])).errors.is_empty());
         // One that was known keeps what it has.
         let mapped = mapper.map(&change(vec![put(a, r#"{"address":"nowhere"}"#)], &[]));
-        assert_eq!((mapped.put[0].id.as_str(), mapped.put[0].phase), ("a", Phase::Leaving));
-        assert_eq!(mapped.faults[0].1, Fault::Part("address"));
+        assert_eq!((mapped.updated[0].id.as_str(), mapped.updated[0].phase), ("a", Phase::Leaving));
+        assert_eq!(mapped.errors[0].1, EntryError::InvalidField("address"));
         let mapped = mapper.map(&change(vec![put(a, good)], &[]));
-        assert_eq!(mapped.put[0].phase, Phase::Active);
+        assert_eq!(mapped.updated[0].phase, Phase::Active);
         assert_eq!(mapper.map(&change(Vec::new(), &[a, b])).gone, ["a"]);
-        assert_eq!(mapper.faults(), 0);
+        assert_eq!(mapper.invalid_keys(), 0);
     }
 
     #[test]
@@ -438,10 +440,10 @@
         let at = r#"{"address":"127.0.0.1:1"}"#;
         mapper.map(&change(vec![put("/n/a", at)], &[]));
         let twice = mapper.map(&change(vec![put("/s/a", at)], &[]));
-        assert_eq!(twice.faults, [("/s/a".to_owned(), Fault::Twice("a".into()))]);
+        assert_eq!(twice.errors, [("/s/a".to_owned(), EntryError::DuplicateServer("a".into()))]);
         let moved = mapper.map(&change(Vec::new(), &["/n/a"]));
         assert!(moved.gone.is_empty(), "{moved:?}");
-        assert_eq!(moved.put[0].locality, "s");
+        assert_eq!(moved.updated[0].locality, "s");
     }
 
     #[test]
@@ -461,7 +463,7 @@
             value in r#"\{("(address|weight|cell|phase|started_ms|id)":("127\.0\.0\.1:[0-9]{1,5}"|-?[0-9]{1,4}|null|"active"),?){0,4}\}?"#,
         ) {
             let schema = Schema::default().compile().expect("sound");
-            if let Ok(member) = schema.read(key.as_bytes(), value.as_bytes()) {
+            if let Ok(member) = schema.parse(key.as_bytes(), value.as_bytes()) {
                 prop_assert!(member.size > 0.0 && member.host_port.port() > 0 && !member.id.is_empty());
             }
         }
--- a/crates/spurdrum-sources/src/registry/shell.rs
+++ b/crates/spurdrum-sources/src/registry/shell.rs
@@ -8,7 +8,9 @@
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
 
-use super::follower::{Action, Ask, CallId, Cause, Change, Counts, Event, Failure, Follower, Note, Settings};
+use super::follower::{
+    Action, CallId, Cause, Change, Counts, Event, Failure, Follower, Note, Query, Settings,
+};
 use crate::follower::View;
 use crate::Alarm;
 
@@ -19,11 +21,11 @@
 
 /// What a follower has for the node.
 #[derive(Debug)]
-pub enum News {
+pub enum RegistryEvent {
     /// Keys have changed.
     Change(Change),
     /// The copy is trusted otherwise than before.
-    View {
+    FreshnessChanged {
         /// Before.
         from: View,
         /// Now.
@@ -37,27 +39,27 @@
 
 /// How a registry is asked. It neither chooses nor repeats.
 #[allow(async_fn_in_trait)]
-pub trait Wire: 'static {
+pub trait RegistryClient: 'static {
     /// Asks an endpoint, and returns the call's last event. What comes before that is told as it comes; what is asked of an
     /// open watch comes by `probes`. Dropped, it is given up.
     ///
     /// # Errors
     ///
     /// How the call failed.
-    async fn ask(
+    async fn query(
         &self,
         call: CallId,
         endpoint: usize,
-        ask: Ask,
+        query: Query,
         probes: mpsc::Receiver<()>,
         tell: impl Fn(Event),
     ) -> Result<Event, Failure>;
 
     /// A call at this endpoint was given up, or failed so: what is kept for it may be dead.
-    fn forget(&self, endpoint: usize, why: Option<Failure>);
+    fn forget(&self, endpoint: usize, failure: Option<Failure>);
 }
 
-type Listener = Box<dyn Fn(News)>;
+type Listener = Box<dyn Fn(RegistryEvent)>;
 
 /// A call that is out.
 struct Out {
@@ -75,7 +77,7 @@
     news: RefCell<Option<Listener>>,
 }
 
-impl<W: Wire> Shell<W> {
+impl<W: RegistryClient> Shell<W> {
     /// A registry of which nothing is known yet.
     ///
     /// # Errors
@@ -92,7 +94,7 @@
     }
 
     /// Follows it for as long as this is awaited; each piece of news is handed over as it comes.
-    pub async fn follow(self: Rc<Self>, news: impl Fn(News) + 'static) {
+    pub async fn follow(self: Rc<Self>, news: impl Fn(RegistryEvent) + 'static) {
         *self.news.borrow_mut() = Some(Box::new(news));
         loop {
             self.tell(Event::Tick);
@@ -106,7 +108,7 @@
     pub fn status(&self) -> (View, Option<Duration>, Option<u64>, Counts) {
         let follower = self.follower.borrow();
         let age = follower.age(self.alarm.now());
-        (follower.view(), age, follower.revision(), follower.counts().clone())
+        (follower.freshness(), age, follower.revision(), follower.counts().clone())
     }
 
     fn tell(self: &Rc<Self>, event: Event) {
@@ -114,7 +116,7 @@
         self.follower.borrow_mut().handle(self.alarm.now(), event, &mut actions);
         for action in actions {
             match action {
-                Action::Call { call, endpoint, ask } => self.call(call, endpoint, ask),
+                Action::Call { call, endpoint, query } => self.call(call, endpoint, query),
                 Action::Probe(call) => {
                     if let Some(out) = self.calls.borrow().get(&call) {
                         let _ = out.probes.try_send(());
@@ -127,33 +129,35 @@
                         self.wire.forget(out.endpoint, None);
                     }
                 }
-                Action::Apply(change) => self.hand_over(News::Change(change)),
-                Action::State { from, to, cause } => self.hand_over(News::View { from, to, cause }),
-                Action::Note(note) => self.hand_over(News::Note(note)),
+                Action::Apply(change) => self.hand_over(RegistryEvent::Change(change)),
+                Action::FreshnessChanged { from, to, cause } => {
+                    self.hand_over(RegistryEvent::FreshnessChanged { from, to, cause })
+                }
+                Action::Note(note) => self.hand_over(RegistryEvent::Note(note)),
             }
         }
         self.alarm.sooner(self.follower.borrow().next_wake());
     }
 
-    fn hand_over(&self, news: News) {
+    fn hand_over(&self, news: RegistryEvent) {
         if let Some(to) = &*self.news.borrow() {
             to(news);
         }
     }
 
-    fn call(self: &Rc<Self>, call: CallId, endpoint: usize, ask: Ask) {
+    fn call(self: &Rc<Self>, call: CallId, endpoint: usize, query: Query) {
         let (probes, asked) = mpsc::channel(PROBES_MOST);
         let shell = Rc::clone(self);
         let task = tokio::task::spawn_local(async move {
             let tell = |event| shell.tell(event);
-            let ended = shell.wire.ask(call, endpoint, ask, asked, tell).await;
+            let ended = shell.wire.query(call, endpoint, query, asked, tell).await;
             // A call that was given up meanwhile says nothing any more.
             if shell.calls.borrow_mut().remove(&call).is_none() {
                 return;
             }
-            shell.tell(ended.unwrap_or_else(|why| {
-                shell.wire.forget(endpoint, Some(why));
-                Event::Failed { call, why }
+            shell.tell(ended.unwrap_or_else(|failure| {
+                shell.wire.forget(endpoint, Some(failure));
+                Event::Failed { call, failure }
             }));
         });
         self.calls.borrow_mut().insert(call, Out { endpoint, task: task.abort_handle(), probes });
--- a/crates/spurdrum-sources/src/registry/tls.rs
+++ b/crates/spurdrum-sources/src/registry/tls.rs
@@ -16,7 +16,7 @@
     /// The node's own certificate and key; none where it is asked for none.
     pub identity: Option<(Vec<u8>, Vec<u8>)>,
     /// The name that the registry's certificates must have, where that is not the endpoint's.
-    pub name: Option<String>,
+    pub server_name: Option<String>,
 }
 
 impl Tls {
--- a/crates/spurdrum-sources/tests/consul.rs
+++ b/crates/spurdrum-sources/tests/consul.rs
@@ -14,7 +14,7 @@
 use spurdrum_sources::registry::consul::{Consul, Service};
 use spurdrum_sources::registry::follower::{Interface, Settings};
 use spurdrum_sources::registry::schema::{Mapper, Schema};
-use spurdrum_sources::registry::shell::{News, Shell};
+use spurdrum_sources::registry::shell::{RegistryEvent, Shell};
 use spurdrum_sources::registry::tls::Tls;
 use spurdrum_sources::{Member, Phase};
 use spurdrum_standin::registry::consul::{instance, Consul as StandIn};
@@ -45,10 +45,10 @@
     LocalSet::new().block_on(&runtime, async {
         let ms = Duration::from_millis;
         let settings = Settings {
-            interface: Interface::Blocking,
+            interface: Interface::BlockingQueries,
             endpoints: 2,
-            wait_least: ms(100),
-            wait_most: ms(200),
+            min_wait: ms(100),
+            max_wait: ms(200),
             ..Settings::default()
         };
         let service = Service {
@@ -63,13 +63,13 @@
         let faults = Rc::new(RefCell::new(0));
         let (to, seen) = (Rc::clone(&listed), Rc::clone(&faults));
         let following = tokio::task::spawn_local(Rc::clone(&shell).follow(move |news| {
-            let News::Change(change) = news else { return };
+            let RegistryEvent::Change(change) = news else { return };
             let mapped = mapper.borrow_mut().map(&change);
-            *seen.borrow_mut() += mapped.faults.len();
+            *seen.borrow_mut() += mapped.errors.len();
             for id in mapped.gone {
                 to.borrow_mut().remove(&id);
             }
-            for member in mapped.put {
+            for member in mapped.updated {
                 to.borrow_mut().insert(member.id.clone(), member);
             }
         }));
@@ -120,11 +120,11 @@
     for (ca, name, followed) in
         [(&ca, "consul.test", true), (&other, "consul.test", false), (&ca, "other.test", false)]
     {
-        let tls = Tls { ca: ca.clone().into_bytes(), identity: None, name: Some(name.into()) };
+        let tls = Tls { ca: ca.clone().into_bytes(), identity: None, server_name: Some(name.into()) };
         let service =
             Service { endpoints: agent.endpoints.clone(), name: "s".into(), token: None, tls: Some(tls) };
         LocalSet::new().block_on(&runtime, async {
-            let settings = Settings { interface: Interface::Blocking, ..Settings::default() };
+            let settings = Settings { interface: Interface::BlockingQueries, ..Settings::default() };
             let shell = Shell::new(Consul::new(service).expect("sound"), settings, 5).expect("sound");
             let following = tokio::task::spawn_local(Rc::clone(&shell).follow(|_| {}));
             let settled = async {
--- a/crates/spurdrum-sources/tests/etcd.rs
+++ b/crates/spurdrum-sources/tests/etcd.rs
@@ -12,7 +12,7 @@
 use spurdrum_sources::follower::View;
 use spurdrum_sources::registry::etcd::{Cluster, Etcd};
 use spurdrum_sources::registry::follower::{Change, Counts, Note, Settings, Value};
-use spurdrum_sources::registry::shell::{News, Shell};
+use spurdrum_sources::registry::shell::{RegistryEvent, Shell};
 use spurdrum_sources::registry::tls::Tls;
 use spurdrum_standin::registry::etcd::Etcd as StandIn;
 use tokio::sync::Notify;
@@ -89,11 +89,12 @@
         let place = Cluster {
             endpoints: cluster.uris(),
             prefix: b"/servers/".to_vec(),
-            user: user.map(|(name, password)| (name.to_owned(), password.to_owned())),
+            credentials: user.map(|(name, password)| (name.to_owned(), password.to_owned())),
             tls,
         };
         let ms = Duration::from_millis;
-        let settings = Settings { endpoints, page: 3, confirm: ms(200), ..Settings::default() };
+        let settings =
+            Settings { endpoints, page_size: 3, revision_check_interval: ms(200), ..Settings::default() };
         let etcd = Shell::new(Etcd::new(place).expect("sound"), settings, 5).expect("sound settings");
         let heard = Rc::new(RefCell::new(Heard::default()));
         let told = Rc::new(Notify::new());
@@ -101,19 +102,22 @@
         let following = tokio::task::spawn_local(Rc::clone(&etcd).follow(move |news| {
             let mut heard = to.borrow_mut();
             match news {
-                News::Change(change) => {
-                    for gone in &change.gone {
+                RegistryEvent::Change(change) => {
+                    for gone in &change.deleted {
                         assert!(heard.copy.remove(gone).is_some(), "what goes was there");
                     }
                     for entry in &change.put {
                         let Value::Whole(value) = &entry.value else { panic!("{entry:?}") };
                         let before = heard.copy.insert(entry.key.clone(), value.clone());
-                        assert!(!change.whole || before.as_ref() != Some(value), "what is known is not told");
+                        assert!(
+                            !change.from_full_read || before.as_ref() != Some(value),
+                            "what is known is not told"
+                        );
                     }
                     heard.changes.push(change);
                 }
-                News::View { to, .. } => heard.view = Some(to),
-                News::Note(note) => heard.notes.push(note),
+                RegistryEvent::FreshnessChanged { to, .. } => heard.view = Some(to),
+                RegistryEvent::Note(note) => heard.notes.push(note),
             }
             tell.notify_one();
         }));
@@ -140,9 +144,9 @@
             });
             played.same("a round").await;
         }
-        assert!(played.counts().compacted > 0, "{:?}", played.counts());
+        assert!(played.counts().compactions > 0, "{:?}", played.counts());
         assert!(played.heard.borrow().notes.contains(&Note::Compacted));
-        let whole = |change: &&Change| change.put.len() >= 249 && !change.whole;
+        let whole = |change: &&Change| change.put.len() >= 249 && !change.from_full_read;
         // A connected node has a transaction as one change.
         played.cluster.with(|registry| {
             let put = (0..250).map(|n| (key(n).into_bytes(), Some(b"last".to_vec()), 0));
@@ -161,7 +165,7 @@
         played.until("the other endpoint", |heard, _| heard.copy[key(0).as_bytes()] == b"changed").await;
         played.cluster.pause(0, false);
         played.same("the end").await;
-        assert!(played.counts().silent > 0 || played.counts().calls[1] > 1, "{:?}", played.counts());
+        assert!(played.counts().timed_out > 0 || played.counts().calls[1] > 1, "{:?}", played.counts());
     });
 }
 
@@ -204,7 +208,7 @@
         played.same("the lease").await;
         assert!(played.cluster.with(|registry| registry.revoke(lease)));
         played.same("its end").await;
-        assert_eq!(played.heard.borrow().changes.last().expect("one").gone.len(), 3);
+        assert_eq!(played.heard.borrow().changes.last().expect("one").deleted.len(), 3);
     });
 }
 
@@ -228,7 +232,7 @@
     let tls = Tls {
         ca: server_ca.into_bytes(),
         identity: Some((own.into_bytes(), own_key.into_bytes())),
-        name: Some("registry.test".into()),
+        server_name: Some("registry.test".into()),
     };
     play_with(cluster, None, Some(tls), |played| async move {
         played.cluster.break_streams(0);
@@ -252,8 +256,8 @@
     let cluster = StandIn::start_tls(1, &certificate, &key, &client_ca).expect("started");
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     for (what, ca, name, identity) in cases {
-        let tls = Some(Tls { ca: ca.into_bytes(), identity, name: Some(name.into()) });
-        let place = Cluster { endpoints: cluster.uris(), prefix: b"/".to_vec(), user: None, tls };
+        let tls = Some(Tls { ca: ca.into_bytes(), identity, server_name: Some(name.into()) });
+        let place = Cluster { endpoints: cluster.uris(), prefix: b"/".to_vec(), credentials: None, tls };
         LocalSet::new().block_on(&runtime, async {
             let shell = Shell::new(Etcd::new(place).expect("sound"), Settings::default(), 5).expect("sound");
             let following = tokio::task::spawn_local(Rc::clone(&shell).follow(|_| {}));
--- a/crates/spurdrum/src/main.rs
+++ b/crates/spurdrum/src/main.rs
@@ -42,7 +42,7 @@
 use registry::{Place, Registry};
 use spurdrum_sources::registry::consul::Consul;
 use spurdrum_sources::registry::etcd::{Etcd, Registration};
-use spurdrum_sources::registry::shell::{Shell, Wire};
+use spurdrum_sources::registry::shell::{RegistryClient, Shell};
 
 /// A load-balancing reverse proxy: one node.
 ///
@@ -393,15 +393,16 @@
     let (leave, leaves) = oneshot::channel();
     let (tell, gone) = oneshot::channel();
     tokio::task::spawn_local(async move {
-        let [active, leaving] = register.values.map(String::into_bytes);
-        let registration = Registration { etcd, key: register.key.clone().into_bytes(), active, leaving };
+        let [active_value, leaving_value] = register.values.map(String::into_bytes);
+        let registration =
+            Registration { etcd, key: register.key.clone().into_bytes(), active_value, leaving_value };
         let leaves = async {
             // Dropped unheard, it comes to the same.
             let _ = leaves.await;
         };
         let told = |state| tracing::info!("the node's key {} in the registry: {state}", register.key);
         // Its settings were looked at when they were read.
-        let _ = registration.keep(register.settings, seed, leaves, told).await;
+        let _ = registration.run(register.settings, seed, leaves, told).await;
         let _ = tell.send(());
     });
     (leave, gone)
@@ -411,7 +412,7 @@
 
 /// Follows a registry for as long as the node runs. How its state is shown.
 fn watch(merged: &Rc<Merged>, registry: Registry, seed: u64) -> Result<Status, (&'static str, &'static str)> {
-    fn follow<W: Wire>(
+    fn follow<W: RegistryClient>(
         merged: &Rc<Merged>,
         wire: W,
         registry: Registry,
--- a/crates/spurdrum/src/merge.rs
+++ b/crates/spurdrum/src/merge.rs
@@ -6,8 +6,8 @@
 use spurdrum_core::{unix_ms, Node};
 use spurdrum_http::Upstream;
 use spurdrum_sources::reconciler::{Action, Event, Reconciler, Settings};
-use spurdrum_sources::registry::schema::{Compiled, Mapper};
-use spurdrum_sources::registry::shell::{News, Shell, Wire};
+use spurdrum_sources::registry::schema::{CompiledSchema, Mapper};
+use spurdrum_sources::registry::shell::{RegistryClient, RegistryEvent, Shell};
 use spurdrum_sources::{Alarm, List, Member};
 
 use crate::list::{self, Places};
@@ -83,22 +83,22 @@
     }
 
     /// Follows a registry for as long as this is awaited.
-    pub async fn follow<W: Wire>(self: Rc<Self>, registry: Rc<Shell<W>>, schema: Compiled) {
+    pub async fn follow<W: RegistryClient>(self: Rc<Self>, registry: Rc<Shell<W>>, schema: CompiledSchema) {
         let mapper = RefCell::new(Mapper::new(schema));
         let shown = Rc::clone(&registry);
         let news = move |news| match news {
-            News::Change(change) => {
+            RegistryEvent::Change(change) => {
                 let mapped = mapper.borrow_mut().map(&change);
-                for (key, fault) in mapped.faults {
+                for (key, fault) in mapped.errors {
                     tracing::warn!("the registry's key {key} holds no server: {fault}");
                 }
-                self.update(REGISTRY, false, mapped.put, mapped.gone);
+                self.update(REGISTRY, false, mapped.updated, mapped.gone);
             }
-            News::View { from, to, cause } => {
+            RegistryEvent::FreshnessChanged { from, to, cause } => {
                 tracing::info!("the registry: {from} -> {to}, {cause}; {}", status(&shown));
                 self.tell(Event::View { source: REGISTRY, view: to });
             }
-            News::Note(note) => tracing::warn!("the registry: {note}"),
+            RegistryEvent::Note(note) => tracing::warn!("the registry: {note}"),
         };
         registry.follow(news).await;
     }
@@ -116,7 +116,7 @@
 }
 
 /// The state of a registry's copy in one line, for operators.
-pub fn status<W: Wire>(registry: &Shell<W>) -> String {
+pub fn status<W: RegistryClient>(registry: &Shell<W>) -> String {
     let (view, age, revision, counts) = registry.status();
     let (age, revision) = list::shown(age, revision);
     format!("registry {view}, proved {age}, revision {revision}; {counts}")
--- a/crates/spurdrum/src/registry.rs
+++ b/crates/spurdrum/src/registry.rs
@@ -8,7 +8,7 @@
 use spurdrum_sources::reconciler::{self, Combine};
 use spurdrum_sources::registry::consul::Service;
 use spurdrum_sources::registry::etcd::Cluster;
-use spurdrum_sources::registry::schema::{Compiled, Schema, ValueForm};
+use spurdrum_sources::registry::schema::{CompiledSchema, Schema, ValueFormat};
 use spurdrum_sources::registry::tls::Tls;
 use spurdrum_sources::registry::{follower, registrar};
 
@@ -32,7 +32,7 @@
     /// How it is followed.
     pub following: follower::Settings,
     /// How keys and values map to servers.
-    pub schema: Compiled,
+    pub schema: CompiledSchema,
     /// How its servers and those of other sources are made into one list.
     pub merging: reconciler::Settings,
 }
@@ -100,7 +100,7 @@
     user: Option<String>,
     password_file: Option<PathBuf>,
     key: Option<String>,
-    value: Option<ValueForm>,
+    value: Option<ValueFormat>,
     fields: Option<std::collections::BTreeMap<String, String>>,
     stale: bool,
     page: Option<u32>,
@@ -214,39 +214,43 @@
                 return Err((REGISTRY, "ca_file", "goes with `server_name`, and `cert_file` with `key_file`"))
             }
         };
-        let mut following =
-            follower::Settings { nodes: me.nodes, me: me.me, stale: self.stale, ..Default::default() };
+        let mut following = follower::Settings {
+            nodes: me.nodes,
+            node_index: me.me,
+            allow_stale: self.stale,
+            ..Default::default()
+        };
         following.endpoints = self.endpoints.len();
         if !is_etcd {
-            following.interface = follower::Interface::Blocking;
+            following.interface = follower::Interface::BlockingQueries;
         }
-        set_time(&mut following.wait_least, self.wait_least_ms);
-        set_time(&mut following.wait_most, self.wait_most_ms);
-        set(&mut following.page, self.page);
-        set(&mut following.keys, self.keys);
-        set(&mut following.value, self.value_bytes);
-        set(&mut following.change, self.change_bytes);
-        set_time(&mut following.probe, self.probe_ms);
+        set_time(&mut following.min_wait, self.wait_least_ms);
+        set_time(&mut following.max_wait, self.wait_most_ms);
+        set(&mut following.page_size, self.page);
+        set(&mut following.max_keys, self.keys);
+        set(&mut following.max_value_bytes, self.value_bytes);
+        set(&mut following.max_change_bytes, self.change_bytes);
+        set_time(&mut following.probe_interval, self.probe_ms);
         set(&mut following.probes_per_s, self.probes_per_s);
-        set_time(&mut following.patience, self.patience_ms);
-        set_time(&mut following.give_up, self.give_up_ms);
-        set_time(&mut following.confirm, self.confirm_ms);
-        set_time(&mut following.lag, self.lag_ms);
-        set_time(&mut following.blind_after, self.blind_after_ms);
-        set_time(&mut following.retry_least, self.retry_least_ms);
-        set_time(&mut following.retry_most, self.retry_most_ms);
-        set_time(&mut following.spread, self.spread_ms);
+        set_time(&mut following.overdue_after, self.patience_ms);
+        set_time(&mut following.silence_timeout, self.give_up_ms);
+        set_time(&mut following.revision_check_interval, self.confirm_ms);
+        set_time(&mut following.max_lag, self.lag_ms);
+        set_time(&mut following.stale_after, self.blind_after_ms);
+        set_time(&mut following.min_retry_delay, self.retry_least_ms);
+        set_time(&mut following.max_retry_delay, self.retry_most_ms);
+        set_time(&mut following.spread_per_node, self.spread_ms);
         following.validate().map_err(of)?;
-        let tls = tls_files.as_ref().map(|_| Tls { name: self.server_name.clone(), ..Tls::default() });
+        let tls = tls_files.as_ref().map(|_| Tls { server_name: self.server_name.clone(), ..Tls::default() });
         let place = match &self.service {
             None => {
                 let cluster = Cluster {
                     endpoints: self.endpoints.clone(),
                     prefix: schema.prefix().as_bytes().to_vec(),
-                    user: self.user.clone().map(|user| (user, String::new())),
+                    credentials: self.user.clone().map(|user| (user, String::new())),
                     tls,
                 };
-                cluster.check().map_err(of)?;
+                cluster.validate().map_err(of)?;
                 Place::Etcd(cluster)
             }
             Some(name) => {
@@ -315,7 +319,7 @@
         let secret = text.trim_end_matches(['\r', '\n']).to_owned();
         match &mut self.place {
             Place::Etcd(cluster) => {
-                if let Some((_, password)) = &mut cluster.user {
+                if let Some((_, password)) = &mut cluster.credentials {
                     *password = secret;
                 }
             }
