--- a/crates/spurdrum-bench/src/choice.rs
+++ b/crates/spurdrum-bench/src/choice.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use spurdrum_policy::{
-    Action, Availability, Balancer, Class, Effect, Ending, Event, Listing, Outcome, Report, Request,
+    Action, Availability, Balancer, Class, Effect, Ending, Event, ListUpdate, LoadReport, Outcome, Request,
     RequestId, ServerEntry, ServerId, Settings,
 };
 
@@ -31,14 +31,14 @@
 fn one(servers: usize, nodes: usize, requests: usize) -> f64 {
     let mut settings = Settings::new(vec![Class::new(400.0, 800.0, Effect::Safe)]);
     // Probes are dear: nodes that share servers choose by reports in answers.
-    (settings.nodes, settings.me, settings.probe_price) = (nodes, nodes / 2, 1.0);
+    (settings.nodes, settings.node_index, settings.probe_price) = (nodes, nodes / 2, 1.0);
     let mut balancer = Balancer::new(settings, 1).expect("sound settings");
     let mut actions = Vec::new();
     let entry = |n: usize| ServerEntry {
-        key: (n as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15),
+        name_hash: (n as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15),
         ..ServerEntry::new(ServerId(n), Availability::Ready)
     };
-    balancer.handle(0.0, Event::Servers(Listing::Full((0..servers).map(entry).collect())), &mut actions);
+    balancer.handle(0.0, Event::Servers(ListUpdate::Full((0..servers).map(entry).collect())), &mut actions);
     let mut rng = fastrand::Rng::with_seed(7);
     let pause = 1000.0 * nodes as f64 / (RATE * servers as f64);
     let mut out = std::collections::VecDeque::new();
@@ -51,7 +51,7 @@
         actions.clear();
         while let Some((id, sent)) = out.front().copied().filter(|(_, sent)| sent + TAKES <= now) {
             out.pop_front();
-            let held = Report { in_flight: Some(f64::from(rng.u8(0..4))), queued: None };
+            let held = LoadReport { in_flight: Some(f64::from(rng.u8(0..4))), queued: None };
             let outcome = Outcome {
                 request: RequestId(id),
                 attempt: 0,
--- a/crates/spurdrum-core/src/node.rs
+++ b/crates/spurdrum-core/src/node.rs
@@ -8,8 +8,8 @@
 
 use spurdrum_affinity::Affinity;
 use spurdrum_policy::{
-    Action, Availability, Balancer, Ending, Event, Learned, LearnedServer, Listing, NewSettings, Outcome,
-    Report, Request, RequestId, ServerEntry, ServerId, Settings,
+    Action, Availability, Balancer, Ending, Event, LearnedServerState, LearnedState, ListUpdate, LoadReport,
+    NewSettings, Outcome, Request, RequestId, ServerEntry, ServerId, Settings,
 };
 use spurdrum_trace::{Seen, State, Trace};
 use tokio::sync::oneshot;
@@ -221,7 +221,7 @@
         let stood_still = self.connections.attention().stood_still();
         let pause = stood_still - self.told_stood_still.replace(stood_still);
         if !pause.is_zero() {
-            self.decide(Event::Resumed { stood_still_ms: pause.as_secs_f64() * 1000.0 });
+            self.decide(Event::Resumed { paused_ms: pause.as_secs_f64() * 1000.0 });
         }
         self.decide(event);
     }
@@ -284,7 +284,7 @@
             Action::Fail { request } => self.answer(request, Answer::Failed),
             // The list is followed whether they ask for it or not.
             Action::Subscribe => {}
-            Action::TakenOut { server } => {
+            Action::Ejected { server } => {
                 tracing::info!("server {} is taken out", self.shown(server));
                 (self.signs)(Sign::TakenOut);
             }
@@ -310,12 +310,12 @@
     pub fn retune(self: &Rc<Self>, new: NewSettings, most_held: usize) {
         self.settings.replace(Rc::new(new.settings.clone()));
         self.most_held.set(most_held);
-        self.handle(Event::Settings(Box::new(new)));
+        self.handle(Event::Reload(Box::new(new)));
     }
 
     /// What the decisions have learned, with the servers' ids.
-    pub fn learned(&self) -> (Vec<String>, Learned) {
-        let mut learned = self.balancer.borrow().learned();
+    pub fn learned(&self) -> (Vec<String>, LearnedState) {
+        let mut learned = self.balancer.borrow().export_learned();
         let ids = self.ids.borrow();
         let names: HashMap<ServerId, &String> = ids.iter().map(|(id, server)| (*server, id)).collect();
         learned.servers.retain(|known| names.contains_key(&known.server));
@@ -323,14 +323,16 @@
     }
 
     /// Goes on from what another process of this node has learned, whose servers have these ids. For before the first request.
-    pub fn learn(self: &Rc<Self>, ids: &[String], mut learned: Learned) {
+    pub fn learn(self: &Rc<Self>, ids: &[String], mut learned: LearnedState) {
         let own = self.ids.borrow();
         let known = std::mem::take(&mut learned.servers).into_iter().zip(ids);
         learned.servers = known
-            .filter_map(|(known, id)| own.get(id).map(|server| LearnedServer { server: *server, ..known }))
+            .filter_map(|(known, id)| {
+                own.get(id).map(|server| LearnedServerState { server: *server, ..known })
+            })
             .collect();
         drop(own);
-        self.handle(Event::Learned(Box::new(learned)));
+        self.handle(Event::ImportLearnedState(Box::new(learned)));
     }
 
     /// Connections to servers.
@@ -369,7 +371,7 @@
             if node.leave_line(id) {
                 let (name, waited) = (node.name_of(id), most.as_secs_f64());
                 tracing::info!("request {name} refused, it waited {waited:.3} s for the list");
-                let retry_after_ms = node.settings().retry_after_most_ms;
+                let retry_after_ms = node.settings().max_retry_after_ms;
                 node.answer(id, Answer::Refused(retry_after_ms));
             }
         });
@@ -400,13 +402,14 @@
         }
         self.last_id.set(self.last_id.get() + 1);
         let id = RequestId(self.last_id.get());
-        let prefers = self.affinity.as_ref().zip(asked.affinity());
-        let prefers = prefers.and_then(|(affinity, ask)| affinity.borrow_mut().prefers(self.now(), ask));
+        let preferred_server = self.affinity.as_ref().zip(asked.affinity());
+        let preferred_server =
+            preferred_server.and_then(|(affinity, ask)| affinity.borrow_mut().prefers(self.now(), ask));
         let held =
             Held { request: Rc::new(asked), answer: Some(answer), attempts: Vec::new(), has_begun: false };
         self.requests.borrow_mut().insert(id, held);
         self.saw(id, |id| Seen::Asked { id, class: request.class });
-        let request = Request { id, prefers, ..request };
+        let request = Request { id, preferred_server, ..request };
         if self.is_starting() {
             self.wait_in_line(request);
         } else {
@@ -443,7 +446,7 @@
 
     /// Part of its body is gone for good: it cannot be sent again.
     pub fn spent(self: &Rc<Self>, id: RequestId) {
-        self.handle(Event::Spent(id));
+        self.handle(Event::BodyConsumed(id));
     }
 
     /// Requests that still wait for something.
@@ -453,7 +456,7 @@
 
     /// Servers in the list, and those of them that the decisions avoid now.
     pub fn servers(&self) -> (usize, usize) {
-        (self.ids.borrow().len(), self.balancer.borrow().avoided(self.now()))
+        (self.ids.borrow().len(), self.balancer.borrow().ejected_count(self.now()))
     }
 
     fn answer(&self, id: RequestId, answer: Answer<T::Body>) {
@@ -495,7 +498,7 @@
         if listed.zip(reply.started_at).is_some_and(|(listed, said)| said > listed + SAME_START) {
             (self.signs)(Sign::Restarted);
         }
-        let waits = |report: Report| report.queued.or(report.in_flight);
+        let waits = |report: LoadReport| report.queued.or(report.in_flight);
         match reply.ending {
             Ending::Unreachable => (self.signs)(Sign::Unreachable(server)),
             Ending::Full => {
@@ -534,14 +537,14 @@
     pub fn listed(self: &Rc<Self>, complete: bool, servers: Vec<Listed>) {
         self.log_attempts_out_to(&self.leaving(complete, &servers));
         let entries = self.entries(complete, servers);
-        let listing = if complete { Listing::Full(entries) } else { Listing::Changes(entries) };
+        let listing = if complete { ListUpdate::Full(entries) } else { ListUpdate::Changes(entries) };
         self.handle(Event::Servers(listing));
     }
 
     /// The whole list as it was known in an earlier run.
     pub fn known(self: &Rc<Self>, servers: Vec<Listed>) {
         let entries = self.entries(true, servers);
-        self.handle(Event::Servers(Listing::Cached(entries)));
+        self.handle(Event::Servers(ListUpdate::Cached(entries)));
     }
 
     /// The entries of a list, their servers numbered and their addresses noted.
@@ -682,6 +685,6 @@
         started_at: entry.started_at,
         near: entry.zone == zone,
         weight: entry.weight,
-        key: entry.key,
+        key: entry.name_hash,
     }
 }
--- a/crates/spurdrum-core/src/transport.rs
+++ b/crates/spurdrum-core/src/transport.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use spurdrum_affinity::Ask;
-use spurdrum_policy::{Ending, Report, ServerId};
+use spurdrum_policy::{Ending, LoadReport, ServerId};
 use tokio::sync::{oneshot, Notify};
 
 /// A request as its transport sends it.
@@ -98,7 +98,7 @@
     /// The outcome.
     pub ending: Ending,
     /// The load report that came along.
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
     /// When the server says that it was started, in Unix milliseconds.
     pub started_at: Option<f64>,
     /// The key that the server gives to requests that are to come back to it.
--- a/crates/spurdrum-http/src/handed.rs
+++ b/crates/spurdrum-http/src/handed.rs
@@ -21,7 +21,7 @@
     pub fn new(version: Version, headers: &HeaderMap, asked: &spurdrum_policy::Request) -> Option<Self> {
         let keeps_alive = version == Version::HTTP_11 && !headers.contains_key(CONNECTION);
         let cost_us = asked.cost_ms.map(|ms| ms * 1000.0);
-        keeps_alive.then_some(Self { repeat: asked.repeat, cost_us })
+        keeps_alive.then_some(Self { repeat: asked.client_retry, cost_us })
     }
 
     /// The bytes of the request, with the time that its client still waits. `None` where it does not wait any longer, or the body
--- a/crates/spurdrum-http/src/request.rs
+++ b/crates/spurdrum-http/src/request.rs
@@ -202,7 +202,7 @@
     let id = match node.take(forward, asked, answer) {
         Ok(id) => id,
         // The settings' bound, not a decision: how long it lasts is not known.
-        Err(NotTaken::Full) => return refusal(node.settings().retry_after_most_ms),
+        Err(NotTaken::Full) => return refusal(node.settings().max_retry_after_ms),
         Err(NotTaken::Known) => return plain(StatusCode::CONFLICT, "X-Request-Id is in use\n"),
     };
     socket.owes.set(true);
@@ -425,7 +425,7 @@
     let request = spurdrum_policy::Request {
         tenant,
         cost_ms: cost_us.filter(|us| us.is_finite() && *us >= 0.0).map(|us| us / 1000.0),
-        repeat: text("x-retry") == Some("1"),
+        client_retry: text("x-retry") == Some("1"),
         ..spurdrum_policy::Request::new(RequestId(0), class, 0.0)
     };
     Ok((wait, request))
--- a/crates/spurdrum-http/src/upstream.rs
+++ b/crates/spurdrum-http/src/upstream.rs
@@ -23,7 +23,7 @@
     attentive_timeout, is_starved, sleep_and_read_first, Asked, Cancellation, Connections, Figures, Reply,
     ServerSlot, Transport,
 };
-use spurdrum_policy::{Ending, Report, ServerId};
+use spurdrum_policy::{Ending, LoadReport, ServerId};
 use tokio::net::TcpStream;
 use tokio::sync::oneshot;
 use tokio::time::{sleep, sleep_until, timeout_at, Instant};
@@ -611,8 +611,8 @@
 
 /// Reads a load report such as `active=7,waiting=2`; one that is malformed tells nothing.
 /// Guards against counts that never hear a report: servers use the settings' names, but others are about.
-pub fn load_report(text: &str) -> Option<Report> {
-    let mut report = Report::default();
+pub fn load_report(text: &str) -> Option<LoadReport> {
+    let mut report = LoadReport::default();
     for pair in text.trim().split(',') {
         let (name, value) = pair.split_once('=')?;
         let value = value.trim().parse::<f64>().ok().filter(|x| x.is_finite() && *x >= 0.0)?;
@@ -622,5 +622,5 @@
             _ => {}
         }
     }
-    (report != Report::default()).then_some(report)
+    (report != LoadReport::default()).then_some(report)
 }
--- a/crates/spurdrum-lab/src/affinity.rs
+++ b/crates/spurdrum-lab/src/affinity.rs
@@ -7,7 +7,7 @@
 use hdrhistogram::Histogram;
 use spurdrum_affinity::{Affinity, Ask, First, Keyer, Listed, Settings as Binding};
 use spurdrum_policy::{
-    Action, Availability, Balancer, Class, Effect, Ending, Event, Listing, Outcome, Report, Request,
+    Action, Availability, Balancer, Class, Effect, Ending, Event, ListUpdate, LoadReport, Outcome, Request,
     RequestId, ServerEntry, ServerId, Settings,
 };
 use spurdrum_standin::model::{Fate, Model};
@@ -283,9 +283,10 @@
 
     fn node(&self, me: usize) -> Node {
         let mut settings =
-            Settings::new(vec![Class { late_worth: 0.5, ..Class::new(AIM, DEADLINE, Effect::Safe) }]);
-        (settings.nodes, settings.me, settings.retry_after_most_ms) = (self.plan.nodes, me, Some(1_000.0));
-        (settings.cold_ms, settings.cold_from) = (8_000.0, 0.3);
+            Settings::new(vec![Class { late_value: 0.5, ..Class::new(AIM, DEADLINE, Effect::Safe) }]);
+        (settings.nodes, settings.node_index, settings.max_retry_after_ms) =
+            (self.plan.nodes, me, Some(1_000.0));
+        (settings.slow_start_ms, settings.slow_start_min_capacity) = (8_000.0, 0.3);
         let mut binding = Binding { entries: 65_536, cold_ms: 8_000.0, ..Binding::default() };
         let mut kept = false;
         if let Way::Kept { slack, ring } = self.way {
@@ -303,15 +304,15 @@
     fn tell(&mut self, node: usize, server: usize, availability: Availability, started_at: Option<f64>) {
         let entry = ServerEntry {
             started_at,
-            key: server as u64 * 7919,
+            name_hash: server as u64 * 7919,
             ..ServerEntry::new(ServerId(server), availability)
         };
-        let (id, server, key, weight) = (format!("s{server}"), entry.server, entry.key, entry.weight);
+        let (id, server, key, weight) = (format!("s{server}"), entry.server, entry.name_hash, entry.weight);
         let listed = Listed { id, server, availability, started_at, near: true, weight, key };
         if let Some(affinity) = &mut self.nodes[node].affinity {
             affinity.listed(self.now, false, vec![listed]);
         }
-        self.feed(node, Event::Servers(Listing::Changes(vec![entry])));
+        self.feed(node, Event::Servers(ListUpdate::Changes(vec![entry])));
     }
 
     fn run(&mut self) {
@@ -357,8 +358,12 @@
         }
         let ask = self.ask(key);
         let now = self.now;
-        let prefers = self.nodes[node].affinity.as_mut().and_then(|affinity| affinity.prefers(now, ask));
-        self.feed(node, Event::Request(Request { prefers, ..Request::new(RequestId(id), 0, DEADLINE) }));
+        let preferred_server =
+            self.nodes[node].affinity.as_mut().and_then(|affinity| affinity.prefers(now, ask));
+        self.feed(
+            node,
+            Event::Request(Request { preferred_server, ..Request::new(RequestId(id), 0, DEADLINE) }),
+        );
     }
 
     /// The first fifth is for getting warm.
@@ -481,7 +486,7 @@
                 affinity.served(now, ask, ServerId(to));
             }
         }
-        let report = (held >= 0.0).then_some(Report { in_flight: Some(held), queued: None });
+        let report = (held >= 0.0).then_some(LoadReport { in_flight: Some(held), queued: None });
         let request = RequestId(id);
         let outcome = Outcome { request, attempt, elapsed_ms, ending, complete, report };
         self.feed(node, Event::Outcome(outcome));
--- a/crates/spurdrum-lab/src/spread.rs
+++ b/crates/spurdrum-lab/src/spread.rs
@@ -7,7 +7,7 @@
 
 use spurdrum_fleet::figures::poisson;
 use spurdrum_policy::{
-    Action, Availability, Balancer, Class, Effect, Ending, Event, Listing, Outcome, Report, Request,
+    Action, Availability, Balancer, Class, Effect, Ending, Event, ListUpdate, LoadReport, Outcome, Request,
     RequestId, ServerEntry, ServerId, Settings,
 };
 use spurdrum_standin::draw::{exponential, normal};
@@ -207,7 +207,7 @@
         zone: *zone,
         weight: *workers as f64,
         // Named as fleets are: by kind and number.
-        key: spurdrum_facts::key(&format!("size{workers}x{n}")),
+        name_hash: spurdrum_facts::name_hash(&format!("size{workers}x{n}")),
         ..ServerEntry::new(ServerId(n), Availability::Ready)
     });
     let mut world = World {
@@ -284,10 +284,10 @@
             return None;
         }
         let mut settings = Settings::new(vec![Class::new(AIM_MS, DEADLINE_MS, Effect::Safe)]);
-        (settings.nodes, settings.me, settings.zone) = (self.plan.told, me, me % self.plan.zones);
+        (settings.nodes, settings.node_index, settings.zone) = (self.plan.told, me, me % self.plan.zones);
         settings.weights = spurdrum_policy::Weights::Size;
         let mut node = Balancer::new(settings, self.plan.seed * 1000 + me as u64).expect("sound settings");
-        node.handle(self.now, Event::Servers(Listing::Full(self.entries.clone())), &mut Vec::new());
+        node.handle(self.now, Event::Servers(ListUpdate::Full(self.entries.clone())), &mut Vec::new());
         Some(node)
     }
 
@@ -502,12 +502,12 @@
             known.seen = (known.seen + 1.0).min(200.0);
             let workers = self.servers[server].workers as f64;
             known.mean += (wait_of(held, workers) - known.mean) / known.seen;
-            let report = Report { in_flight: Some(held), queued: None };
+            let report = LoadReport { in_flight: Some(held), queued: None };
             self.ended(id, attempt, Ending::Served, Some(report));
         }
     }
 
-    fn ended(&mut self, id: u64, attempt: usize, ending: Ending, report: Option<Report>) {
+    fn ended(&mut self, id: u64, attempt: usize, ending: Ending, report: Option<LoadReport>) {
         let Some(open) = self.open.get_mut(&id) else { return };
         if !std::mem::take(&mut open.attempts[attempt].1) {
             return;
--- a/crates/spurdrum-policy/src/interface.rs
+++ b/crates/spurdrum-policy/src/interface.rs
@@ -46,22 +46,22 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Class {
     /// Answers within this time have the full worth.
-    pub aim_ms: f64,
+    pub latency_objective_ms: f64,
     /// What a client waits in all, over every try.
     pub deadline_ms: f64,
     /// What running a request twice does.
     pub effect: Effect,
     /// Worth of an answer in time.
-    pub worth: f64,
+    pub value: f64,
     /// Fraction of the worth left after the aim.
-    pub late_worth: f64,
+    pub late_value: f64,
 }
 
 impl Class {
     /// A class of worth one whose late answers are worth nothing.
     #[must_use]
-    pub fn new(aim_ms: f64, deadline_ms: f64, effect: Effect) -> Self {
-        Self { aim_ms, deadline_ms, effect, worth: 1.0, late_worth: 0.0 }
+    pub fn new(latency_objective_ms: f64, deadline_ms: f64, effect: Effect) -> Self {
+        Self { latency_objective_ms, deadline_ms, effect, value: 1.0, late_value: 0.0 }
     }
 }
 
@@ -93,11 +93,11 @@
     /// Requests per second that each tenant may send through all nodes together.
     pub quotas_per_s: Vec<f64>,
     /// Fraction of the worth that a request beyond its tenant's quota keeps.
-    pub over_quota_worth: f64,
+    pub over_quota_value: f64,
     /// Number of nodes that share the servers.
     pub nodes: usize,
     /// The node's own number among them, from zero.
-    pub me: usize,
+    pub node_index: usize,
     /// The node's own zone.
     pub zone: usize,
     /// Number of machine kinds.
@@ -107,31 +107,31 @@
     /// What the listed weights mean.
     pub weights: Weights,
     /// A node with no subscription must ask again within this time.
-    pub ask_within_ms: f64,
+    pub resubscribe_within_ms: f64,
     /// Attempts allowed for one request.
     pub max_attempts: usize,
     /// Whether two attempts of one request may be out at once.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// Whether an attempt may be cancelled.
     pub cancel: bool,
     /// The longest that a client is told to stay away; `None` where it is told nothing.
-    pub retry_after_most_ms: Option<f64>,
+    pub max_retry_after_ms: Option<f64>,
     /// Whether servers may be probed.
     pub probes: bool,
     /// Whether nodes may send each other messages.
     pub peers: bool,
     /// Whether answers carry the load report; where they do not, only probes do.
-    pub answers_report: bool,
+    pub responses_carry_load: bool,
     /// Price of one probe for each request, as a fraction of the result.
     pub probe_price: f64,
     /// A server starts with at least this fraction of its capacity.
-    pub cold_from: f64,
+    pub slow_start_min_capacity: f64,
     /// And has all of it after this time.
-    pub cold_ms: f64,
+    pub slow_start_ms: f64,
     /// A cold server falls over when sent more than this multiple of its capacity ...
-    pub tip_multiple: f64,
+    pub collapse_multiple: f64,
     /// ... for this long.
-    pub tip_after_ms: f64,
+    pub collapse_after_ms: f64,
     /// Price of wasted server work, as a fraction of the result.
     pub waste_price: f64,
     /// Price of requests that cross zones, as a fraction of the result.
@@ -147,26 +147,26 @@
         Self {
             classes,
             quotas_per_s: Vec::new(),
-            over_quota_worth: 1.0,
+            over_quota_value: 1.0,
             nodes: 1,
-            me: 0,
+            node_index: 0,
             zone: 0,
             kinds: 1,
             discovery: Discovery::Push,
             weights: Weights::None,
-            ask_within_ms: 10_000.0,
+            resubscribe_within_ms: 10_000.0,
             max_attempts: 3,
-            second_copies: false,
+            hedging: false,
             cancel: true,
-            retry_after_most_ms: None,
+            max_retry_after_ms: None,
             probes: false,
             peers: false,
-            answers_report: true,
+            responses_carry_load: true,
             probe_price: 0.0,
-            cold_from: 1.0,
-            cold_ms: 0.0,
-            tip_multiple: 2.0,
-            tip_after_ms: 1_000.0,
+            slow_start_min_capacity: 1.0,
+            slow_start_ms: 0.0,
+            collapse_multiple: 2.0,
+            collapse_after_ms: 1_000.0,
             waste_price: 0.0,
             cross_zone_price: 0.0,
             preference_slack: 2.0,
@@ -184,24 +184,24 @@
         let zero_up = |x: f64| x.is_finite() && x >= 0.0;
         need(!self.classes.is_empty(), "classes")?;
         for class in &self.classes {
-            need(some(class.aim_ms), "classes[].aim_ms")?;
+            need(some(class.latency_objective_ms), "classes[].aim_ms")?;
             need(some(class.deadline_ms), "classes[].deadline_ms")?;
-            need(zero_up(class.worth), "classes[].worth")?;
-            need(zero_up(class.late_worth), "classes[].late_worth")?;
+            need(zero_up(class.value), "classes[].worth")?;
+            need(zero_up(class.late_value), "classes[].late_worth")?;
             if let Effect::Keyed { window_ms, .. } = class.effect {
                 need(zero_up(window_ms), "classes[].window_ms")?;
             }
         }
         need(self.quotas_per_s.iter().all(|q| zero_up(*q)), "quotas_per_s")?;
-        need(zero_up(self.over_quota_worth), "over_quota_worth")?;
+        need(zero_up(self.over_quota_value), "over_quota_worth")?;
         need(self.nodes > 0, "nodes")?;
-        need(some(self.ask_within_ms), "ask_within_ms")?;
+        need(some(self.resubscribe_within_ms), "ask_within_ms")?;
         need(self.max_attempts > 0, "max_attempts")?;
-        need(self.retry_after_most_ms.is_none_or(zero_up), "max_retry_after_ms")?;
-        need(some(self.cold_from) && self.cold_from <= 1.0, "cold_from")?;
-        need(zero_up(self.cold_ms), "cold_ms")?;
-        need(some(self.tip_multiple), "tip_multiple")?;
-        need(some(self.tip_after_ms), "tip_after_ms")?;
+        need(self.max_retry_after_ms.is_none_or(zero_up), "max_retry_after_ms")?;
+        need(some(self.slow_start_min_capacity) && self.slow_start_min_capacity <= 1.0, "cold_from")?;
+        need(zero_up(self.slow_start_ms), "cold_ms")?;
+        need(some(self.collapse_multiple), "tip_multiple")?;
+        need(some(self.collapse_after_ms), "tip_after_ms")?;
         need(zero_up(self.probe_price), "probe_price")?;
         need(zero_up(self.waste_price), "waste_price")?;
         need(zero_up(self.cross_zone_price), "cross_zone_price")?;
@@ -261,7 +261,7 @@
     /// Its weight, see [`Weights`].
     pub weight: f64,
     /// A hash of its name, the same at every node: it orders the servers alike for all.
-    pub key: u64,
+    pub name_hash: u64,
 }
 
 impl ServerEntry {
@@ -276,14 +276,14 @@
             zone: 0,
             kind: 0,
             weight: 1.0,
-            key: server.0 as u64,
+            name_hash: server.0 as u64,
         }
     }
 }
 
 /// News from discovery.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Listing {
+pub enum ListUpdate {
     /// Only the servers that changed.
     Changes(Vec<ServerEntry>),
     /// The complete list: a server that is absent is gone.
@@ -308,22 +308,22 @@
     /// Work it is expected to need, on a standard core.
     pub cost_ms: Option<f64>,
     /// Whether the client repeats an earlier try.
-    pub repeat: bool,
+    pub client_retry: bool,
     /// The server that had better have it, as far as its count allows; see [`Settings::preference_slack`].
-    pub prefers: Option<ServerId>,
+    pub preferred_server: Option<ServerId>,
 }
 
 impl Request {
     /// A first try of the first tenant.
     #[must_use]
     pub fn new(id: RequestId, class: usize, budget_ms: f64) -> Self {
-        Self { id, class, tenant: 0, budget_ms, cost_ms: None, repeat: false, prefers: None }
+        Self { id, class, tenant: 0, budget_ms, cost_ms: None, client_retry: false, preferred_server: None }
     }
 }
 
 /// A server's own account of its load; what it does not tell is absent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Report {
+pub struct LoadReport {
     /// Requests it holds.
     pub in_flight: Option<f64>,
     /// Requests waiting there.
@@ -373,50 +373,58 @@
     /// Whether the request is finished, by this outcome or before it.
     pub complete: bool,
     /// The server's load report, if the answer carried one.
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
 }
 
 /// Running means of the latency, and of how many requests the server held meanwhile.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Pace {
+pub struct LatencyEstimate {
     /// In milliseconds.
-    pub latency: f64,
+    #[serde(rename = "latency")]
+    pub latency_ms: f64,
     /// Requests at the server.
     pub depth: f64,
     /// Outcomes that it was learned from.
-    pub seen: f64,
+    #[serde(rename = "seen")]
+    pub samples: f64,
     /// When it was seen last.
-    pub at: f64,
+    #[serde(rename = "at")]
+    pub updated_at: f64,
 }
 
 /// What a balancer has learned, for one that takes its place under the same settings.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Learned {
+pub struct LearnedState {
     /// Of the servers.
-    pub servers: Vec<LearnedServer>,
+    pub servers: Vec<LearnedServerState>,
     /// Of all answers.
-    pub all: Pace,
+    #[serde(rename = "all")]
+    pub overall: LatencyEstimate,
     /// Of each class.
-    pub classes: Vec<Pace>,
+    pub classes: Vec<LatencyEstimate>,
     /// What each tenant has left of its quota, and when that was counted.
     pub quotas: Vec<(f64, f64)>,
     /// Part of the attempts that are served.
-    pub served: f64,
+    #[serde(rename = "served")]
+    pub served_fraction: f64,
 }
 
 /// What a balancer has learned of a server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct LearnedServer {
+pub struct LearnedServerState {
     /// The server, as the balancer that is to learn calls it.
     pub server: ServerId,
     /// Its count.
     pub count: Option<f64>,
     /// Its answers.
-    pub pace: Pace,
+    #[serde(rename = "pace")]
+    pub latency: LatencyEstimate,
     /// Failures that count against it.
-    pub strikes: u32,
+    #[serde(rename = "strikes")]
+    pub consecutive_failures: u32,
     /// Until when it is taken out, if it is or is on trial.
-    pub out_until: Option<f64>,
+    #[serde(rename = "out_until")]
+    pub ejected_until: Option<f64>,
 }
 
 /// Settings that take the place of others.
@@ -434,11 +442,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// News from discovery.
-    Servers(Listing),
+    Servers(ListUpdate),
     /// A client's request, which is now owed one final answer.
     Request(Request),
     /// Part of its body is gone for good: it cannot be sent again.
-    Spent(RequestId),
+    BodyConsumed(RequestId),
     /// A streamed answer has begun; the attempt belongs to the client from now on.
     StreamStarted {
         /// The request.
@@ -447,9 +455,9 @@
         attempt: usize,
     },
     /// What another balancer has learned, whose place this one takes: before its first request.
-    Learned(Box<Learned>),
+    ImportLearnedState(Box<LearnedState>),
     /// Other settings hold for what comes from now on; requests that are held keep the rules they came under.
-    Settings(Box<NewSettings>),
+    Reload(Box<NewSettings>),
     /// An attempt ended.
     Outcome(Outcome),
     /// The client left; nothing more is owed.
@@ -459,7 +467,7 @@
     /// The node stood still for so long until just now. What servers did meanwhile is told after this.
     Resumed {
         /// How long.
-        stood_still_ms: f64,
+        paused_ms: f64,
     },
     /// A probe was answered, or not.
     Probed {
@@ -468,7 +476,7 @@
         /// How it went.
         ending: Ending,
         /// The server's load report, if there was one.
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
 }
 
@@ -516,7 +524,7 @@
         after_ms: f64,
     },
     /// A server that failed is given nothing for a while.
-    TakenOut {
+    Ejected {
         /// The server.
         server: ServerId,
     },
--- a/crates/spurdrum-policy/src/lib.rs
+++ b/crates/spurdrum-policy/src/lib.rs
@@ -11,7 +11,7 @@
 //!
 //! ```
 //! use spurdrum_policy::{
-//!     Action, Availability, Balancer, Class, Effect, Ending, Event, Listing, Outcome, Request,
+//!     Action, Availability, Balancer, Class, Effect, Ending, Event, ListUpdate, Outcome, Request,
 //!     RequestId, ServerEntry, ServerId, Settings,
 //! };
 //!
@@ -22,7 +22,7 @@
 //!
 //! // Discovery names two servers.
 //! let servers = (0..2).map(|i| ServerEntry::new(ServerId(i), Availability::Ready)).collect();
-//! balancer.handle(0.0, Event::Servers(Listing::Full(servers)), &mut actions);
+//! balancer.handle(0.0, Event::Servers(ListUpdate::Full(servers)), &mut actions);
 //!
 //! // A client asks; the balancer names the server to send to.
 //! let request = Request::new(RequestId(7), 0, 600.0);
--- a/crates/spurdrum-policy/src/rules.rs
+++ b/crates/spurdrum-policy/src/rules.rs
@@ -101,24 +101,24 @@
 /// have been asked or whose attempt has been out for long.
 const RESUBSCRIBE: u64 = 0;
 
-impl Pace {
+impl LatencyEstimate {
     /// What was seen still weighs this. Guards against judging by a trouble long past: little corrects it.
     fn weight(&self, now: f64, half_life: f64) -> f64 {
-        self.seen * 0.5_f64.powf((now - self.at) / half_life)
+        self.samples * 0.5_f64.powf((now - self.updated_at) / half_life)
     }
 
     fn add(&mut self, now: f64, half_life: f64, most: f64, latency: f64, depth: f64) {
-        self.seen = (self.weight(now, half_life) + 1.0).min(most);
-        self.latency += (latency - self.latency) / self.seen;
-        self.depth += (depth - self.depth) / self.seen;
-        self.at = now;
+        self.samples = (self.weight(now, half_life) + 1.0).min(most);
+        self.latency_ms += (latency - self.latency_ms) / self.samples;
+        self.depth += (depth - self.depth) / self.samples;
+        self.updated_at = now;
     }
 
     /// Mean latency and depth, the own outcomes weighed against what is known beyond them.
     fn or(&self, now: f64, half_life: f64, prior: (f64, f64)) -> (f64, f64) {
         let weight = self.weight(now, half_life);
         let mix = |own: f64, prior: f64| (own * weight + prior * PRIOR) / (weight + PRIOR);
-        (mix(self.latency, prior.0), mix(self.depth, prior.1))
+        (mix(self.latency_ms, prior.0), mix(self.depth, prior.1))
     }
 }
 
@@ -138,7 +138,7 @@
     usual: (f64, f64),
     /// This node's attempts that are out.
     out: usize,
-    pace: Pace,
+    pace: LatencyEstimate,
     strikes: u32,
     /// When it last gave any answer, and how many it has given.
     heard_at: f64,
@@ -266,8 +266,8 @@
     requests: f64,
     wanted: f64,
     /// Latency by class and over all.
-    classes: Vec<Pace>,
-    all: Pace,
+    classes: Vec<LatencyEstimate>,
+    all: LatencyEstimate,
     /// Mean time between requests, and when the last one came.
     gap: f64,
     came_at: f64,
@@ -289,14 +289,14 @@
         settings.validate()?;
         // None are asked before a send where a few nodes' answers keep counts fresh, or where peers may talk.
         let many = settings.nodes as f64 > SHARERS;
-        let may_ask = settings.probes && !settings.peers && (!settings.answers_report || many);
+        let may_ask = settings.probes && !settings.peers && (!settings.responses_carry_load || many);
         // One for each request may be dearer than all that it wins, where answers carry reports as well.
-        let least = if settings.answers_report { 0.0 } else { 1.0 };
+        let least = if settings.responses_carry_load { 0.0 } else { 1.0 };
         let most = (ASK_SPEND / settings.probe_price).clamp(least, SLICE_LEAST as f64) as usize;
         let asks = if may_ask { most } else { 0 };
         Ok(Self {
             quotas: vec![(f64::INFINITY, 0.0); settings.quotas_per_s.len()],
-            classes: vec![Pace::default(); settings.classes.len()],
+            classes: vec![LatencyEstimate::default(); settings.classes.len()],
             random: fastrand::Rng::with_seed(seed),
             servers: BTreeMap::new(),
             ring: Vec::new(),
@@ -314,8 +314,9 @@
             wanted: 0.0,
             gap: 0.0,
             came_at: 0.0,
-            aim: settings.classes.iter().map(|c| c.aim_ms).sum::<f64>() / settings.classes.len() as f64,
-            all: Pace::default(),
+            aim: settings.classes.iter().map(|c| c.latency_objective_ms).sum::<f64>()
+                / settings.classes.len() as f64,
+            all: LatencyEstimate::default(),
             retries: settings.max_attempts as f64,
             lost: 0.0,
             served: 1.0,
@@ -331,8 +332,8 @@
     pub fn handle(&mut self, now: f64, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Servers(listing) => self.listing(listing, actions),
-            Event::Settings(new) => self.retune(*new, actions),
-            Event::Learned(learned) => self.learn(now, &learned),
+            Event::Reload(new) => self.retune(*new, actions),
+            Event::ImportLearnedState(learned) => self.learn(now, &learned),
             Event::Request(request) => self.request(now, &request, actions),
             Event::Outcome(outcome) => self.outcome(now, &outcome, actions),
             Event::ClientGone(id) => self.client_gone(id, actions),
@@ -344,7 +345,7 @@
                 self.rearm(now, RequestId(timer - 1), actions);
             }
             Event::Probed { server, ending, report } => self.probed(now, server.0, ending, report, actions),
-            Event::Spent(id) => {
+            Event::BodyConsumed(id) => {
                 self.held.entry(id).and_modify(|held| held.max_attempts = held.attempts.len());
             }
             // What its client has begun to get is its final answer.
@@ -352,7 +353,7 @@
                 self.held.entry(request).and_modify(|held| held.answered = true);
             }
             Event::Timer(_) => {}
-            Event::Resumed { stood_still_ms } => self.resumed(now, stood_still_ms),
+            Event::Resumed { paused_ms } => self.resumed(now, paused_ms),
         }
     }
 
@@ -377,33 +378,40 @@
     }
 
     /// Servers of the list that are taken out now.
-    pub fn avoided(&self, now: f64) -> usize {
+    pub fn ejected_count(&self, now: f64) -> usize {
         let listed = self.servers.values().filter(|s| s.entry.availability != Availability::Gone);
         listed.filter(|s| s.ejected_until.is_some_and(|until| until > now)).count()
     }
 
     /// What a balancer that takes its place had better know.
-    pub fn learned(&self) -> Learned {
+    pub fn export_learned(&self) -> LearnedState {
         let listed = self.servers.iter().filter(|(_, s)| s.entry.availability != Availability::Gone);
         let server = |(at, s): (&usize, &Server)| {
-            let (count, pace, strikes, out_until) = (s.count, s.pace, s.strikes, s.ejected_until);
-            LearnedServer { server: ServerId(*at), count, pace, strikes, out_until }
+            let (count, latency, consecutive_failures, ejected_until) =
+                (s.count, s.pace, s.strikes, s.ejected_until);
+            LearnedServerState { server: ServerId(*at), count, latency, consecutive_failures, ejected_until }
         };
         // Some formats know no infinity.
         let quotas = self.quotas.iter().map(|(left, at)| (left.min(f64::MAX), *at)).collect();
         let classes = self.classes.clone();
-        Learned { servers: listed.map(server).collect(), all: self.all, classes, quotas, served: self.served }
+        LearnedState {
+            servers: listed.map(server).collect(),
+            overall: self.all,
+            classes,
+            quotas,
+            served_fraction: self.served,
+        }
     }
 
     /// Goes on from what another has learned, under the same settings; nothing has been seen here yet.
-    fn learn(&mut self, now: f64, learned: &Learned) {
+    fn learn(&mut self, now: f64, learned: &LearnedState) {
         for s in &learned.servers {
             if let Some(server) = self.servers.get_mut(&s.server.0) {
-                (server.count, server.pace, server.strikes) = (s.count, s.pace, s.strikes);
-                (server.ejected_until, server.sent_at) = (s.out_until, now);
+                (server.count, server.pace, server.strikes) = (s.count, s.latency, s.consecutive_failures);
+                (server.ejected_until, server.sent_at) = (s.ejected_until, now);
             }
         }
-        (self.all, self.served) = (learned.all, learned.served);
+        (self.all, self.served) = (learned.overall, learned.served_fraction);
         self.classes.iter_mut().zip(&learned.classes).for_each(|(own, learned)| *own = *learned);
         self.quotas.iter_mut().zip(&learned.quotas).for_each(|(own, learned)| *own = *learned);
     }
@@ -429,12 +437,12 @@
 
     // ---- The list of servers
 
-    fn listing(&mut self, listing: Listing, actions: &mut Vec<Action>) {
+    fn listing(&mut self, listing: ListUpdate, actions: &mut Vec<Action>) {
         let (entries, complete) = match listing {
-            Listing::Changes(entries) => (entries, false),
-            Listing::Full(entries) | Listing::Cached(entries) => (entries, true),
-            Listing::Failed if self.asking => return,
-            Listing::Failed => return self.resubscribe(actions),
+            ListUpdate::Changes(entries) => (entries, false),
+            ListUpdate::Full(entries) | ListUpdate::Cached(entries) => (entries, true),
+            ListUpdate::Failed if self.asking => return,
+            ListUpdate::Failed => return self.resubscribe(actions),
         };
         if std::mem::take(&mut self.failed_calls) > 0 {
             actions.push(Action::Note("the list of servers comes again".into()));
@@ -466,12 +474,12 @@
         let listed = self.servers.values().map(|s| &s.entry);
         let listed = listed.filter(|e| e.availability == Availability::Ready);
         let rounds = if self.sparse { ROUNDS } else { 1 };
-        let (round, turn) = (self.settings.me % rounds, self.settings.me / rounds);
+        let (round, turn) = (self.settings.node_index % rounds, self.settings.node_index / rounds);
         // Keys of names that differ in their last letters alone are near each other: servers of one kind
         // would stand side by side.
         let mixed = |key: u64| (key ^ round as u64).wrapping_mul(MIX).rotate_left(29).wrapping_mul(MIX);
         let mut listed: Vec<_> =
-            listed.map(|e| (e.zone != self.settings.zone, mixed(e.key), e.server.0)).collect();
+            listed.map(|e| (e.zone != self.settings.zone, mixed(e.name_hash), e.server.0)).collect();
         listed.sort_unstable();
         self.near = listed.iter().filter(|(far, ..)| !far).count();
         self.ring = listed.into_iter().map(|(.., at)| at).collect();
@@ -516,10 +524,10 @@
     /// reports: each server is in as many slices, by the work that comes of them, whoever is busy, quiet or
     /// dead.
     fn follow_rate(&mut self) {
-        if !self.sparse || self.all.seen < RECENT || self.reports < FLEET || self.pause <= 0.0 {
+        if !self.sparse || self.all.samples < RECENT || self.reports < FLEET || self.pause <= 0.0 {
             return;
         }
-        let wanted = (SHARERS * self.all.latency / (self.pause * self.held_mean.max(HELD_LEAST)))
+        let wanted = (SHARERS * self.all.latency_ms / (self.pause * self.held_mean.max(HELD_LEAST)))
             .min(self.ring.len() as f64);
         let wanted = wanted.max(SLICE_LEAST as f64);
         if (wanted - self.wanted).abs() > SLICE_STEP * self.wanted.max(1.0) {
@@ -534,7 +542,7 @@
             actions.push(Action::Note("the list of servers does not come".into()));
         }
         self.asking = true;
-        let most = self.settings.ask_within_ms * RESUBSCRIBE_MOST;
+        let most = self.settings.resubscribe_within_ms * RESUBSCRIBE_MOST;
         let after_ms = most / 2_f64.powi(4 - self.failed_calls) * (0.5 + 0.5 * self.random.f64());
         self.failed_calls = (self.failed_calls + 1).min(4);
         actions.push(Action::SetTimer { timer: RESUBSCRIBE, after_ms });
@@ -544,7 +552,7 @@
 
     /// A report overwrites the count of its server alone.
     /// It counts the requests of all nodes; where it was not just asked for, each evens out its own part.
-    fn report(&mut self, now: f64, at: usize, report: Report) {
+    fn report(&mut self, now: f64, at: usize, report: LoadReport) {
         let reading = report.in_flight.or(report.queued).filter(|held| *held <= HELD_MOST);
         let (Some(reading), Some(server)) = (reading, self.servers.get_mut(&at)) else { return };
         let part = if self.asks > 0 { 1.0 } else { self.settings.nodes as f64 };
@@ -592,7 +600,7 @@
         let half_life = HALF_LIFE * self.aim;
         // What is not confirmed fades to an easy guess: a node that refuses all would learn nothing more.
         let (latency, depth) =
-            if self.all.seen > 0.0 { (self.all.latency, self.all.depth) } else { (self.aim, 1.0) };
+            if self.all.samples > 0.0 { (self.all.latency_ms, self.all.depth) } else { (self.aim, 1.0) };
         let lasting = self.all.or(now, f64::INFINITY, (self.aim * EASY, 1.0));
         let all = self.all.or(now, half_life.max(GAPS * self.gap), (latency.min(self.aim * EASY), depth));
         // Where servers are asked, old counts tell whom.
@@ -606,7 +614,7 @@
         let mean = sum / counts.max(1) as f64;
         let total = self.slice[0].len() + self.slice[1].len();
         // A crossing counts as its price in aims.
-        let crossing = self.settings.cross_zone_price * class.aim_ms;
+        let crossing = self.settings.cross_zone_price * class.latency_objective_ms;
         let blur = if self.asks > 0 && held.reported.is_empty() { BLUR } else { 0.0 };
         let home = held.ran.map(|first| &held.attempts[first]);
         let (mut candidates, known) = (Vec::new(), self.known());
@@ -614,7 +622,7 @@
         let [near, far] = if home.is_some() { [0..self.ring.len(), 0..0] } else { self.slice.clone() };
         // A preference holds beyond the slice, but not for a cold server: its budget is the slices' alone.
         let beyond = |s: &Server| {
-            let warm = now - s.entry.started_at.unwrap_or(f64::NEG_INFINITY) >= self.settings.cold_ms;
+            let warm = now - s.entry.started_at.unwrap_or(f64::NEG_INFINITY) >= self.settings.slow_start_ms;
             home.is_none() && s.entry.availability == Availability::Ready && warm
         };
         let sliced = |at: &usize| near.clone().chain(far.clone()).any(|i| self.ring[i] == *at);
@@ -633,9 +641,10 @@
             // Guards a cold server, which reports nothing queued and would be swamped. Every node lets the
             // same part of its requests see it: what all send is in step with the load of a warm server.
             let age = now - server.entry.started_at.unwrap_or(f64::NEG_INFINITY);
-            if age < self.settings.cold_ms && !asked {
-                let cold = (1.0 - self.settings.cold_from) * (1.0 - (age / self.settings.cold_ms).max(0.0));
-                let part = COLD_PART * self.settings.tip_multiple * (1.0 - cold) / total as f64;
+            if age < self.settings.slow_start_ms && !asked {
+                let cold = (1.0 - self.settings.slow_start_min_capacity)
+                    * (1.0 - (age / self.settings.slow_start_ms).max(0.0));
+                let part = COLD_PART * self.settings.collapse_multiple * (1.0 - cold) / total as f64;
                 if self.random.f64() >= part * self.served {
                     continue;
                 }
@@ -664,7 +673,7 @@
 
     /// What reports together tell.
     fn known(&self) -> Known {
-        Known { held: self.held_mean, fades: FADES * self.all.latency.max(1.0), trust: self.trust() }
+        Known { held: self.held_mean, fades: FADES * self.all.latency_ms.max(1.0), trust: self.trust() }
     }
 
     /// How far longer answers followed higher reports, of late: slopes of their regression.
@@ -691,7 +700,7 @@
             asked: Vec::new(),
             reported: Vec::new(),
             limit: 0.0,
-            prefers: request.prefers.map(|server| server.0),
+            prefers: request.preferred_server.map(|server| server.0),
         };
         self.requests = (self.requests + 1.0).min(FLEET);
         if self.requests > 1.0 {
@@ -715,7 +724,7 @@
             self.servers.get_mut(at).expect("picked").count.iter_mut().for_each(|count| *count += 1.0);
             actions.push(Action::Probe { server: ServerId(*at) });
         }
-        let after_ms = held.rules.aim_ms.min(request.budget_ms) * ASK_PART;
+        let after_ms = held.rules.latency_objective_ms.min(request.budget_ms) * ASK_PART;
         self.asking_for.push(request.id);
         self.held.insert(request.id, held);
         if self.held[&request.id].asked.is_empty() {
@@ -739,7 +748,14 @@
         }
     }
 
-    fn probed(&mut self, now: f64, at: usize, ending: Ending, report: Option<Report>, to: &mut Vec<Action>) {
+    fn probed(
+        &mut self,
+        now: f64,
+        at: usize,
+        ending: Ending,
+        report: Option<LoadReport>,
+        to: &mut Vec<Action>,
+    ) {
         report.into_iter().for_each(|report| self.report(now, at, report));
         let mut due = Vec::new();
         for id in &self.asking_for {
@@ -773,27 +789,27 @@
     /// The longest expected answer with which a request is still taken, lest late work crowds out the rest.
     fn worthwhile(&self, held: &Held, within_quota: bool) -> f64 {
         // A node that has just started knows no latency to refuse by, unless it asks for counts.
-        if self.asks == 0 && self.all.seen < RECENT {
+        if self.asks == 0 && self.all.samples < RECENT {
             return f64::INFINITY;
         }
         let rules = |k: usize| self.settings.classes.get(k).copied().unwrap_or(held.rules);
-        let density = |k: usize| rules(k).worth / self.relative(k);
+        let density = |k: usize| rules(k).value / self.relative(k);
         let best = (0..self.classes.len()).map(density).fold(0.0, f64::max);
-        let quota = if within_quota { 1.0 } else { self.settings.over_quota_worth };
+        let quota = if within_quota { 1.0 } else { self.settings.over_quota_value };
         let worth = if best > 0.0 { density(held.class) * quota / best } else { 1.0 };
         // What is late is not lost where it still has some worth; counts just asked for need less margin.
-        let late = if self.asks > 0 { ASKED_SURE } else { held.rules.late_worth };
+        let late = if self.asks > 0 { ASKED_SURE } else { held.rules.late_value };
         let soft = |part: f64, rest: f64| part + (1.0 - part) * rest;
         let part = soft(AIM_PART, late) * soft(soft(LEAST_AIM, late), worth);
         // A distant aim must not let low worth fill the queues in which worthier classes would be late.
         let (own, all) = (density(held.class), 0..self.classes.len());
         let worthier = all.filter(|k| density(*k) > own).chain([held.class]);
-        let aim = |k: usize| rules(k).aim_ms / self.relative(k);
+        let aim = |k: usize| rules(k).latency_objective_ms / self.relative(k);
         let aim = worthier.map(aim).fold(f64::INFINITY, f64::min);
         // Guards against aims that servers hardly meet without a queue: a part of them would refuse all.
         // One of many nodes has a part of a quota that tells little: its traffic need not be its part.
         let known = self.reports > 0.0 && (within_quota || self.sparse);
-        let alone = if known { self.all.latency / (self.held_mean + 1.0) } else { 0.0 };
+        let alone = if known { self.all.latency_ms / (self.held_mean + 1.0) } else { 0.0 };
         (aim * part).max((alone * UNQUEUED).min(aim))
     }
 
@@ -801,8 +817,8 @@
     /// Guards against a class whose few answers came at a bad moment: an idle server would not get it.
     fn relative(&self, class: usize) -> f64 {
         let Some(class) = self.classes.get(class) else { return 1.0 };
-        let ratio = class.latency / self.all.latency;
-        let told = (class.seen / RECENT).min(1.0);
+        let ratio = class.latency_ms / self.all.latency_ms;
+        let told = (class.samples / RECENT).min(1.0);
         let known = ratio.is_finite() && ratio > 0.0;
         if known {
             1.0 + (ratio - 1.0) * told
@@ -821,8 +837,8 @@
         let depth = server.count.filter(|_| self.asks > 0).unwrap_or(server.out as f64);
         let turn = server.answers + server.out as u64 - 1;
         let (zone, cell, out) = (server.entry.zone, server.entry.cell, server.out);
-        let expected = out as f64 * self.all.latency / self.all.depth.max(1.0);
-        let aim_ms = held.rules.aim_ms;
+        let expected = out as f64 * self.all.latency_ms / self.all.depth.max(1.0);
+        let aim_ms = held.rules.latency_objective_ms;
         let after_ms = (aim_ms * CUT_AIMS).max(expected * CUT_WAITS);
         let stalls_at = self.stalls_at(now, held);
         held.attempts.push(Attempt {
@@ -853,7 +869,7 @@
 
     /// When the answer to what is sent now may be thought lost: late for its class, but in time for another.
     fn stalls_at(&self, now: f64, held: &Held) -> f64 {
-        let late = now + STALL_WAITS * self.classes.get(held.class).unwrap_or(&self.all).latency;
+        let late = now + STALL_WAITS * self.classes.get(held.class).unwrap_or(&self.all).latency_ms;
         let first = held.ran.map_or(now, |ran| held.attempts[ran].sent_at);
         match held.rules.effect {
             Effect::Keyed { window_ms, .. } => late.min(first + window_ms * WINDOW_PART * STALL_CUT).max(now),
@@ -985,8 +1001,9 @@
         };
         // As long as a server takes for one request of those it holds: the next place is free by then, and a
         // longer wait would use up the aim, which goes on from the first try.
-        let turn = if self.all.seen > 0.0 { self.all.latency / self.all.depth } else { self.aim * EASY };
-        let retry_after_ms = self.settings.retry_after_most_ms.map(|most| turn.min(most));
+        let turn =
+            if self.all.samples > 0.0 { self.all.latency_ms / self.all.depth } else { self.aim * EASY };
+        let retry_after_ms = self.settings.max_retry_after_ms.map(|most| turn.min(most));
         let refuse = Action::Refuse { request: id, retry_after_ms };
         actions.push(if harmless { refuse } else { Action::Fail { request: id } });
     }
@@ -1037,14 +1054,14 @@
             Ending::Cancelled if attempt.cut => true,
             // A full server is busy, not ill; a time-out within the aim says nothing of it.
             Ending::Served | Ending::Full => false,
-            Ending::TimedOut => elapsed >= held.rules.aim_ms,
+            Ending::TimedOut => elapsed >= held.rules.latency_objective_ms,
             Ending::Error | Ending::Unreachable | Ending::Reset => true,
             Ending::Cancelled | Ending::NotSent => return,
         };
         let timed = matches!(outcome.ending, Ending::Served | Ending::TimedOut) && !attempt.spans_pause;
         if timed {
-            if self.all.seen >= RECENT {
-                let took = (elapsed / (relative * self.all.latency) - 1.0).min(TOOK_MOST);
+            if self.all.samples >= RECENT {
+                let took = (elapsed / (relative * self.all.latency_ms) - 1.0).min(TOOK_MOST);
                 for ((with, itself), told) in self.bears.iter_mut().zip(attempt.told) {
                     *with += (told * took - *with) / BEARS;
                     *itself += (told * told - *itself) / BEARS;
@@ -1070,7 +1087,7 @@
             let again = (server.strikes / STRIKES).clamp(1, EJECT_MOST) - 1;
             let times = if self.sparse { f64::from(1 << again) } else { 1.0 };
             if due && server.ejected_until.replace(now + EJECT * times * self.aim).is_none() {
-                to.push(Action::TakenOut { server: ServerId(at) });
+                to.push(Action::Ejected { server: ServerId(at) });
             }
         }
     }
--- a/crates/spurdrum-policy/tests/common/fleet.rs
+++ b/crates/spurdrum-policy/tests/common/fleet.rs
@@ -65,17 +65,21 @@
     /// How far the most pressed of the restarted servers was pressed while it was cold, by the whole fleet: the most requests in one
     /// of the windows that the settings name, against what they allow for it and what chance may add, 2 x root + 2.
     pub fn pressed(&self, plan: &Plan) -> f64 {
-        let Settings { cold_from, cold_ms, tip_multiple, tip_after_ms, .. } = plan.settings;
-        let part = |age: f64| (cold_from + (1.0 - cold_from) * age / cold_ms).min(1.0);
+        let Settings { slow_start_min_capacity, slow_start_ms, collapse_multiple, collapse_after_ms, .. } =
+            plan.settings;
+        let part = |age: f64| {
+            (slow_start_min_capacity + (1.0 - slow_start_min_capacity) * age / slow_start_ms).min(1.0)
+        };
         let pressed = plan.restart.servers.iter().flat_map(|server| {
             let full = plan.servers[*server].workers as f64 / plan.servers[*server].service_ms;
             let sent: Vec<f64> =
                 self.cold.iter().filter(|(at, _)| at == server).map(|(_, age)| *age).collect();
-            let windows = sent.iter().take_while(|age| **age + tip_after_ms <= cold_ms).count();
+            let windows = sent.iter().take_while(|age| **age + collapse_after_ms <= slow_start_ms).count();
             (0..windows).map(move |first| {
-                let end = sent[first] + tip_after_ms;
+                let end = sent[first] + collapse_after_ms;
                 let count = sent[first..].iter().take_while(|age| **age < end).count() as f64;
-                let allowed = tip_multiple * full * tip_after_ms * (part(sent[first]) + part(end)) / 2.0;
+                let allowed =
+                    collapse_multiple * full * collapse_after_ms * (part(sent[first]) + part(end)) / 2.0;
                 count / (allowed + 2.0 * allowed.sqrt() + 2.0)
             })
         });
@@ -128,7 +132,7 @@
     /// Of each server: at work, waiting, and its last report.
     busy: Vec<usize>,
     queue: Vec<VecDeque<(usize, u64, usize)>>,
-    told: Vec<Report>,
+    told: Vec<LoadReport>,
     /// Requests by node and id: when they came, attempts made, and whether they are answered.
     held: HashMap<(usize, u64), (f64, Vec<bool>, bool)>,
     last: u64,
@@ -151,7 +155,7 @@
         random: fastrand::Rng::with_seed(plan.seed),
         busy: vec![0; count],
         queue: vec![VecDeque::new(); count],
-        told: vec![Report { in_flight: Some(0.0), queued: Some(0.0) }; count],
+        told: vec![LoadReport { in_flight: Some(0.0), queued: Some(0.0) }; count],
         held: HashMap::new(),
         last: 0,
         retries: HashMap::new(),
@@ -165,9 +169,10 @@
     world.out
 }
 
-fn new_node(plan: &Plan, me: usize, life: u64) -> Balancer {
-    let settings = Settings { nodes: plan.nodes, me, zone: me % plan.zones, ..plan.settings.clone() };
-    Balancer::new(settings, plan.seed * 1000 + me as u64 + life).expect("sound settings")
+fn new_node(plan: &Plan, node_index: usize, life: u64) -> Balancer {
+    let settings =
+        Settings { nodes: plan.nodes, node_index, zone: node_index % plan.zones, ..plan.settings.clone() };
+    Balancer::new(settings, plan.seed * 1000 + node_index as u64 + life).expect("sound settings")
 }
 
 impl World {
@@ -185,7 +190,7 @@
             zone: server.zone,
             cell: n / 5,
             kind: server.workers - 1,
-            key: (n as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15),
+            name_hash: (n as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15),
             ..ServerEntry::new(ServerId(n), Availability::Ready)
         });
         entries.collect()
@@ -197,7 +202,7 @@
             self.at(self.plan.restart.at_ms, Step::Restart);
         }
         for node in 0..self.nodes.len() {
-            self.tell(node, Event::Servers(Listing::Full(entries.clone())));
+            self.tell(node, Event::Servers(ListUpdate::Full(entries.clone())));
             self.next_arrival(node);
         }
         self.at(REPORT_MS, Step::Report);
@@ -222,7 +227,7 @@
                 Step::TimedOut(node, id, attempt) => self.ended(node, id, attempt, Ending::TimedOut, None),
                 Step::Probed(node, server) => {
                     let (queued, held) = self.holds(server);
-                    let report = Some(Report { in_flight: Some(held), queued: Some(queued) });
+                    let report = Some(LoadReport { in_flight: Some(held), queued: Some(queued) });
                     self.tell(
                         node,
                         Event::Probed { server: ServerId(server), ending: Ending::Served, report },
@@ -232,7 +237,7 @@
                 Step::Report => {
                     for n in 0..self.queue.len() {
                         let (queued, held) = self.holds(n);
-                        self.told[n] = Report { in_flight: Some(held), queued: Some(queued) };
+                        self.told[n] = LoadReport { in_flight: Some(held), queued: Some(queued) };
                     }
                     if now < end {
                         self.at(REPORT_MS, Step::Report);
@@ -274,18 +279,21 @@
                 for entry in &mut all {
                     entry.started_at = entries.iter().find(|e| e.server == entry.server).and(Some(self.now));
                 }
-                self.tell(node, Event::Servers(Listing::Full(all)));
+                self.tell(node, Event::Servers(ListUpdate::Full(all)));
                 continue;
             }
-            self.tell(node, Event::Servers(Listing::Changes(entries.clone())));
+            self.tell(node, Event::Servers(ListUpdate::Changes(entries.clone())));
         }
     }
 
     /// The part of its capacity that a server has now.
     fn part(&self, server: usize) -> f64 {
-        let Settings { cold_from, cold_ms, .. } = self.plan.settings;
+        let Settings { slow_start_min_capacity, slow_start_ms, .. } = self.plan.settings;
         let cold = self.restarted.filter(|_| self.plan.restart.servers.contains(&server));
-        cold.map_or(1.0, |at| (cold_from + (1.0 - cold_from) * (self.now - at) / cold_ms).min(1.0))
+        cold.map_or(1.0, |at| {
+            (slow_start_min_capacity + (1.0 - slow_start_min_capacity) * (self.now - at) / slow_start_ms)
+                .min(1.0)
+        })
     }
 
     fn arrives(&mut self, node: usize) {
@@ -366,7 +374,7 @@
         self.ended(node, id, attempt, Ending::Served, report);
     }
 
-    fn ended(&mut self, node: usize, id: u64, attempt: usize, ending: Ending, report: Option<Report>) {
+    fn ended(&mut self, node: usize, id: u64, attempt: usize, ending: Ending, report: Option<LoadReport>) {
         let Some((came, attempts, answered)) = self.held.get_mut(&(node, id)) else { return };
         if !std::mem::take(&mut attempts[attempt]) {
             return;
--- a/crates/spurdrum-policy/tests/common/mod.rs
+++ b/crates/spurdrum-policy/tests/common/mod.rs
@@ -22,7 +22,7 @@
     }
 
     pub fn servers(&mut self, entries: Vec<ServerEntry>) -> Vec<Action> {
-        self.feed(Event::Servers(Listing::Full(entries)))
+        self.feed(Event::Servers(ListUpdate::Full(entries)))
     }
 
     pub fn request(&mut self, id: u64, class: usize, budget_ms: f64) -> Vec<Action> {
@@ -53,7 +53,7 @@
             elapsed_ms,
             ending,
             complete: ending == Ending::Served,
-            report: held.map(|n| Report { in_flight: Some(n), queued: None }),
+            report: held.map(|n| LoadReport { in_flight: Some(n), queued: None }),
         }))
     }
 }
--- a/crates/spurdrum-policy/tests/fleet.rs
+++ b/crates/spurdrum-policy/tests/fleet.rs
@@ -9,7 +9,7 @@
 fn settings() -> Settings {
     let mut settings =
         Settings::new(vec![Class::new(400.0, 800.0, Effect::Keyed { group: Group::Cell, window_ms: 500.0 })]);
-    settings.classes[0].late_worth = 0.2;
+    settings.classes[0].late_value = 0.2;
     (settings.probes, settings.probe_price, settings.cross_zone_price) = (true, 0.08, 0.01);
     settings
 }
@@ -85,7 +85,7 @@
     for nodes in [1, 2, 13, 1000] {
         for servers in [1, 2, 60] {
             for price in [0.0, 0.08] {
-                let mut all = Settings { nodes, me: nodes - 1, zone: 7, ..settings() };
+                let mut all = Settings { nodes, node_index: nodes - 1, zone: 7, ..settings() };
                 (all.probe_price, all.cross_zone_price) = (price, price);
                 let mut node = common::Node::new(all, 3);
                 assert!(common::refused(&node.request(1, 0, 800.0)), "{nodes} nodes, nobody to send to");
@@ -93,7 +93,7 @@
                 let mut actions = node.request(2, 0, 800.0);
                 for action in actions.clone() {
                     if let Action::Probe { server } = action {
-                        let report = Some(Report { in_flight: Some(0.0), queued: Some(0.0) });
+                        let report = Some(LoadReport { in_flight: Some(0.0), queued: Some(0.0) });
                         actions.extend(node.feed(Event::Probed { server, ending: Ending::Served, report }));
                     }
                 }
@@ -119,9 +119,9 @@
     let servers: Vec<Server> = (0..count).map(kind).collect();
     let capacity: f64 = servers.iter().map(|s| s.workers as f64 / s.service_ms * 1000.0).sum();
     let mut settings = settings();
-    (settings.cold_from, settings.cold_ms) = (0.3, 8_900.0);
-    (settings.tip_multiple, settings.tip_after_ms) = (2.5, 3_000.0);
-    (settings.retry_after_most_ms, settings.kinds) = (Some(400.0), 2);
+    (settings.slow_start_min_capacity, settings.slow_start_ms) = (0.3, 8_900.0);
+    (settings.collapse_multiple, settings.collapse_after_ms) = (2.5, 3_000.0);
+    (settings.max_retry_after_ms, settings.kinds) = (Some(400.0), 2);
     let servers_anew = (0..count).filter(|n| n % 5 == 0 || n % 5 == 4).collect();
     Plan {
         servers,
--- a/crates/spurdrum-policy/tests/hsq.rs
+++ b/crates/spurdrum-policy/tests/hsq.rs
@@ -209,7 +209,7 @@
     let mut nodes_of = [0; 60];
     for me in 0..300 {
         let mut settings = patient();
-        (settings.nodes, settings.me) = (300, me);
+        (settings.nodes, settings.node_index) = (300, me);
         let mut node = Node::new(settings, me as u64);
         node.servers(ready(0..60));
         let mut slice: Vec<usize> = (0..40).map(|id| node.sent_to(id)).collect();
@@ -223,7 +223,7 @@
 
 fn asking() -> Settings {
     let mut settings = one_class(Effect::Safe);
-    (settings.probes, settings.answers_report) = (true, false);
+    (settings.probes, settings.responses_carry_load) = (true, false);
     settings
 }
 
@@ -233,7 +233,7 @@
 }
 
 fn answer(node: &mut Node, server: usize, held: f64) -> Vec<Action> {
-    let report = Some(Report { in_flight: Some(held), queued: None });
+    let report = Some(LoadReport { in_flight: Some(held), queued: None });
     node.feed(Event::Probed { server: ServerId(server), ending: Ending::Served, report })
 }
 
@@ -259,7 +259,7 @@
         [(0.08, true, 0), (0.004, true, 2), (0.0, true, 3), (0.08, false, 1)]
     {
         let mut settings = asking();
-        (settings.nodes, settings.probe_price, settings.answers_report) = (100, price, answers_report);
+        (settings.nodes, settings.probe_price, settings.responses_carry_load) = (100, price, answers_report);
         let mut node = Node::new(settings, 1);
         node.servers(ready(0..60));
         let actions = node.request(1, 0, 800.0);
--- a/crates/spurdrum-policy/tests/orders.rs
+++ b/crates/spurdrum-policy/tests/orders.rs
@@ -47,9 +47,9 @@
 impl World {
     fn new(cancel: bool, asks: bool, max_attempts: usize, seed: u64) -> Self {
         let mut settings = Settings::new(EFFECTS.iter().map(|e| Class::new(100.0, 400.0, *e)).collect());
-        (settings.cancel, settings.max_attempts, settings.cold_ms) = (cancel, max_attempts, 500.0);
-        settings.cold_from = 0.2;
-        (settings.probes, settings.answers_report, settings.probe_price) = (asks, !asks, 0.001);
+        (settings.cancel, settings.max_attempts, settings.slow_start_ms) = (cancel, max_attempts, 500.0);
+        settings.slow_start_min_capacity = 0.2;
+        (settings.probes, settings.responses_carry_load, settings.probe_price) = (asks, !asks, 0.001);
         let (held, timers, listed, probes) = (Vec::new(), BTreeMap::new(), HashMap::new(), Vec::new());
         let mut world = Self { node: Node::new(settings, seed), held, timers, listed, probes, cancel };
         (0..SERVERS).for_each(|server| world.list(server, Availability::Ready, false));
@@ -67,7 +67,7 @@
         let started_at = starts.then_some(self.node.now);
         let entry =
             ServerEntry { cell: server / 2, started_at, ..ServerEntry::new(ServerId(server), availability) };
-        self.feed(Event::Servers(Listing::Changes(vec![entry])));
+        self.feed(Event::Servers(ListUpdate::Changes(vec![entry])));
     }
 
     fn look_at(&mut self, action: Action) {
@@ -123,7 +123,7 @@
         }
         held.answers += usize::from(ending == Ending::Served && !held.left);
         let complete = held.left || held.answers > 0;
-        let report = Some(Report { in_flight: Some(1.0), queued: None });
+        let report = Some(LoadReport { in_flight: Some(1.0), queued: None });
         let request = RequestId(id as u64);
         self.feed(Event::Outcome(Outcome { request, attempt, elapsed_ms, ending, complete, report }));
     }
@@ -167,7 +167,7 @@
             7 => {
                 if let Some(server) = self.probes.pop() {
                     let (server, ending) = (ServerId(server), ENDINGS[pick % 2]);
-                    let report = Some(Report { in_flight: Some(0.0), queued: None });
+                    let report = Some(LoadReport { in_flight: Some(0.0), queued: None });
                     self.feed(Event::Probed { server, ending, report });
                 }
             }
--- a/crates/spurdrum-policy/tests/pauses.rs
+++ b/crates/spurdrum-policy/tests/pauses.rs
@@ -42,7 +42,7 @@
     let (mut node, out) = with_attempts_out();
     let begun = node.now;
     node.now += PAUSE_MS;
-    let resumed = node.feed(Event::Resumed { stood_still_ms: PAUSE_MS });
+    let resumed = node.feed(Event::Resumed { paused_ms: PAUSE_MS });
     assert_eq!(resumed, [], "what is held sets no timers");
     // 600 ms is one and a half aims.
     let early: Vec<Action> = out.iter().flat_map(|id| node.feed(Event::Timer(*id + 1))).collect();
@@ -60,7 +60,7 @@
 fn answers_that_span_a_pause_do_not_raise_what_is_expected() {
     let (mut node, out) = with_attempts_out();
     node.now += PAUSE_MS;
-    node.feed(Event::Resumed { stood_still_ms: PAUSE_MS });
+    node.feed(Event::Resumed { paused_ms: PAUSE_MS });
     out.iter().for_each(|id| drop(node.end(*id, 0, PAUSE_MS, Ending::Served)));
     for id in 200..230 {
         assert!(!refused(&node.request(id, 0, 800.0)), "request {id}");
@@ -75,10 +75,10 @@
         let (mut node, out) = with_attempts_out();
         node.now += PAUSE_MS;
         if resumed {
-            node.feed(Event::Resumed { stood_still_ms: PAUSE_MS });
+            node.feed(Event::Resumed { paused_ms: PAUSE_MS });
         }
         out.iter().for_each(|id| drop(node.end(*id, 0, PAUSE_MS, Ending::TimedOut)));
-        node.balancer.avoided(node.now)
+        node.balancer.ejected_count(node.now)
     };
     assert_eq!((ends(true), ends(false)), (0, 1));
 }
--- a/crates/spurdrum-policy/tests/preference.rs
+++ b/crates/spurdrum-policy/tests/preference.rs
@@ -6,7 +6,8 @@
 use spurdrum_policy::*;
 
 fn prefers(node: &mut Node, id: u64, server: usize) -> usize {
-    let request = Request { prefers: Some(ServerId(server)), ..Request::new(RequestId(id), 0, 80_000.0) };
+    let request =
+        Request { preferred_server: Some(ServerId(server)), ..Request::new(RequestId(id), 0, 80_000.0) };
     send_of(&node.feed(Event::Request(request))).expect("sent")
 }
 
@@ -58,7 +59,7 @@
     let mut node = Node::new(patient(), 3);
     node.servers(ready(0..3));
     assert_eq!(prefers(&mut node, 1, 0), 0);
-    node.feed(Event::Servers(Listing::Changes(vec![
+    node.feed(Event::Servers(ListUpdate::Changes(vec![
         ServerEntry::new(ServerId(0), Availability::Draining),
         ServerEntry::new(ServerId(1), Availability::Gone),
     ])));
@@ -102,8 +103,9 @@
     // Of 40 nodes each meets 3 of 10 servers: here is what one of them sends to a cold one in its slice, or beyond.
     let share = |started_at, server| {
         let mut settings = patient();
-        (settings.nodes, settings.me) = (40, 7);
-        (settings.cold_ms, settings.cold_from, settings.tip_multiple) = (10_000.0, 0.3, 2.0);
+        (settings.nodes, settings.node_index) = (40, 7);
+        (settings.slow_start_ms, settings.slow_start_min_capacity, settings.collapse_multiple) =
+            (10_000.0, 0.3, 2.0);
         let mut sent = 0;
         for seed in 0..100 {
             let mut node = Node::new(settings.clone(), seed);
--- a/crates/spurdrum-policy/tests/rules.rs
+++ b/crates/spurdrum-policy/tests/rules.rs
@@ -31,7 +31,7 @@
 fn a_refusal_says_when_to_come_back() {
     for (most, told) in [(None, None), (Some(400.0), Some(100.0)), (Some(30.0), Some(30.0))] {
         let mut settings = one_class(Effect::Safe);
-        settings.retry_after_most_ms = most;
+        settings.max_retry_after_ms = most;
         let mut node = Node::new(settings, 1);
         let refuse = Action::Refuse { request: RequestId(1), retry_after_ms: told };
         assert_eq!(node.request(1, 0, 800.0), [refuse]);
@@ -126,10 +126,10 @@
     let mut node = Node::new(one_class(Effect::Safe), 1);
     node.servers(ready(0..3));
     let mut entry = ServerEntry::new(ServerId(0), Availability::Draining);
-    node.feed(Event::Servers(Listing::Changes(vec![entry.clone()])));
+    node.feed(Event::Servers(ListUpdate::Changes(vec![entry.clone()])));
     entry.server = ServerId(1);
     entry.availability = Availability::Gone;
-    node.feed(Event::Servers(Listing::Changes(vec![entry])));
+    node.feed(Event::Servers(ListUpdate::Changes(vec![entry])));
     assert!((0..20).all(|id| node.sent_to(id) == 2));
     // A complete list without it removes the last one, too.
     node.servers(ready(3..4));
@@ -149,11 +149,11 @@
     node.servers(vec![cell(1, 8), cell(2, 7)]);
     assert_eq!(send_of(&node.report(1, 0, 50.0, Ending::Reset, Some(3.0))), Some(2));
     assert_eq!(send_of(&node.report(2, 0, 50.0, Ending::Reset, Some(3.0))), Some(2));
-    let report = Some(Report { in_flight: Some(9.0), queued: None });
+    let report = Some(LoadReport { in_flight: Some(9.0), queued: None });
     node.feed(Event::Probed { server: ServerId(0), ending: Ending::Served, report });
     node.end(1, 1, 50.0, Ending::Served);
     let gone = ServerEntry { availability: Availability::Gone, ..cell(2, 7) };
-    node.feed(Event::Servers(Listing::Changes(vec![gone])));
+    node.feed(Event::Servers(ListUpdate::Changes(vec![gone])));
     assert!(failed(&node.end(2, 1, 50.0, Ending::Reset)));
 }
 
@@ -161,10 +161,10 @@
 fn a_cold_server_gets_no_more_than_its_budget() {
     let mut settings = one_class(Effect::Safe);
     settings.nodes = 3;
-    settings.cold_from = 0.3;
-    settings.cold_ms = 9_000.0;
-    settings.tip_multiple = 2.5;
-    settings.tip_after_ms = 3_000.0;
+    settings.slow_start_min_capacity = 0.3;
+    settings.slow_start_ms = 9_000.0;
+    settings.collapse_multiple = 2.5;
+    settings.collapse_after_ms = 3_000.0;
     let mut node = Node::new(settings, 1);
     node.servers(ready(0..10));
     let mut at = BTreeMap::new();
@@ -203,12 +203,12 @@
 #[test]
 fn a_restarted_node_spares_cold_servers() {
     let mut settings = one_class(Effect::Safe);
-    (settings.cold_from, settings.cold_ms) = (0.3, 9_000.0);
-    (settings.tip_multiple, settings.tip_after_ms) = (2.5, 3_000.0);
+    (settings.slow_start_min_capacity, settings.slow_start_ms) = (0.3, 9_000.0);
+    (settings.collapse_multiple, settings.collapse_after_ms) = (2.5, 3_000.0);
     let mut node = Node::new(settings, 1);
     let mut entries = ready(0..2);
     entries[1].started_at = Some(node.now - 100.0);
-    node.feed(Event::Servers(Listing::Cached(entries)));
+    node.feed(Event::Servers(ListUpdate::Cached(entries)));
     let cold = (0..40).filter(|id| send_of(&node.request(*id, 0, 800.0)) == Some(1)).count();
     // Had both all of their capacity, each would get twenty.
     assert!(cold as f64 <= 2.5 * 0.3 * 20.0, "{cold} of 40");
@@ -220,11 +220,11 @@
 fn hundreds_of_nodes_together_spare_a_cold_server() {
     let mut settings = one_class(Effect::Safe);
     (settings.nodes, settings.max_attempts) = (400, 1);
-    (settings.cold_from, settings.cold_ms) = (0.2, 20_000.0);
-    (settings.tip_multiple, settings.tip_after_ms) = (2.5, 1_500.0);
+    (settings.slow_start_min_capacity, settings.slow_start_ms) = (0.2, 20_000.0);
+    (settings.collapse_multiple, settings.collapse_after_ms) = (2.5, 1_500.0);
     let (mut cold, mut sent) = (0, 0);
     for me in 0..400 {
-        settings.me = me;
+        settings.node_index = me;
         let mut node = Node::new(settings.clone(), me as u64);
         let mut entries = ready(0..10);
         entries[7].started_at = Some(node.now);
@@ -249,24 +249,24 @@
 fn it_subscribes_at_once_and_again_after_failures() {
     let mut settings = one_class(Effect::Safe);
     settings.discovery = Discovery::Subscribe;
-    settings.ask_within_ms = 10_000.0;
+    settings.resubscribe_within_ms = 10_000.0;
     let mut node = Node::new(settings, 1);
-    let actions = node.feed(Event::Servers(Listing::Cached(ready(0..2))));
+    let actions = node.feed(Event::Servers(ListUpdate::Cached(ready(0..2))));
     assert_eq!(actions, [Action::Subscribe]);
     let mut waits = Vec::new();
     for call in 0..8 {
-        let actions = node.feed(Event::Servers(Listing::Failed));
+        let actions = node.feed(Event::Servers(ListUpdate::Failed));
         let notes = actions.iter().filter(|a| matches!(a, Action::Note(_))).count();
         assert_eq!(notes, usize::from(call == 0), "the loss is noted once: {actions:?}");
         let [.., Action::SetTimer { timer, after_ms }] = actions[..] else { panic!("{actions:?}") };
-        assert!(node.feed(Event::Servers(Listing::Failed)).is_empty(), "one call at a time");
+        assert!(node.feed(Event::Servers(ListUpdate::Failed)).is_empty(), "one call at a time");
         waits.push(after_ms);
         node.now += after_ms;
         assert_eq!(node.feed(Event::Timer(timer)), [Action::Subscribe]);
         assert!(node.feed(Event::Timer(timer)).is_empty(), "a timer is used once");
     }
     assert!(waits[0] < waits[4] && waits.iter().all(|w| *w <= 2_500.0), "{waits:?}");
-    let list = || Event::Servers(Listing::Full(ready(0..2)));
+    let list = || Event::Servers(ListUpdate::Full(ready(0..2)));
     let noted = node.feed(list());
     assert!(matches!(noted[..], [Action::Note(_)]), "and so is the end of it: {noted:?}");
     assert!(node.feed(list()).is_empty(), "once");
@@ -475,8 +475,8 @@
     let mut sent = [0, 0];
     for (crowded, sent) in sent.iter_mut().enumerate() {
         let mut settings = one_class(Effect::Safe);
-        (settings.nodes, settings.max_attempts, settings.answers_report) = (300, 1, true);
-        (settings.classes[0].aim_ms, settings.classes[0].late_worth) = (90.0, 0.0);
+        (settings.nodes, settings.max_attempts, settings.responses_carry_load) = (300, 1, true);
+        (settings.classes[0].latency_objective_ms, settings.classes[0].late_value) = (90.0, 0.0);
         let mut node = Node::new(settings, 1);
         node.servers(ready(0..4));
         let (held, elapsed) = if crowded == 1 { (9.0, 180.0) } else { (1.0, 45.0) };
@@ -497,7 +497,7 @@
 fn beyond_its_quota_a_tenant_is_refused_first() {
     let mut settings = one_class(Effect::Safe);
     settings.quotas_per_s = vec![1_000.0, 10.0];
-    settings.over_quota_worth = 0.1;
+    settings.over_quota_value = 0.1;
     let mut node = Node::new(settings, 1);
     node.servers(ready(0..2));
     let mut refusals = [0; 2];
@@ -522,7 +522,7 @@
     let mut settings = one_class(Effect::Safe);
     settings.nodes = 800;
     settings.quotas_per_s = vec![400.0, 40.0];
-    settings.over_quota_worth = 0.1;
+    settings.over_quota_value = 0.1;
     settings.max_attempts = 1;
     let mut node = Node::new(settings, 1);
     node.servers(ready(0..4));
@@ -543,7 +543,7 @@
 #[test]
 fn low_worth_does_not_crowd_out_what_is_worth_more() {
     let mut near = Class::new(200.0, 2_000.0, Effect::Safe);
-    near.worth = 5.0;
+    near.value = 5.0;
     let mut settings = Settings::new(vec![near, Class::new(4_000.0, 8_000.0, Effect::Safe)]);
     settings.max_attempts = 1;
     let mut node = Node::new(settings, 1);
@@ -690,7 +690,7 @@
                 );
             }
             Action::Subscribe | Action::SetTimer { .. } | Action::Note(_) => {}
-            Action::TakenOut { .. } | Action::Restored { .. } => {}
+            Action::Ejected { .. } | Action::Restored { .. } => {}
         }
     }
 
@@ -711,10 +711,10 @@
     ]);
     settings.nodes = 1 + random.usize(..4);
     settings.kinds = 2;
-    (settings.probes, settings.answers_report) = (random.bool(), random.bool());
+    (settings.probes, settings.responses_carry_load) = (random.bool(), random.bool());
     settings.cancel = random.bool();
     settings.max_attempts = 1 + random.usize(..5);
-    (settings.cold_from, settings.cold_ms) = (0.3, 5_000.0);
+    (settings.slow_start_min_capacity, settings.slow_start_ms) = (0.3, 5_000.0);
     if random.bool() {
         settings.discovery = Discovery::Subscribe;
     }
@@ -752,13 +752,13 @@
             let complete = random.bool();
             checker.list(now, &entries, complete);
             events.push(Event::Servers(if complete {
-                Listing::Full(entries)
+                ListUpdate::Full(entries)
             } else {
-                Listing::Changes(entries)
+                ListUpdate::Changes(entries)
             }));
         }
         if random.u32(..60) == 0 {
-            events.push(Event::Servers(Listing::Failed));
+            events.push(Event::Servers(ListUpdate::Failed));
         }
         out.sort_by(|a, b| a.0.total_cmp(&b.0));
         while out.first().is_some_and(|o| o.0 <= now) {
@@ -771,7 +771,9 @@
                 elapsed_ms: now - sent_at,
                 ending,
                 complete: ending == Ending::Served,
-                report: random.bool().then(|| Report { in_flight: Some(random.f64() * 9.0), queued: None }),
+                report: random
+                    .bool()
+                    .then(|| LoadReport { in_flight: Some(random.f64() * 9.0), queued: None }),
             }));
         }
         timers.retain(|(at, timer)| {
@@ -786,7 +788,7 @@
         for (_, server) in due {
             let ending = if random.u32(..4) > 0 { Ending::Served } else { Ending::TimedOut };
             let report = (ending == Ending::Served)
-                .then(|| Report { in_flight: Some(random.f64() * 5.0), queued: None });
+                .then(|| LoadReport { in_flight: Some(random.f64() * 5.0), queued: None });
             events.push(Event::Probed { server, ending, report });
         }
         if random.u32(..40) == 0 && id > 20 {
@@ -853,7 +855,7 @@
     assert!(node.feed(Event::Timer(0)).is_empty() && node.feed(Event::Timer(5)).is_empty());
     assert!(node.feed(Event::StreamStarted { request: RequestId(7), attempt: 0 }).is_empty());
     let probed =
-        Event::Probed { server: ServerId(99), ending: Ending::Served, report: Some(Report::default()) };
+        Event::Probed { server: ServerId(99), ending: Ending::Served, report: Some(LoadReport::default()) };
     assert!(node.feed(probed).is_empty());
     node.sent_to(1);
     assert!(node.end(1, 9, 5.0, Ending::Error).is_empty(), "an attempt that was never made");
@@ -908,7 +910,7 @@
                 } else if elapsed >= 750.0 {
                     let ending = if lost { Ending::TimedOut } else { Ending::Served };
                     let actions = node.end(id, 0, elapsed, ending);
-                    let taken_out = actions.iter().any(|a| matches!(a, Action::TakenOut { .. }));
+                    let taken_out = actions.iter().any(|a| matches!(a, Action::Ejected { .. }));
                     assert!(!taken_out || round < 60, "a server is not ill for what its way loses");
                 } else {
                     out.push((id, sent_at, timer.filter(|_| !timed)));
--- a/crates/spurdrum-policy/tests/settings.rs
+++ b/crates/spurdrum-policy/tests/settings.rs
@@ -10,7 +10,7 @@
 
 fn new(classes: Vec<Class>, max_attempts: usize, of: Vec<Option<usize>>) -> Event {
     let settings = Settings { max_attempts, ..Settings::new(classes) };
-    Event::Settings(Box::new(NewSettings { settings, classes: of, tenants: Vec::new() }))
+    Event::Reload(Box::new(NewSettings { settings, classes: of, tenants: Vec::new() }))
 }
 
 fn class(effect: Effect) -> Class {
@@ -67,7 +67,7 @@
     node.servers(ready(0..2));
     // Three failures in a row take the server out.
     let mut id = 0;
-    while node.balancer.avoided(node.now) == 0 {
+    while node.balancer.ejected_count(node.now) == 0 {
         id += 1;
         let to = node.sent_to(id);
         let ending = if to == 0 { Ending::Unreachable } else { Ending::Served };
@@ -78,7 +78,7 @@
         assert!(id < 100);
     }
     node.feed(new(vec![class(Effect::Safe), class(KEYED)], 3, vec![Some(0), None]));
-    assert_eq!(node.balancer.avoided(node.now), 1);
+    assert_eq!(node.balancer.ejected_count(node.now), 1);
     for id in 101..110 {
         assert_eq!(node.sent_to(id), 1, "the one that is out stays out");
         node.end(id, 0, 5.0, Ending::Served);
@@ -88,7 +88,7 @@
 #[test]
 fn a_quota_that_is_used_up_stays_used_up_under_its_tenants_new_place() {
     let tenants = |quotas: Vec<f64>| {
-        let mut settings = Settings { over_quota_worth: 0.01, ..one_class(Effect::Safe) };
+        let mut settings = Settings { over_quota_value: 0.01, ..one_class(Effect::Safe) };
         settings.quotas_per_s = quotas;
         settings
     };
@@ -117,7 +117,7 @@
         classes: vec![Some(0)],
         tenants: vec![Some(1), Some(0)],
     };
-    node.feed(Event::Settings(Box::new(change)));
+    node.feed(Event::Reload(Box::new(change)));
     assert_eq!((first, taken(&mut node, 100, 1)), (5, 0));
     assert_eq!(taken(&mut node, 200, 0), 4, "the other one has used one of its own at this moment");
 }
@@ -138,14 +138,14 @@
 #[test]
 fn what_was_learned_passes_to_the_next_balancer() {
     let settings = || {
-        let mut settings = Settings { over_quota_worth: 0.01, ..one_class(Effect::Safe) };
+        let mut settings = Settings { over_quota_value: 0.01, ..one_class(Effect::Safe) };
         settings.quotas_per_s = vec![5.0, 5.0];
         settings
     };
     let mut old = Node::new(settings(), 1);
     old.servers(ready(0..3));
     let mut id = 0;
-    while old.balancer.avoided(old.now) == 0 {
+    while old.balancer.ejected_count(old.now) == 0 {
         id += 1;
         old.now += 1_000.0;
         let (mut to, mut attempt) = (old.sent_to(id), 0);
@@ -163,20 +163,26 @@
         }
         assert!(id < 200);
     }
-    while old.balancer.learned().servers.iter().any(|s| s.server.0 != 0 && s.count.is_none_or(|c| c < 1.0)) {
+    while old
+        .balancer
+        .export_learned()
+        .servers
+        .iter()
+        .any(|s| s.server.0 != 0 && s.count.is_none_or(|c| c < 1.0))
+    {
         id += 1;
         let to = old.sent_to(id);
         old.report(id, 0, 100.0, Ending::Served, Some(if to == 1 { 50.0 } else { 1.0 }));
         assert!(id < 400);
     }
-    let learned = old.balancer.learned();
-    assert_eq!(learned.servers.iter().filter(|s| s.out_until.is_some()).count(), 1);
+    let learned = old.balancer.export_learned();
+    assert_eq!(learned.servers.iter().filter(|s| s.ejected_until.is_some()).count(), 1);
     let mut new = Node::new(settings(), 2);
     new.now = old.now;
     new.servers(ready(0..3));
-    new.feed(Event::Learned(Box::new(learned.clone())));
-    assert_eq!(new.balancer.learned(), learned, "nothing is lost on the way");
-    assert_eq!(new.balancer.avoided(new.now), 1);
+    new.feed(Event::ImportLearnedState(Box::new(learned.clone())));
+    assert_eq!(new.balancer.export_learned(), learned, "nothing is lost on the way");
+    assert_eq!(new.balancer.ejected_count(new.now), 1);
     for id in 1..3 {
         let actions = new.request(id, 0, 800.0);
         assert!(send_of(&actions).is_none_or(|to| to == 2), "the lowest count gets it: {actions:?}");
--- a/crates/spurdrum-simhost/src/wire.rs
+++ b/crates/spurdrum-simhost/src/wire.rs
@@ -4,7 +4,7 @@
 use std::fmt::{self, Write as _};
 
 use serde_json::Value;
-use spurdrum_facts::{key, one_line, read_settings, Mistyped};
+use spurdrum_facts::{name_hash, one_line, read_settings, SettingTypeError};
 use spurdrum_policy::*;
 
 /// What is wrong with a line.
@@ -27,8 +27,8 @@
     }
 }
 
-impl From<Mistyped> for WireError {
-    fn from(wrong: Mistyped) -> Self {
+impl From<SettingTypeError> for WireError {
+    fn from(wrong: SettingTypeError) -> Self {
         Self(wrong.to_string())
     }
 }
@@ -169,7 +169,7 @@
             zone: or_zero("site")?,
             kind: or_zero("type")?,
             weight: line.figure("units")?.unwrap_or(1.0),
-            key: key(server),
+            name_hash: name_hash(server),
         };
         Ok(Self { server: server.to_owned(), entry })
     }
@@ -195,13 +195,13 @@
         ServerId(id)
     }
 
-    fn report(&self, line: &Line<'_>) -> Result<Option<Report>, WireError> {
+    fn report(&self, line: &Line<'_>) -> Result<Option<LoadReport>, WireError> {
         let Some(row) = line.get("server_stats").filter(|r| !r.is_empty() && *r != "-") else {
             return Ok(None);
         };
         let values: Vec<f64> = row.split(',').map(|v| figure("server_stats", v)).collect::<Result<_, _>>()?;
         let at = |i: Option<usize>| i.and_then(|i| values.get(i).copied());
-        Ok(Some(Report { in_flight: at(self.in_flight_at), queued: at(self.queued_at) }))
+        Ok(Some(LoadReport { in_flight: at(self.in_flight_at), queued: at(self.queued_at) }))
     }
 
     /// Reads the settings of a start.
@@ -240,8 +240,8 @@
                     tenant: line.whole("party")?.unwrap_or(0) as usize,
                     budget_ms: line.need_figure("budget_ms")?,
                     cost_ms: line.figure("cost_ms")?.filter(|_| marks & 1 != 0),
-                    repeat: marks & 2 != 0,
-                    prefers: None,
+                    client_retry: marks & 2 != 0,
+                    preferred_server: None,
                 })
             }
             "ACK_FIRST" => Event::StreamStarted {
@@ -275,10 +275,14 @@
         }))
     }
 
-    fn listing(&mut self, line: &Line<'_>, lists: &[Option<Vec<Member>>; 16]) -> Result<Listing, WireError> {
+    fn listing(
+        &mut self,
+        line: &Line<'_>,
+        lists: &[Option<Vec<Member>>; 16],
+    ) -> Result<ListUpdate, WireError> {
         let mode = line.text("mode")?;
         if mode == "3" {
-            return Ok(Listing::Failed);
+            return Ok(ListUpdate::Failed);
         }
         let number = line.index("roster_id")?;
         let Some(list) = lists.get(number).and_then(Option::as_ref) else {
@@ -287,9 +291,9 @@
         let entries =
             list.iter().map(|m| ServerEntry { server: self.intern(&m.server), ..m.entry.clone() }).collect();
         match mode {
-            "0" => Ok(Listing::Changes(entries)),
-            "1" => Ok(Listing::Full(entries)),
-            "2" => Ok(Listing::Cached(entries)),
+            "0" => Ok(ListUpdate::Changes(entries)),
+            "1" => Ok(ListUpdate::Full(entries)),
+            "2" => Ok(ListUpdate::Cached(entries)),
             other => wrong(format!("`mode={other}` is unknown")),
         }
     }
@@ -315,7 +319,7 @@
             Action::SetTimer { timer, after_ms } => {
                 write!(out, "SCHEDULE node={node} nonce={timer} offset_ms={after_ms:.3}")
             }
-            Action::TakenOut { server } => {
+            Action::Ejected { server } => {
                 write!(out, "NOTE_DOWN node={node} note_text=server {} is taken out", server.0)
             }
             Action::Restored { server } => {
--- a/crates/spurdrum/src/file.rs
+++ b/crates/spurdrum/src/file.rs
@@ -456,20 +456,20 @@
                 EffectName::Unsafe => Effect::Unsafe,
             };
             let mut class = Class::new(table.aim_ms.unwrap_or(table.deadline_ms), table.deadline_ms, effect);
-            set(&mut class.worth, table.worth);
-            set(&mut class.late_worth, table.late_worth);
+            set(&mut class.value, table.worth);
+            set(&mut class.late_value, table.late_worth);
             class
         };
         let mut settings = spurdrum_policy::Settings::new(self.class.iter().map(class).collect());
         settings.quotas_per_s = vec![f64::MAX; node.tenants.len()];
-        (settings.nodes, settings.me) = (node.nodes, node.me);
+        (settings.nodes, settings.node_index) = (node.nodes, node.me);
         settings.weights = Weights::Size;
         settings.kinds = places.kinds.len().max(1);
-        settings.retry_after_most_ms = node.retry_after_most_ms;
+        settings.max_retry_after_ms = node.retry_after_most_ms;
         let servers = self.servers.as_ref();
         set(&mut settings.max_attempts, servers.and_then(|servers| servers.max_attempts));
-        set(&mut settings.cold_ms, servers.and_then(|servers| servers.cold_ms));
-        set(&mut settings.cold_from, servers.and_then(|servers| servers.cold_from));
+        set(&mut settings.slow_start_ms, servers.and_then(|servers| servers.cold_ms));
+        set(&mut settings.slow_start_min_capacity, servers.and_then(|servers| servers.cold_from));
         settings
     }
 
--- a/crates/spurdrum/src/list.rs
+++ b/crates/spurdrum/src/list.rs
@@ -34,7 +34,7 @@
             zone: place(&self.zones, &member.locality),
             kind: place(&self.kinds, &member.flavor),
             weight: member.size,
-            key: spurdrum_facts::key(&member.id),
+            name_hash: spurdrum_facts::name_hash(&member.id),
         };
         Listed { id: member.id.clone(), address: member.host_port, entry }
     }
--- a/crates/spurdrum/src/main.rs
+++ b/crates/spurdrum/src/main.rs
@@ -183,7 +183,7 @@
     let desk = config.ops.map(|(address, key)| listen(address, key, false)).transpose()?;
 
     let connections =
-        Connections::new(config.connections.clone(), config.limits, config.settings.retry_after_most_ms)
+        Connections::new(config.connections.clone(), config.limits, config.settings.max_retry_after_ms)
             .map_err(|(key, why)| format!("`connections.{key}`: {why}"))?;
     let mut handed_state = takeover.as_ref().and_then(replace::HandedState::from_takeover);
     let passed = replace::follow(takeover, &connections);
@@ -209,7 +209,7 @@
         Some(bindings) => {
             config.settings.preference_slack = bindings.slack;
             let (making, keyer) = (bindings.making(&config.names)?, bindings.keyer()?);
-            let affinity = bindings.start(unix_ms()?, config.settings.cold_ms)?;
+            let affinity = bindings.start(unix_ms()?, config.settings.slow_start_ms)?;
             Some((affinity, Rc::new(Keys::new(making, keyer)), keyer))
         }
     };
--- a/crates/spurdrum/src/platform.rs
+++ b/crates/spurdrum/src/platform.rs
@@ -47,9 +47,9 @@
     check_classes(facts, &names)?;
     let allowed = &facts["allowed"];
     let mut following = file.following();
-    (following.nodes, following.me) = (settings.nodes, settings.me);
+    (following.nodes, following.me) = (settings.nodes, settings.node_index);
     following.pushed = settings.discovery == Discovery::Push;
-    let asked = settings.ask_within_ms.clamp(100.0, 3_600_000.0);
+    let asked = settings.resubscribe_within_ms.clamp(100.0, 3_600_000.0);
     following.ask_within = Duration::from_secs_f64(asked / 1000.0);
     if let Some(grace) = grace(&facts["rules"])? {
         following.grace = grace;
--- a/crates/spurdrum/src/replace.rs
+++ b/crates/spurdrum/src/replace.rs
@@ -9,7 +9,7 @@
 use spurdrum_core::{Connections, Node, PassedConnection};
 use spurdrum_handover::{path, BudgetOwner, Identity, Offer, Takeover, TakeoverEvent, FORMAT};
 use spurdrum_http::{Names, Passed, SharedNames, Succession, Successor, Upstream};
-use spurdrum_policy::Learned;
+use spurdrum_policy::LearnedState;
 use spurdrum_sources::List;
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
@@ -24,7 +24,7 @@
     pub starting: bool,
     /// The ids of the servers in `learned`.
     ids: Vec<String>,
-    learned: Learned,
+    learned: LearnedState,
     /// The classes and tenants whose positions `learned` refers to.
     classes: Vec<String>,
     tenants: Vec<String>,
--- a/crates/spurdrum/src/retune.rs
+++ b/crates/spurdrum/src/retune.rs
@@ -119,15 +119,15 @@
         let mut settings = config.settings.clone();
         settings.preference_slack = old.preference_slack;
         let places = &config.places;
-        let moved = (settings.nodes, settings.me, settings.zone, settings.kinds, settings.discovery)
-            != (old.nodes, old.me, old.zone, old.kinds, old.discovery);
+        let moved = (settings.nodes, settings.node_index, settings.zone, settings.kinds, settings.discovery)
+            != (old.nodes, old.node_index, old.zone, old.kinds, old.discovery);
         if moved || (&places.zones, &places.kinds) != (&self.places.zones, &self.places.kinds) {
             tracing::warn!("the node's place among nodes, zones and kinds holds from the next start on");
-            (settings.nodes, settings.me, settings.zone) = (old.nodes, old.me, old.zone);
+            (settings.nodes, settings.node_index, settings.zone) = (old.nodes, old.node_index, old.zone);
             (settings.kinds, settings.discovery) = (old.kinds, old.discovery);
         }
         self.node.transport().set_times(config.conn_idle, config.dial_timeout);
-        self.node.connections.set_retry_after_most(settings.retry_after_most_ms);
+        self.node.connections.set_retry_after_most(settings.max_retry_after_ms);
         self.most_held.set(config.most_held);
         let changed =
             (&settings.classes, &config.names.classes) != (&old.classes, &self.names.borrow().classes);
