--- a/crates/spurdrum-keeper/src/hand.rs
+++ b/crates/spurdrum-keeper/src/hand.rs
@@ -5,14 +5,14 @@
 //! written. Which processes run is never read from the record but looked up.
 
 use serde::{Deserialize, Serialize};
-use spurdrum_rollout::orders::{Done, Generation, Order, Status};
-use spurdrum_rollout::version::{Change, How, Version};
+use spurdrum_rollout::orders::{Generation, Status, StepResult, SupervisorRequest};
+use spurdrum_rollout::version::{ApplyMethod, Change, Version};
 
 /// A place for a process.
 pub type Slot = usize;
 
 /// A process that keeps ending is started so often before the keeper goes back to the good version.
-const CRASHES_MOST: u32 = 3;
+const MAX_CRASHES: u32 = 3;
 
 /// What lasts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -26,7 +26,7 @@
     /// The step that is under way.
     pub step: Option<Step>,
     /// The last one that ended.
-    pub last: Option<Done>,
+    pub last: Option<StepResult>,
     /// Processes that ended by themselves.
     pub crashes: u64,
     /// It went back by itself since the last step.
@@ -48,68 +48,68 @@
     pub from: Option<Version>,
 }
 
-/// Times that the shell keeps, one each.
+/// Timers that the shell runs, at most one of each kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Timer {
-    /// A process that starts has had its time to become ready.
-    Ready,
-    /// A process that was told to end has had its time.
-    End,
-    /// The next try to start.
-    Restart,
-    /// The process has run for long enough not to count as one that keeps ending.
+    /// A starting process has had its time to become ready.
+    ReadyTimeout,
+    /// A process that was told to terminate has had its time to exit.
+    TerminateTimeout,
+    /// The process is to be started again.
+    RestartDelay,
+    /// The process has run for so long that earlier crashes no longer count.
     Stable,
 }
 
-/// What happens.
+/// Input of the supervisor.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// The keeper begins: these processes run, by their slots.
-    Found(Vec<(Slot, Version)>),
-    /// A conductor says something.
-    Told(Order),
+    /// The supervisor starts; these processes of the node already run, each with its slot.
+    ProcessesFound(Vec<(Slot, Version)>),
+    /// A rollout controller sent a request.
+    Request(SupervisorRequest),
     /// The record is on the disk.
-    Written,
-    /// It could not be written.
-    Unwritten(String),
-    /// The files of the step's version are there, sound, and the program takes the settings; or why not.
+    RecordWritten,
+    /// The record could not be written, for this reason.
+    RecordWriteFailed(String),
+    /// The files of the step's version are present and intact, and the program accepts the settings; or the reason why not.
     Fetched(Result<(), String>),
-    /// The process read its new settings, or turned them down and has its old ones; or could not be told.
+    /// The process has loaded its new settings; or it rejected them and keeps its old ones, or could not be signalled.
     Reloaded(Result<(), String>),
-    /// A process says that it can serve.
+    /// The process in this slot reports that it is ready.
     Ready(Slot),
-    /// A process says that it can't, or nothing.
-    Unready(Slot),
-    /// A process is gone, or could not be started.
-    Gone(Slot),
-    /// The time is up.
+    /// The process in this slot reports that it is not ready, or does not answer.
+    NotReady(Slot),
+    /// The process in this slot has exited, or could not be started.
+    Exited(Slot),
+    /// A timer expired.
     Timer(Timer),
 }
 
-/// What the shell does, in this order. What fails is told by events.
+/// What the shell is to do, in this order. Failures are reported back as events.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Write the record; `Written` or `Unwritten` must follow before anything else.
-    Write(Box<Record>),
-    /// Answer the conductor: taken, or why not.
-    Answer(Option<String>),
-    /// Have the files of a version there, and check them.
+    /// Write the record. `RecordWritten` or `RecordWriteFailed` must be handled before any other event.
+    WriteRecord(Box<Record>),
+    /// Answer the controller: the request is accepted, or refused for this reason.
+    Reply(Option<String>),
+    /// Fetch the files of a version and check them.
     Fetch(Change),
-    /// Start a process.
+    /// Start a process of this version in this slot.
     Start(Slot, Version),
-    /// Tell it to end (SIGTERM).
+    /// Ask the process in this slot to exit (SIGTERM).
     Terminate(Slot),
-    /// End it at once (SIGKILL).
+    /// Kill the process in this slot (SIGKILL).
     Kill(Slot),
-    /// Have the process in this slot read the settings of this version.
+    /// Have the process in this slot load the settings of this version.
     Reload(Slot, Version),
-    /// Keep this time.
-    Set(Timer),
-    /// Forget it.
-    Unset(Timer),
-    /// Keep only the files of these versions.
+    /// Start or restart this timer.
+    SetTimer(Timer),
+    /// Cancel this timer.
+    CancelTimer(Timer),
+    /// Delete the stored files of all versions but these.
     Prune(Vec<Version>),
-    /// Tell people.
+    /// Log a message for operators.
     Note(String),
 }
 
@@ -142,7 +142,7 @@
 
 /// The decisions of a keeper.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Hand {
+pub struct Supervisor {
     record: Record,
     /// What the record is to be once it is written, and what follows.
     writing: Option<(Record, Then)>,
@@ -152,10 +152,10 @@
     /// Whether it says that it can.
     ready: bool,
     /// Ends in a row.
-    in_a_row: u32,
+    consecutive_crashes: u32,
 }
 
-impl Hand {
+impl Supervisor {
     /// With what the disk has; nothing where it has nothing that can be believed. `first` is what runs on a machine that was
     /// never told anything.
     #[must_use]
@@ -167,7 +167,7 @@
             at: At::Rest,
             serves: None,
             ready: false,
-            in_a_row: 0,
+            consecutive_crashes: 0,
         }
     }
 
@@ -179,19 +179,19 @@
 
     /// The slot of the process that serves.
     #[must_use]
-    pub fn serves(&self) -> Option<Slot> {
+    pub fn serving_slot(&self) -> Option<Slot> {
         self.serves
     }
 
     /// Ends in a row of a process that should run: for how long to rest before it is started again.
     #[must_use]
-    pub fn in_a_row(&self) -> u32 {
-        self.in_a_row
+    pub fn consecutive_crashes(&self) -> u32 {
+        self.consecutive_crashes
     }
 
     /// The slot of a process that is to become ready.
     #[must_use]
-    pub fn awaits(&self) -> Option<Slot> {
+    pub fn starting_slot(&self) -> Option<Slot> {
         match self.at {
             At::Starting(slot) => Some(slot),
             _ => None,
@@ -219,17 +219,17 @@
             crashes: record.crashes,
             fell_back: record.fell_back,
             refused,
-            figures: None,
+            statistics: None,
         }
     }
 
     /// Handles what happened.
     pub fn handle(&mut self, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::Found(processes) => self.found(&processes, actions),
-            Event::Told(order) => self.told(order, actions),
-            Event::Written => self.written(actions),
-            Event::Unwritten(why) => self.unwritten(why, actions),
+            Event::ProcessesFound(processes) => self.found(&processes, actions),
+            Event::Request(order) => self.told(order, actions),
+            Event::RecordWritten => self.written(actions),
+            Event::RecordWriteFailed(why) => self.unwritten(why, actions),
             Event::Fetched(Ok(())) if self.at == At::Fetching => self.fetched(actions),
             Event::Fetched(Err(why)) if self.at == At::Fetching => self.finish(Err(why), actions),
             Event::Reloaded(done) if self.at == At::Reloading => self.finish(done, actions),
@@ -237,43 +237,48 @@
                 self.cut_off(actions);
             }
             Event::Ready(slot) => self.came_up(slot, actions),
-            Event::Unready(slot) => self.ready &= self.serves != Some(slot),
-            Event::Gone(slot) => self.gone(slot, actions),
+            Event::NotReady(slot) => self.ready &= self.serves != Some(slot),
+            Event::Exited(slot) => self.gone(slot, actions),
             Event::Timer(timer) => self.timer(timer, actions),
             Event::Fetched(_) | Event::Reloaded(_) => {}
         }
     }
 
     fn write(&mut self, record: Record, then: Then, actions: &mut Vec<Action>) {
-        actions.push(Action::Write(Box::new(record.clone())));
+        actions.push(Action::WriteRecord(Box::new(record.clone())));
         self.writing = Some((record, then));
     }
 
     // ---- What conductors say
 
-    fn told(&mut self, order: Order, actions: &mut Vec<Action>) {
-        let refuse = |why: &str| Action::Answer(Some(why.to_owned()));
+    fn told(&mut self, order: SupervisorRequest, actions: &mut Vec<Action>) {
+        let refuse = |why: &str| Action::Reply(Some(why.to_owned()));
         let ours = self.record.generation;
         match order {
-            Order::Ask => actions.push(Action::Answer(None)),
-            Order::Claim(generation) if ours == Some(generation) => actions.push(Action::Answer(None)),
-            Order::Claim(generation) if ours.is_some_and(|ours| generation < ours) => {
+            SupervisorRequest::GetStatus => actions.push(Action::Reply(None)),
+            SupervisorRequest::Claim(generation) if ours == Some(generation) => {
+                actions.push(Action::Reply(None))
+            }
+            SupervisorRequest::Claim(generation) if ours.is_some_and(|ours| generation < ours) => {
                 actions.push(refuse("a newer conductor directs"));
             }
-            Order::Claim(generation) => {
+            SupervisorRequest::Claim(generation) => {
                 let record = Record { generation: Some(generation), ..self.record.clone() };
                 self.write(record, Then::Answer, actions);
             }
-            Order::Do { generation, .. } | Order::Keep { generation, .. } if ours != Some(generation) => {
+            SupervisorRequest::ExecuteStep { generation, .. }
+            | SupervisorRequest::MarkGood { generation, .. }
+                if ours != Some(generation) =>
+            {
                 actions.push(refuse("another conductor directs"));
             }
-            Order::Do { generation, step, change, back } => {
+            SupervisorRequest::ExecuteStep { generation, step, change, back } => {
                 let same = |(of, done): (Generation, u64)| of == generation && done >= step;
                 let last = self.record.last.as_ref().map(|last| (last.generation, last.step));
                 let under_way = self.record.step.as_ref().map(|step| (step.generation, step.step));
                 if last.is_some_and(same) || under_way == Some((generation, step)) {
                     // It was heard before.
-                    return actions.push(Action::Answer(None));
+                    return actions.push(Action::Reply(None));
                 }
                 if under_way.is_some() {
                     return actions.push(refuse("it is at another step"));
@@ -288,7 +293,7 @@
                 let step = Some(Step { generation, step, change, back, from });
                 self.write(Record { step, ..self.record.clone() }, Then::Begin, actions);
             }
-            Order::Keep { version, .. } => {
+            SupervisorRequest::MarkGood { version, .. } => {
                 if self.record.runs.as_ref() != Some(&version) || self.is_busy() {
                     return actions.push(refuse("that does not run"));
                 }
@@ -302,9 +307,9 @@
         let Some((record, then)) = self.writing.take() else { return };
         self.record = record;
         match then {
-            Then::Answer => actions.push(Action::Answer(None)),
+            Then::Answer => actions.push(Action::Reply(None)),
             Then::Begin => {
-                actions.push(Action::Answer(None));
+                actions.push(Action::Reply(None));
                 self.at = At::Fetching;
                 if let Some(step) = &self.record.step {
                     actions.push(Action::Fetch(step.change.clone()));
@@ -317,7 +322,7 @@
                     Some(old) => {
                         self.at = At::Ending(old);
                         actions.push(Action::Terminate(old));
-                        actions.push(Action::Set(Timer::End));
+                        actions.push(Action::SetTimer(Timer::TerminateTimeout));
                     }
                     None => self.finish(Ok(()), actions),
                 }
@@ -336,7 +341,7 @@
         let why = format!("the keeper's record cannot be written: {why}");
         actions.push(Action::Note(why.clone()));
         match then {
-            Then::Answer | Then::Begin => actions.push(Action::Answer(Some(why))),
+            Then::Answer | Then::Begin => actions.push(Action::Reply(Some(why))),
             // The process that was there serves on.
             Then::Succeed(slot) if self.serves.is_some() => {
                 actions.push(Action::Kill(slot));
@@ -361,16 +366,16 @@
         let same = self.record.runs.as_ref().is_some_and(|runs| runs.program == version.program);
         match self.serves {
             Some(_) if self.record.runs.as_ref() == Some(&version) => self.finish(Ok(()), actions),
-            Some(slot) if step.change.how == How::Reload && same && self.ready => {
+            Some(slot) if step.change.how == ApplyMethod::Reload && same && self.ready => {
                 self.at = At::Reloading;
                 actions.push(Action::Reload(slot, version));
             }
             serves => {
                 let slot = serves.map_or(0, |slot| 1 - slot);
                 self.at = At::Starting(slot);
-                actions.push(Action::Unset(Timer::Restart));
+                actions.push(Action::CancelTimer(Timer::RestartDelay));
                 actions.push(Action::Start(slot, version));
-                actions.push(Action::Set(Timer::Ready));
+                actions.push(Action::SetTimer(Timer::ReadyTimeout));
             }
         }
     }
@@ -384,31 +389,31 @@
         self.end(result, false, actions);
     }
 
-    fn end(&mut self, result: Result<(), String>, cut_off: bool, actions: &mut Vec<Action>) {
+    fn end(&mut self, result: Result<(), String>, interrupted: bool, actions: &mut Vec<Action>) {
         self.at = At::Rest;
-        for timer in [Timer::Ready, Timer::End] {
-            actions.push(Action::Unset(timer));
+        for timer in [Timer::ReadyTimeout, Timer::TerminateTimeout] {
+            actions.push(Action::CancelTimer(timer));
         }
         let mut record = self.record.clone();
         let Some(step) = record.step.take() else { return };
-        let undone = step.from.filter(|_| step.back && result.is_ok());
+        let reverted = step.from.filter(|_| step.back && result.is_ok());
         if result.is_ok() {
             // A step that replaces has written it already: what runs is what the step wanted.
             record.runs = Some(step.change.version);
             record.fell_back = false;
         }
-        record.last = Some(Done {
+        record.last = Some(StepResult {
             generation: step.generation,
             step: step.step,
-            undone,
+            reverted,
             failed: result.err(),
-            cut_off,
+            interrupted,
         });
         if self.serves.is_some() {
-            self.in_a_row = 0;
-            actions.push(Action::Set(Timer::Stable));
+            self.consecutive_crashes = 0;
+            actions.push(Action::SetTimer(Timer::Stable));
         } else if record.last.as_ref().is_some_and(|last| last.failed.is_some()) {
-            actions.push(Action::Set(Timer::Restart));
+            actions.push(Action::SetTimer(Timer::RestartDelay));
         }
         self.write(record, Then::Rest, actions);
     }
@@ -419,11 +424,11 @@
         if self.at == At::Starting(slot) {
             let Some(step) = &self.record.step else { return };
             let version = step.change.version.clone();
-            actions.push(Action::Unset(Timer::Ready));
+            actions.push(Action::CancelTimer(Timer::ReadyTimeout));
             let record = Record { runs: Some(version), ..self.record.clone() };
             self.write(record, Then::Succeed(slot), actions);
         } else if self.serves == Some(slot) && !std::mem::replace(&mut self.ready, true) {
-            actions.push(Action::Set(Timer::Stable));
+            actions.push(Action::SetTimer(Timer::Stable));
         }
     }
 
@@ -439,28 +444,28 @@
             return;
         }
         (self.serves, self.ready) = (None, false);
-        self.in_a_row += 1;
+        self.consecutive_crashes += 1;
         self.record.crashes += 1;
-        actions.push(Action::Unset(Timer::Stable));
+        actions.push(Action::CancelTimer(Timer::Stable));
         match self.at {
             // The one that starts takes its place.
             At::Starting(_) => {}
             At::Reloading | At::Undoing => {
                 self.finish(Err("the process ended when it was to read its settings".into()), actions);
             }
-            _ => actions.push(Action::Set(Timer::Restart)),
+            _ => actions.push(Action::SetTimer(Timer::RestartDelay)),
         }
     }
 
     fn timer(&mut self, timer: Timer, actions: &mut Vec<Action>) {
         match (timer, self.at) {
-            (Timer::Ready, At::Starting(slot)) => {
+            (Timer::ReadyTimeout, At::Starting(slot)) => {
                 actions.push(Action::Kill(slot));
                 self.finish(Err("the new process was not ready in its time".into()), actions);
             }
-            (Timer::End, At::Ending(slot)) => actions.push(Action::Kill(slot)),
-            (Timer::Restart, _) if self.serves.is_none() => self.restart(actions),
-            (Timer::Stable, _) if self.ready => self.in_a_row = 0,
+            (Timer::TerminateTimeout, At::Ending(slot)) => actions.push(Action::Kill(slot)),
+            (Timer::RestartDelay, _) if self.serves.is_none() => self.restart(actions),
+            (Timer::Stable, _) if self.ready => self.consecutive_crashes = 0,
             _ => {}
         }
     }
@@ -468,9 +473,9 @@
     /// Starts what ran, or what is good where that keeps ending.
     fn restart(&mut self, actions: &mut Vec<Action>) {
         let good = self.record.good.clone().filter(|good| self.record.runs.as_ref() != Some(good));
-        if let Some(good) = good.filter(|_| self.in_a_row >= CRASHES_MOST && !self.is_busy()) {
+        if let Some(good) = good.filter(|_| self.consecutive_crashes >= MAX_CRASHES && !self.is_busy()) {
             actions.push(Action::Note("the process keeps ending: going back to the good version".into()));
-            self.in_a_row = 0;
+            self.consecutive_crashes = 0;
             (self.record.runs, self.record.fell_back) = (Some(good), true);
             self.write(self.record.clone(), Then::Rest, actions);
         }
@@ -486,7 +491,7 @@
         if let Some(other) = other {
             self.at = At::Ending(other);
             actions.push(Action::Terminate(other));
-            actions.push(Action::Set(Timer::End));
+            actions.push(Action::SetTimer(Timer::TerminateTimeout));
         }
         other.is_some()
     }
@@ -517,7 +522,7 @@
             (Some(step), None, Some(old)) => {
                 (self.serves, self.ready) = (Some(old), false);
                 let version = self.record.runs.clone();
-                match version.filter(|_| step.change.how == How::Reload) {
+                match version.filter(|_| step.change.how == ApplyMethod::Reload) {
                     Some(version) => {
                         self.at = At::Undoing;
                         actions.push(Action::Reload(old, version));
@@ -539,7 +544,7 @@
                 if wanted.is_some() {
                     self.cut_off(actions);
                 }
-                actions.push(Action::Set(Timer::Restart));
+                actions.push(Action::SetTimer(Timer::RestartDelay));
             }
         }
     }
--- a/crates/spurdrum-keeper/src/host.rs
+++ b/crates/spurdrum-keeper/src/host.rs
@@ -14,7 +14,7 @@
 use spurdrum_rollout::version::{Change, Hash, Version};
 
 use crate::hand::Slot;
-use crate::record::write_whole;
+use crate::record::write_atomically;
 
 /// A program has so long to say whether it takes a file.
 const CHECK_MOST: Duration = Duration::from_secs(10);
@@ -79,7 +79,7 @@
     /// # Errors
     ///
     /// A file cannot be read or kept.
-    pub fn first(&self, program: &Path, settings: &Path) -> Result<Version, String> {
+    pub fn import_initial_version(&self, program: &Path, settings: &Path) -> Result<Version, String> {
         let hash = |path: &Path| Hash::of_file(path).map_err(|error| format!("{}: {error}", path.display()));
         let version = Version { program: hash(program)?, settings: hash(settings)? };
         self.have(&self.program(&version.program), &version.program, Some(program))?;
@@ -102,7 +102,7 @@
 
     fn have(&self, place: &Path, hash: &Hash, from: Option<&Path>) -> Result<(), String> {
         // The hash names a file: nothing else may.
-        if !hash.is_sound() {
+        if !hash.is_well_formed() {
             return Err("a version is not told by 64 hexadecimal digits".into());
         }
         if Hash::of_file(place).is_ok_and(|found| found == *hash) {
@@ -114,7 +114,7 @@
         if Hash::of(&bytes) != *hash {
             return Err(format!("{shown} has not the content {hash}"));
         }
-        let kept = write_whole(place, &bytes)
+        let kept = write_atomically(place, &bytes)
             .and_then(|()| fs::set_permissions(place, fs::Permissions::from_mode(0o755)));
         kept.map_err(|error| format!("{}: {error}", place.display()))
     }
@@ -159,7 +159,7 @@
 
     /// Processes of this node that run, by their slots.
     #[must_use]
-    pub fn find(&self) -> Vec<(Slot, Version, Process)> {
+    pub fn find_processes(&self) -> Vec<(Slot, Version, Process)> {
         let mut found = Vec::new();
         for slot in 0..2 {
             let path = self.run(slot, "toml");
@@ -184,8 +184,8 @@
             left.kill();
             left.wait(CHECK_MOST);
         }
-        self.offer(slot, version)?;
-        self.is_of(slot, version)?;
+        self.write_settings(slot, version)?;
+        self.write_version(slot, version)?;
         let path = self.run(slot, "toml");
         let log = self.folder.join("node.log");
         let to = File::options().create(true).append(true).open(&log);
@@ -207,7 +207,7 @@
     /// # Errors
     ///
     /// It cannot be written.
-    pub fn offer(&self, slot: Slot, version: &Version) -> Result<(), String> {
+    pub fn write_settings(&self, slot: Slot, version: &Version) -> Result<(), String> {
         written(&self.run(slot, "toml"), &self.file(version)?)
     }
 
@@ -216,7 +216,7 @@
     /// # Errors
     ///
     /// It cannot be written.
-    pub fn is_of(&self, slot: Slot, version: &Version) -> Result<(), String> {
+    pub fn write_version(&self, slot: Slot, version: &Version) -> Result<(), String> {
         let runs = serde_json::to_vec(&Runs { version: version.clone() }).unwrap_or_default();
         written(&self.run(slot, "json"), &runs)
     }
@@ -242,13 +242,13 @@
 
     /// Where the process in a slot answers operators.
     #[must_use]
-    pub fn ops(&self, slot: Slot) -> SocketAddr {
+    pub fn admin_address(&self, slot: Slot) -> SocketAddr {
         self.ops[slot]
     }
 }
 
 fn written(path: &Path, bytes: &[u8]) -> Result<(), String> {
-    write_whole(path, bytes).map_err(|error| format!("{}: {error}", path.display()))
+    write_atomically(path, bytes).map_err(|error| format!("{}: {error}", path.display()))
 }
 
 /// A program that has just been written may still be open elsewhere in a process that is about to become another program.
@@ -302,7 +302,7 @@
     }
 
     /// Whether it has ended.
-    pub fn is_gone(&mut self) -> bool {
+    pub fn has_exited(&mut self) -> bool {
         if let Some(child) = &mut self.child {
             return !matches!(child.try_wait(), Ok(None));
         }
@@ -310,7 +310,7 @@
     }
 
     fn signal(&mut self, signal: Signal) {
-        if self.is_gone() {
+        if self.has_exited() {
             return;
         }
         if let Some(pid) = Pid::from_raw(self.pid) {
@@ -336,7 +336,7 @@
 
     fn wait(&mut self, most: Duration) {
         let since = Instant::now();
-        while !self.is_gone() && since.elapsed() < most {
+        while !self.has_exited() && since.elapsed() < most {
             std::thread::sleep(LOOK);
         }
     }
@@ -352,7 +352,7 @@
 }
 
 /// Says something to people that must not be lost with the keeper.
-pub fn note(folder: &Path, text: &str) {
+pub fn append_log(folder: &Path, text: &str) {
     let log = File::options().create(true).append(true).open(folder.join("keeper.log"));
     // A disk that takes nothing has no log either.
     let _ = log.and_then(|mut log| writeln!(log, "{text}"));
--- a/crates/spurdrum-keeper/src/lib.rs
+++ b/crates/spurdrum-keeper/src/lib.rs
@@ -14,4 +14,4 @@
 pub mod shell;
 
 pub use settings::Settings;
-pub use shell::keep;
+pub use shell::supervise;
--- a/crates/spurdrum-keeper/src/record.rs
+++ b/crates/spurdrum-keeper/src/record.rs
@@ -24,7 +24,7 @@
 
 /// Where the record is.
 #[derive(Debug)]
-pub struct Shelf {
+pub struct RecordStore {
     folder: PathBuf,
     number: u64,
 }
@@ -34,7 +34,7 @@
 /// # Errors
 ///
 /// The system refuses; nothing has changed then.
-pub fn write_whole(path: &Path, bytes: &[u8]) -> io::Result<()> {
+pub fn write_atomically(path: &Path, bytes: &[u8]) -> io::Result<()> {
     let mut beside = path.as_os_str().to_owned();
     beside.push(".new");
     let beside = PathBuf::from(beside);
@@ -69,7 +69,7 @@
     serde_json::from_str(json).map(Some).map_err(|_| unsound())
 }
 
-impl Shelf {
+impl RecordStore {
     /// In this folder, with the newest record that is sound; and what is wrong with the others.
     #[must_use]
     pub fn open(folder: &Path) -> (Self, Option<Record>, Vec<String>) {
@@ -102,7 +102,7 @@
         let numbered = Numbered { number: self.number + 1, record: record.clone() };
         let json = serde_json::to_string(&numbered).map_err(io::Error::other)?;
         let text = format!("{json}\n{}\n", Hash::of(json.as_bytes()).text());
-        write_whole(&self.path(numbered.number % 2), text.as_bytes())?;
+        write_atomically(&self.path(numbered.number % 2), text.as_bytes())?;
         self.number = numbered.number;
         Ok(())
     }
@@ -127,11 +127,11 @@
     #[test]
     fn a_torn_record_costs_one_step_and_nothing_is_made_up() {
         let folder = folder("torn");
-        let (mut shelf, none, _) = Shelf::open(&folder);
+        let (mut shelf, none, _) = RecordStore::open(&folder);
         assert_eq!(none, None);
         (1..=5).for_each(|n| shelf.write(&record(n)).expect("written"));
         let newest = fs::read(shelf.path(1)).expect("there");
-        let found = || Shelf::open(&folder).1.map(|record| record.crashes);
+        let found = || RecordStore::open(&folder).1.map(|record| record.crashes);
         assert_eq!(found(), Some(5));
         for cut in 0..newest.len() - 1 {
             fs::write(shelf.path(1), &newest[..cut]).expect("torn");
@@ -142,7 +142,7 @@
             assert_eq!(found(), Some(4), "spoilt at {cut}");
         }
         // It goes on from there, and the next one counts again.
-        let (mut shelf, _, wrong) = Shelf::open(&folder);
+        let (mut shelf, _, wrong) = RecordStore::open(&folder);
         assert_eq!(wrong.len(), 1);
         shelf.write(&record(6)).expect("written");
         assert_eq!(found(), Some(6));
@@ -155,15 +155,15 @@
     #[test]
     fn what_cannot_be_written_leaves_what_was_there() {
         let folder = folder("refused");
-        let (mut shelf, ..) = Shelf::open(&folder);
+        let (mut shelf, ..) = RecordStore::open(&folder);
         shelf.write(&record(1)).expect("written");
         // Where the next one is to be made, something else is.
         fs::create_dir_all(folder.join("record.0.new")).expect("in the way");
         shelf.write(&record(2)).expect_err("refused");
-        assert_eq!(Shelf::open(&folder).1, Some(record(1)));
+        assert_eq!(RecordStore::open(&folder).1, Some(record(1)));
         fs::remove_dir_all(folder.join("record.0.new")).expect("out of the way");
         shelf.write(&record(3)).expect("written");
-        assert_eq!(Shelf::open(&folder).1, Some(record(3)));
+        assert_eq!(RecordStore::open(&folder).1, Some(record(3)));
         fs::remove_dir_all(folder).expect("removed");
     }
 }
--- a/crates/spurdrum-keeper/src/settings.rs
+++ b/crates/spurdrum-keeper/src/settings.rs
@@ -131,9 +131,9 @@
 
     /// The pause before a process that ended so often in a row is started again.
     #[must_use]
-    pub fn pause(&self, in_a_row: u32) -> Duration {
-        let doubled = self.restart_least.saturating_mul(1 << in_a_row.saturating_sub(1).min(16));
-        if in_a_row == 0 {
+    pub fn restart_delay(&self, consecutive_crashes: u32) -> Duration {
+        let doubled = self.restart_least.saturating_mul(1 << consecutive_crashes.saturating_sub(1).min(16));
+        if consecutive_crashes == 0 {
             Duration::ZERO
         } else {
             doubled.min(self.restart_most)
--- a/crates/spurdrum-keeper/src/shell.rs
+++ b/crates/spurdrum-keeper/src/shell.rs
@@ -7,16 +7,16 @@
 
 use serde_json::Value;
 use spurdrum_ops::Answers;
-use spurdrum_rollout::orders::{Calls, Figures, Order, LINE_MOST};
+use spurdrum_rollout::orders::{NodeStatistics, RequestCounts, SupervisorRequest, MAX_LINE_BYTES};
 use spurdrum_rollout::shell::call;
 use spurdrum_rollout::timers::Timers;
 use spurdrum_rollout::version::Version;
 use tokio::net::TcpListener;
 use tokio::time::{sleep, Instant};
 
-use crate::hand::{Action, Event, Hand, Slot, Timer};
+use crate::hand::{Action, Event, Slot, Supervisor, Timer};
 use crate::host::{self, Host, Process};
-use crate::record::Shelf;
+use crate::record::RecordStore;
 use crate::Settings;
 
 /// How often processes are looked at.
@@ -26,14 +26,14 @@
 /// A process has so long to read its settings.
 const RELOAD_MOST: Duration = Duration::from_secs(10);
 
-struct Keeper {
+struct SupervisorShell {
     settings: Settings,
     host: Host,
-    hand: RefCell<Hand>,
-    shelf: RefCell<Shelf>,
+    hand: RefCell<Supervisor>,
+    shelf: RefCell<RecordStore>,
     processes: RefCell<BTreeMap<Slot, Process>>,
     timers: Rc<Timers<Timer>>,
-    figures: RefCell<Option<(Slot, Figures)>>,
+    statistics: RefCell<Option<(Slot, NodeStatistics)>>,
     /// The answer to what is being said.
     answer: RefCell<Option<Option<String>>>,
 }
@@ -43,40 +43,40 @@
 /// # Errors
 ///
 /// The folder, the first version's files or the address cannot be had.
-pub async fn keep(settings: Settings) -> Result<(), String> {
+pub async fn supervise(settings: Settings) -> Result<(), String> {
     let folder = settings.folder.clone();
     let shown = |error: std::io::Error| format!("`keeper.folder`: {}: {error}", folder.display());
     let host = Host::new(&folder, &settings.own, settings.ops).map_err(shown)?;
     // Before anything is looked up: two keepers of one node cannot both listen.
     let listener = TcpListener::bind(settings.listen).await;
     let listener = listener.map_err(|error| format!("`keeper.listen`: {}: {error}", settings.listen))?;
-    let (shelf, record, wrong) = Shelf::open(&folder);
+    let (shelf, record, wrong) = RecordStore::open(&folder);
     let first = match &record {
         // What was first need not be there any more.
         Some(record) if record.runs.is_some() => record.runs.clone().unwrap_or_else(no_version),
-        _ => host.first(&settings.program, &settings.settings)?,
+        _ => host.import_initial_version(&settings.program, &settings.settings)?,
     };
-    let keeper = Rc::new(Keeper {
+    let keeper = Rc::new(SupervisorShell {
         settings,
         host,
-        hand: RefCell::new(Hand::new(record, first)),
+        hand: RefCell::new(Supervisor::new(record, first)),
         shelf: RefCell::new(shelf),
         processes: RefCell::default(),
         timers: Rc::default(),
-        figures: RefCell::default(),
+        statistics: RefCell::default(),
         answer: RefCell::default(),
     });
     wrong.iter().for_each(|wrong| keeper.note(wrong));
     let mut versions = Vec::new();
-    for (slot, version, process) in keeper.host.find() {
+    for (slot, version, process) in keeper.host.find_processes() {
         keeper.note(&format!("process {} runs in slot {slot}: {version}", process.pid()));
         versions.push((slot, version));
         keeper.processes.borrow_mut().insert(slot, process);
     }
-    keeper.handle(Event::Found(versions));
+    keeper.handle(Event::ProcessesFound(versions));
     tokio::task::spawn_local(Rc::clone(&keeper).look());
     tokio::task::spawn_local(Rc::clone(&keeper).ask());
-    let lines = spurdrum_ops::Settings { line: LINE_MOST, ..spurdrum_ops::Settings::default() };
+    let lines = spurdrum_ops::Settings { line: MAX_LINE_BYTES, ..spurdrum_ops::Settings::default() };
     spurdrum_ops::serve(listener, Conductors(keeper), lines).await;
     Ok(())
 }
@@ -86,10 +86,10 @@
     Version { program: Hash::of(b""), settings: Hash::of(b"") }
 }
 
-impl Keeper {
+impl SupervisorShell {
     fn note(&self, text: &str) {
         tracing::info!("{}: {text}", self.settings.name);
-        host::note(&self.settings.folder, text);
+        host::append_log(&self.settings.folder, text);
     }
 
     fn handle(self: &Rc<Self>, event: Event) {
@@ -102,14 +102,14 @@
 
     fn carry_out(self: &Rc<Self>, action: Action) {
         match action {
-            Action::Write(record) => {
+            Action::WriteRecord(record) => {
                 let written = self.shelf.borrow_mut().write(&record);
                 self.handle(match written {
-                    Ok(()) => Event::Written,
-                    Err(error) => Event::Unwritten(error.to_string()),
+                    Ok(()) => Event::RecordWritten,
+                    Err(error) => Event::RecordWriteFailed(error.to_string()),
                 });
             }
-            Action::Answer(refused) => drop(self.answer.replace(Some(refused))),
+            Action::Reply(refused) => drop(self.answer.replace(Some(refused))),
             Action::Fetch(change) => {
                 let keeper = Rc::clone(self);
                 let host = self.host.clone();
@@ -131,7 +131,7 @@
                         self.processes.borrow_mut().remove(&slot);
                         // Not from within what is being handled.
                         let keeper = Rc::clone(self);
-                        tokio::task::spawn_local(async move { keeper.handle(Event::Gone(slot)) });
+                        tokio::task::spawn_local(async move { keeper.handle(Event::Exited(slot)) });
                     }
                 }
             }
@@ -144,8 +144,8 @@
                     keeper.handle(Event::Reloaded(done));
                 });
             }
-            Action::Set(timer) => self.set(timer),
-            Action::Unset(timer) => self.timers.unset(timer),
+            Action::SetTimer(timer) => self.set(timer),
+            Action::CancelTimer(timer) => self.timers.cancel(timer),
             Action::Prune(versions) => self.host.prune(&versions),
             Action::Note(text) => self.note(&text),
         }
@@ -159,9 +159,9 @@
 
     fn set(self: &Rc<Self>, timer: Timer) {
         let length = match timer {
-            Timer::Ready => self.settings.ready,
-            Timer::End => self.settings.end,
-            Timer::Restart => self.settings.pause(self.hand.borrow().in_a_row()),
+            Timer::ReadyTimeout => self.settings.ready,
+            Timer::TerminateTimeout => self.settings.end,
+            Timer::RestartDelay => self.settings.restart_delay(self.hand.borrow().consecutive_crashes()),
             Timer::Stable => self.settings.stable,
         };
         let keeper = Rc::clone(self);
@@ -172,7 +172,7 @@
     async fn reload(&self, slot: Slot, version: &Version) -> Result<(), String> {
         let before = self.reconfigured(slot).await.ok_or("the process does not tell its figures")?;
         let old = self.hand.borrow().record().runs.clone();
-        self.host.offer(slot, version)?;
+        self.host.write_settings(slot, version)?;
         self.with(slot, Process::reload);
         let since = Instant::now();
         let told = loop {
@@ -184,10 +184,10 @@
             }
         };
         match told {
-            Ok(()) => self.host.is_of(slot, version),
+            Ok(()) => self.host.write_version(slot, version),
             Err(why) => {
                 if let Some(old) = old {
-                    self.host.offer(slot, &old)?;
+                    self.host.write_settings(slot, &old)?;
                 }
                 Err(why.to_owned())
             }
@@ -196,7 +196,8 @@
 
     /// Files that a process took and turned down since it began.
     async fn reconfigured(&self, slot: Slot) -> Option<(u64, u64)> {
-        let told: Value = serde_json::from_str(&call(self.host.ops(slot), "telemetry").await.ok()?).ok()?;
+        let told: Value =
+            serde_json::from_str(&call(self.host.admin_address(slot), "telemetry").await.ok()?).ok()?;
         Some((told["reconfig_ok"].as_u64()?, told["reconfig_failed"].as_u64()?))
     }
 
@@ -208,16 +209,16 @@
             let gone: Vec<Slot> = {
                 let mut processes = self.processes.borrow_mut();
                 let gone: Vec<Slot> =
-                    processes.iter_mut().filter_map(|(slot, p)| p.is_gone().then_some(*slot)).collect();
+                    processes.iter_mut().filter_map(|(slot, p)| p.has_exited().then_some(*slot)).collect();
                 gone.iter().for_each(|slot| drop(processes.remove(slot)));
                 gone
             };
             for slot in gone {
                 self.note(&format!("the process in slot {slot} has ended"));
-                self.handle(Event::Gone(slot));
+                self.handle(Event::Exited(slot));
             }
-            let awaits = self.hand.borrow().awaits();
-            let serves = self.hand.borrow().serves().filter(|_| asked.elapsed() >= FIGURES);
+            let awaits = self.hand.borrow().starting_slot();
+            let serves = self.hand.borrow().serving_slot().filter(|_| asked.elapsed() >= FIGURES);
             if serves.is_some() {
                 asked = Instant::now();
             }
@@ -225,11 +226,11 @@
                 if !self.processes.borrow().contains_key(&slot) {
                     continue;
                 }
-                let ready = call(self.host.ops(slot), "readyz").await;
+                let ready = call(self.host.admin_address(slot), "readyz").await;
                 // Guards against an answer of a process that has gone meanwhile.
                 if self.processes.borrow().contains_key(&slot) {
                     let ready = ready.is_ok_and(|answer| answer.starts_with("YES"));
-                    self.handle(if ready { Event::Ready(slot) } else { Event::Unready(slot) });
+                    self.handle(if ready { Event::Ready(slot) } else { Event::NotReady(slot) });
                 }
             }
         }
@@ -239,24 +240,24 @@
     async fn ask(self: Rc<Self>) {
         loop {
             sleep(FIGURES).await;
-            let Some(slot) = self.hand.borrow().serves() else { continue };
+            let Some(slot) = self.hand.borrow().serving_slot() else { continue };
             let asked =
                 self.processes.borrow().get(&slot).map(|process| (process.pid(), process.resources()));
             let Some((pid, (memory, descriptors))) = asked else { continue };
-            let told = call(self.host.ops(slot), "telemetry").await.ok();
+            let told = call(self.host.admin_address(slot), "telemetry").await.ok();
             let Some(told) = told.and_then(|told| serde_json::from_str::<Value>(&told).ok()) else {
                 continue;
             };
             // An old program does not know the call, and most need not: then answers are not compared by their time.
-            let latencies = call(self.host.ops(slot), "latencies").await.unwrap_or_default();
+            let latencies = call(self.host.admin_address(slot), "latencies").await.unwrap_or_default();
             let count = |key: &str| told[key].as_u64().unwrap_or(0);
             let calls = told["calls"].as_object().into_iter().flatten();
             let of = |calls: &Value, key: &str| calls[key].as_u64().unwrap_or(0);
             let calls = calls.map(|(class, calls)| {
                 let (success, busy) = (of(calls, "success"), of(calls, "busy"));
-                (class.clone(), Calls { success, busy, failure: of(calls, "failure") })
+                (class.clone(), RequestCounts { success, busy, failure: of(calls, "failure") })
             });
-            let figures = Figures {
+            let statistics = NodeStatistics {
                 process: pid.unsigned_abs().into(),
                 calls: calls.collect(),
                 latencies: serde_json::from_str(&latencies).unwrap_or_default(),
@@ -266,29 +267,30 @@
                 memory,
                 descriptors,
             };
-            self.figures.replace(Some((slot, figures)));
+            self.statistics.replace(Some((slot, statistics)));
         }
     }
 }
 
 /// What conductors may say to a keeper.
-struct Conductors(Rc<Keeper>);
+struct Conductors(Rc<SupervisorShell>);
 
 impl Answers for Conductors {
     fn answer(&self, line: &str) -> String {
         let keeper = &self.0;
         keeper.answer.replace(None);
-        let refused = match serde_json::from_str::<Order>(line) {
+        let refused = match serde_json::from_str::<SupervisorRequest>(line) {
             Ok(order) => {
-                keeper.handle(Event::Told(order));
+                keeper.handle(Event::Request(order));
                 keeper.answer.take().unwrap_or_else(|| Some("the keeper has no answer".into()))
             }
             Err(error) => Some(format!("that is no order: {error}")),
         };
         let mut status = keeper.hand.borrow().status(&keeper.settings.name, refused);
-        let serves = keeper.hand.borrow().serves();
-        let figures = keeper.figures.borrow();
-        status.figures = figures.as_ref().filter(|(slot, _)| Some(*slot) == serves).map(|(_, f)| f.clone());
+        let serves = keeper.hand.borrow().serving_slot();
+        let statistics = keeper.statistics.borrow();
+        status.statistics =
+            statistics.as_ref().filter(|(slot, _)| Some(*slot) == serves).map(|(_, f)| f.clone());
         serde_json::to_string(&status).unwrap_or_default() + "\n"
     }
 }
--- a/crates/spurdrum-keeper/tests/model.rs
+++ b/crates/spurdrum-keeper/tests/model.rs
@@ -3,31 +3,33 @@
 
 use std::collections::BTreeSet;
 
-use spurdrum_keeper::hand::{Action as HandAction, Event as HandEvent, Hand, Record, Timer as HandTimer};
+use spurdrum_keeper::hand::{
+    Action as HandAction, Event as HandEvent, Record, Supervisor, Timer as HandTimer,
+};
 use spurdrum_rollout::conductor::{
-    Action, Command, Conductor, Event, Outcome, Settings, Timer, Unjudged, Verdict,
+    Action, Command, Event, InconclusivePolicy, Outcome, RolloutController, Settings, Timer, Verdict,
 };
-use spurdrum_rollout::orders::{Generation, Order, Status};
-use spurdrum_rollout::version::{Change, Hash, How, Version};
+use spurdrum_rollout::orders::{Generation, Status, SupervisorRequest};
+use spurdrum_rollout::version::{ApplyMethod, Change, Hash, Version};
 use stateright::{Checker, Model, Property};
 
 const NODES: usize = 3;
 
 fn version(name: &str) -> Version {
-    Version { program: Hash::named(name), settings: Hash::named("s") }
+    Version { program: Hash::unchecked(name), settings: Hash::unchecked("s") }
 }
 
 fn settings(at_once: usize) -> Settings {
-    let change = Change { version: version("new"), program: None, settings: None, how: How::Replace };
+    let change = Change { version: version("new"), program: None, settings: None, how: ApplyMethod::Replace };
     Settings {
         zones: vec!["a".into(); NODES],
         change,
         stages: vec![vec![0], vec![0, 1, 2]],
-        at_once,
-        back_at_once: at_once,
-        least_left: 1,
-        failures: 0,
-        unjudged: Unjudged::Hold,
+        max_unavailable: at_once,
+        max_unavailable_in_rollback: at_once,
+        min_available_per_zone: 1,
+        max_failed_steps: 0,
+        when_inconclusive: InconclusivePolicy::Hold,
     }
 }
 
@@ -35,7 +37,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Machine {
     disk: Option<Record>,
-    keeper: Option<Hand>,
+    keeper: Option<Supervisor>,
     /// By slot: what runs.
     processes: [Option<Version>; 2],
     /// Times that are kept.
@@ -58,7 +60,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
-    conductors: Vec<Option<Conductor>>,
+    conductors: Vec<Option<RolloutController>>,
     outcomes: Vec<Option<Outcome>>,
     timers: Vec<BTreeSet<Timer>>,
     machines: Vec<Machine>,
@@ -107,13 +109,13 @@
         conductor.handle(event, &mut actions);
         for action in actions {
             match action {
-                Action::Tell(to, order) => {
+                Action::Send(to, order) => {
                     let order = serde_json::to_string(&order).expect("an order");
                     self.net.insert(Message::Order { from: at, to, order });
                 }
-                Action::Set(timer) => drop(self.timers[at].insert(timer)),
-                Action::Unset(timer) => drop(self.timers[at].remove(&timer)),
-                Action::Runs { .. } | Action::Note(_) => {}
+                Action::SetTimer(timer) => drop(self.timers[at].insert(timer)),
+                Action::CancelTimer(timer) => drop(self.timers[at].remove(&timer)),
+                Action::VersionChanged { .. } | Action::Note(_) => {}
                 Action::End(outcome) => {
                     self.outcomes[at] = Some(outcome);
                     self.timers[at].clear();
@@ -133,12 +135,12 @@
             hand.handle(event, &mut actions);
             for action in actions {
                 match action {
-                    HandAction::Write(record) => {
+                    HandAction::WriteRecord(record) => {
                         machine.disk = Some(*record);
                         // Nothing else happens before it is told: it is handled at once, as the shell does.
                         let hand = machine.keeper.as_mut().expect("it has just written");
                         let mut more = Vec::new();
-                        hand.handle(HandEvent::Written, &mut more);
+                        hand.handle(HandEvent::RecordWritten, &mut more);
                         for action in more {
                             machine.carry_out(action, &mut answer);
                         }
@@ -164,21 +166,21 @@
 impl Machine {
     fn carry_out(&mut self, action: HandAction, answer: &mut Option<Option<String>>) {
         match action {
-            HandAction::Write(record) => self.disk = Some(*record),
-            HandAction::Answer(refused) => *answer = Some(refused),
+            HandAction::WriteRecord(record) => self.disk = Some(*record),
+            HandAction::Reply(refused) => *answer = Some(refused),
             HandAction::Fetch(_) => self.fetching = true,
             HandAction::Start(slot, version) => self.processes[slot] = Some(version),
             // It ends when it does.
             HandAction::Terminate(_) => {}
             HandAction::Kill(slot) => self.processes[slot] = None,
-            HandAction::Set(timer) => drop(self.timers.insert(timer)),
-            HandAction::Unset(timer) => drop(self.timers.remove(&timer)),
+            HandAction::SetTimer(timer) => drop(self.timers.insert(timer)),
+            HandAction::CancelTimer(timer) => drop(self.timers.remove(&timer)),
             HandAction::Reload(..) | HandAction::Prune(_) | HandAction::Note(_) => {}
         }
     }
 
-    fn serves(&self) -> Option<usize> {
-        self.keeper.as_ref().and_then(Hand::serves)
+    fn serving_slot(&self) -> Option<usize> {
+        self.keeper.as_ref().and_then(Supervisor::serving_slot)
     }
 }
 
@@ -189,7 +191,7 @@
     fn init_states(&self) -> Vec<World> {
         let machine = Machine {
             disk: None,
-            keeper: Some(Hand::new(None, version("old"))),
+            keeper: Some(Supervisor::new(None, version("old"))),
             processes: [Some(version("old")), None],
             timers: BTreeSet::new(),
             fetching: false,
@@ -207,12 +209,12 @@
             polls: self.polls,
         };
         for at in 0..NODES {
-            world.run_keeper(at, HandEvent::Found(vec![(0, version("old"))]));
+            world.run_keeper(at, HandEvent::ProcessesFound(vec![(0, version("old"))]));
             world.run_keeper(at, HandEvent::Ready(0));
             world.machines[at].timers.clear();
         }
         world.conductors[0] =
-            Some(Conductor::new(settings(self.at_once), Generation { number: 1, conductor: 0 }));
+            Some(RolloutController::new(settings(self.at_once), Generation { number: 1, controller: 0 }));
         world.run_conductor(0, Event::Start);
         vec![world]
     }
@@ -256,19 +258,19 @@
             if machine.fetching {
                 steps.push(Step::Fetched { node, sound: true });
             }
-            if hand.awaits().is_some_and(|slot| machine.processes[slot].is_some()) {
+            if hand.starting_slot().is_some_and(|slot| machine.processes[slot].is_some()) {
                 steps.push(Step::Ready { node });
             }
             // The one that was told to end ends.
             if hand.is_busy() {
-                let serves = machine.serves();
+                let serves = machine.serving_slot();
                 let other = (0..2).find(|slot| Some(*slot) != serves && machine.processes[*slot].is_some());
-                if let Some(slot) = other.filter(|slot| hand.awaits() != Some(*slot)) {
+                if let Some(slot) = other.filter(|slot| hand.starting_slot() != Some(*slot)) {
                     steps.push(Step::Gone { node, slot });
                 }
             }
-            if machine.timers.contains(&HandTimer::Ready) && world.worse > 0 {
-                steps.push(Step::HandTimer { node, timer: HandTimer::Ready });
+            if machine.timers.contains(&HandTimer::ReadyTimeout) && world.worse > 0 {
+                steps.push(Step::HandTimer { node, timer: HandTimer::ReadyTimeout });
             }
             if world.deaths > 0 {
                 steps.push(Step::KillKeeper { node });
@@ -283,13 +285,13 @@
                 world.net.remove(&message);
                 match message {
                     Message::Order { from, to, order } => {
-                        let order: Order = serde_json::from_str(&order).expect("an order");
+                        let order: SupervisorRequest = serde_json::from_str(&order).expect("an order");
                         let generation = match &order {
-                            Order::Do { generation, .. } => Some(*generation),
+                            SupervisorRequest::ExecuteStep { generation, .. } => Some(*generation),
                             _ => None,
                         };
                         let was = world.machines[to].disk.clone().unwrap_or_default();
-                        if let Some(refused) = world.run_keeper(to, HandEvent::Told(order)) {
+                        if let Some(refused) = world.run_keeper(to, HandEvent::Request(order)) {
                             let is = world.machines[to].disk.clone().unwrap_or_default();
                             let begun = was.step.is_none() && is.step.is_some();
                             if begun && generation != was.generation {
@@ -303,7 +305,7 @@
                     }
                     Message::Answer { from, to, status } => {
                         let status = serde_json::from_str(&status).expect("a status");
-                        world.run_conductor(to, Event::Said { node: from, status, asked: false });
+                        world.run_conductor(to, Event::StatusReceived { node: from, status, polled: false });
                     }
                 }
             }
@@ -314,8 +316,8 @@
             Step::Poll { conductor, node } => {
                 world.polls -= 1;
                 let event = match world.status(node, None) {
-                    Some(status) => Event::Said { node, status: Box::new(status), asked: true },
-                    None => Event::Silent(node),
+                    Some(status) => Event::StatusReceived { node, status: Box::new(status), polled: true },
+                    None => Event::Unreachable(node),
                 };
                 world.run_conductor(conductor, event);
             }
@@ -324,9 +326,9 @@
                 world.run_conductor(conductor, Event::Timer(timer));
             }
             Step::Judge { conductor, verdict } => {
-                let verdict = if verdict { Verdict::Fine } else { Verdict::Worse("it is".into()) };
-                world.worse -= u8::from(verdict != Verdict::Fine);
-                world.run_conductor(conductor, Event::Judged(verdict));
+                let verdict = if verdict { Verdict::Pass } else { Verdict::Fail("it is".into()) };
+                world.worse -= u8::from(verdict != Verdict::Pass);
+                world.run_conductor(conductor, Event::Verdict(verdict));
             }
             Step::Fetched { node, sound } => {
                 world.machines[node].fetching = false;
@@ -334,12 +336,12 @@
                 world.run_keeper(node, HandEvent::Fetched(fetched));
             }
             Step::Ready { node } => {
-                let slot = world.machines[node].keeper.as_ref().and_then(Hand::awaits)?;
+                let slot = world.machines[node].keeper.as_ref().and_then(Supervisor::starting_slot)?;
                 world.run_keeper(node, HandEvent::Ready(slot));
             }
             Step::Gone { node, slot } => {
                 world.machines[node].processes[slot] = None;
-                world.run_keeper(node, HandEvent::Gone(slot));
+                world.run_keeper(node, HandEvent::Exited(slot));
             }
             Step::HandTimer { node, timer } => {
                 world.worse -= 1;
@@ -355,11 +357,11 @@
             }
             Step::StartKeeper { node } => {
                 let machine = &mut world.machines[node];
-                machine.keeper = Some(Hand::new(machine.disk.clone(), version("old")));
+                machine.keeper = Some(Supervisor::new(machine.disk.clone(), version("old")));
                 let runs = machine.processes.iter().enumerate();
                 let found = runs.filter_map(|(slot, p)| p.clone().map(|version| (slot, version))).collect();
-                world.run_keeper(node, HandEvent::Found(found));
-                if let Some(slot) = world.machines[node].serves() {
+                world.run_keeper(node, HandEvent::ProcessesFound(found));
+                if let Some(slot) = world.machines[node].serving_slot() {
                     world.run_keeper(node, HandEvent::Ready(slot));
                 }
             }
@@ -375,8 +377,9 @@
                 let number = told.map(|told| told.number).max().unwrap_or(0) + 1;
                 // Each draws a number of its own.
                 let drawn = conductor as u64 + 10 * u64::from(self.deaths - world.deaths);
-                let generation = Generation { number, conductor: drawn };
-                world.conductors[conductor] = Some(Conductor::new(settings(self.at_once), generation));
+                let generation = Generation { number, controller: drawn };
+                world.conductors[conductor] =
+                    Some(RolloutController::new(settings(self.at_once), generation));
                 world.run_conductor(conductor, Event::Start);
             }
         }
@@ -400,7 +403,7 @@
                 world.machines.iter().all(|machine| machine.processes.iter().any(Option::is_some))
             }),
             Property::always("what is done is done everywhere", |_, world: &World| {
-                let done = world.outcomes.contains(&Some(Outcome::Done));
+                let done = world.outcomes.contains(&Some(Outcome::Completed));
                 let new = version("new");
                 let runs = |m: &Machine| m.disk.as_ref().is_some_and(|disk| disk.good.as_ref() == Some(&new));
                 !done || world.machines.iter().all(runs)
@@ -408,10 +411,10 @@
         ];
         if self.can {
             properties.push(Property::sometimes("it can be done", |_, world: &World| {
-                world.outcomes.contains(&Some(Outcome::Done))
+                world.outcomes.contains(&Some(Outcome::Completed))
             }));
             properties.push(Property::sometimes("it can be taken back", |_, world: &World| {
-                world.outcomes.iter().flatten().any(|outcome| matches!(outcome, Outcome::Back(..)))
+                world.outcomes.iter().flatten().any(|outcome| matches!(outcome, Outcome::RolledBack(..)))
             }));
         }
         properties
@@ -534,7 +537,7 @@
             }
         }
         assert_eq!(world.under_way(), 0, "seed {seed}");
-        if let Some(Outcome::Done) = world.outcomes[1] {
+        if let Some(Outcome::Completed) = world.outcomes[1] {
             let new = version("new");
             let runs = |m: &Machine| m.disk.as_ref().is_some_and(|disk| disk.runs.as_ref() == Some(&new));
             assert!(world.machines.iter().all(runs), "seed {seed}");
@@ -556,12 +559,12 @@
             world = fleet.next_state(&world, step).unwrap_or(world);
             turns += 1;
             if turns == cut {
-                world.run_conductor(0, Event::Command(Command::Back));
+                world.run_conductor(0, Event::Command(Command::RollBack));
             }
             world.polls = 200;
             assert!(turns < 5000, "cut at {cut}: {world:#?}");
         }
-        if let Some(Outcome::Back(_, left)) = &world.outcomes[0] {
+        if let Some(Outcome::RolledBack(_, left)) = &world.outcomes[0] {
             let old = version("old");
             let runs = |m: &Machine| m.disk.as_ref().is_none_or(|disk| disk.runs.as_ref() == Some(&old));
             assert!(!left.is_empty() || world.machines.iter().all(runs), "cut at {cut}");
--- a/crates/spurdrum-lab/src/rollout.rs
+++ b/crates/spurdrum-lab/src/rollout.rs
@@ -4,11 +4,13 @@
 use std::collections::BTreeMap;
 
 use spurdrum_rollout::conductor::{
-    Action, Conductor, Event, Outcome, Phase, Settings, Timer, Unjudged, Verdict,
+    Action, Event, InconclusivePolicy, Outcome, Phase, RolloutController, Settings, Timer, Verdict,
 };
-use spurdrum_rollout::judge::{self, Judge};
-use spurdrum_rollout::orders::{Calls, Done, Figures, Generation, Order, Status};
-use spurdrum_rollout::version::{Change, Hash, How, Version};
+use spurdrum_rollout::judge::{self, CanaryAnalysis};
+use spurdrum_rollout::orders::{
+    Generation, NodeStatistics, RequestCounts, Status, StepResult, SupervisorRequest,
+};
+use spurdrum_rollout::version::{ApplyMethod, Change, Hash, Version};
 use spurdrum_standin::draw::{exponential, lognormal};
 use statrs::distribution::{ContinuousCDF, Normal};
 
@@ -87,10 +89,10 @@
     rate: f64,
     fails: f64,
     answer_us: f64,
-    figures: Figures,
+    statistics: NodeStatistics,
     status: Status,
     /// When the step that it is at is over.
-    until: Option<(u64, Order)>,
+    until: Option<(u64, SupervisorRequest)>,
     since: u64,
 }
 
@@ -128,12 +130,12 @@
             rate: site.rate * lognormal(rng, 0.6),
             fails: site.fails * lognormal(rng, 0.4),
             answer_us: ANSWER_US * lognormal(rng, 0.1),
-            figures: Figures {
+            statistics: NodeStatistics {
                 process: 1,
                 listed: 40,
                 memory: 50 << 20,
                 descriptors: 100,
-                ..Figures::default()
+                ..NodeStatistics::default()
             },
             status: Status {
                 name: at.to_string(),
@@ -199,13 +201,13 @@
             if let Does::Crashes(after) = self.does {
                 if is_new && now > node.since && (now - node.since).is_multiple_of((after as u64).max(1)) {
                     node.status.crashes += 1;
-                    node.figures = Figures {
-                        process: node.figures.process + 1,
-                        ..Figures {
+                    node.statistics = NodeStatistics {
+                        process: node.statistics.process + 1,
+                        ..NodeStatistics {
                             calls: BTreeMap::new(),
                             latencies: BTreeMap::new(),
                             attempts: 0,
-                            ..node.figures.clone()
+                            ..node.statistics.clone()
                         }
                     };
                 }
@@ -226,8 +228,8 @@
                     Does::Slows(times) if is_new => times,
                     _ => 1.0,
                 };
-                let calls: &mut Calls = node.figures.calls.entry((*class).into()).or_default();
-                let times = node.figures.latencies.entry((*class).into()).or_default();
+                let calls: &mut RequestCounts = node.statistics.calls.entry((*class).into()).or_default();
+                let times = node.statistics.latencies.entry((*class).into()).or_default();
                 for _ in 0..count {
                     let draw = self.rng.f64();
                     let own = node.fails + trouble;
@@ -254,7 +256,7 @@
                     Does::Repeats(part) if is_new => (count as f64 * part).round() as u64,
                     _ => 0,
                 };
-                node.figures.attempts += count + again;
+                node.statistics.attempts += count + again;
             }
         }
     }
@@ -267,19 +269,19 @@
     let zones: Vec<String> = played.nodes.iter().map(|node| format!("z{}", node.zone)).collect();
     let all: Vec<usize> = (0..site.nodes).collect();
     let first = |part: usize| all[..(site.nodes / part).max(1)].to_vec();
-    let change = Change { version: version("new"), program: None, settings: None, how: How::Replace };
+    let change = Change { version: version("new"), program: None, settings: None, how: ApplyMethod::Replace };
     let conductor = Settings {
         zones: zones.clone(),
         change,
         stages: vec![first(site.nodes), first(20), first(5), all.clone()],
-        at_once: site.at_once,
-        back_at_once: 4 * site.at_once,
-        least_left: 1,
-        failures: 0,
-        unjudged: Unjudged::Stop,
+        max_unavailable: site.at_once,
+        max_unavailable_in_rollback: 4 * site.at_once,
+        min_available_per_zone: 1,
+        max_failed_steps: 0,
+        when_inconclusive: InconclusivePolicy::RollBack,
     };
-    let mut conductor = Conductor::new(conductor, Generation { number: 1, conductor: 0 });
-    let mut judge = Judge::new(settings.clone(), &zones);
+    let mut conductor = RolloutController::new(conductor, Generation { number: 1, controller: 0 });
+    let mut judge = CanaryAnalysis::new(settings.clone(), &zones);
     let mut timers: BTreeMap<Timer, u64> = BTreeMap::new();
     let mut went =
         Went { done: false, why: String::new(), reached: 0.0, seconds: 0.0, requests: 0.0, harmed: 0.0 };
@@ -292,33 +294,36 @@
         for at in 0..played.nodes.len() {
             let node = &mut played.nodes[at];
             if let Some((_, order)) = node.until.take_if(|(until, _)| *until <= now) {
-                let Order::Do { generation, step, change, back } = order else { continue };
-                let undone = node.status.runs.replace(change.version).filter(|_| back);
-                node.status.last = Some(Done { generation, step, undone, failed: None, cut_off: false });
+                let SupervisorRequest::ExecuteStep { generation, step, change, back } = order else {
+                    continue;
+                };
+                let reverted = node.status.runs.replace(change.version).filter(|_| back);
+                node.status.last =
+                    Some(StepResult { generation, step, reverted, failed: None, interrupted: false });
                 node.status.busy = None;
                 node.since = now;
                 // Another process counts from zero.
-                node.figures.process += 1;
-                node.figures.calls.clear();
-                node.figures.latencies.clear();
-                node.figures.attempts = 0;
+                node.statistics.process += 1;
+                node.statistics.calls.clear();
+                node.statistics.latencies.clear();
+                node.statistics.attempts = 0;
             }
             ended.push((at, node.status.clone()));
         }
         for (at, status) in ended {
-            judge.saw(at, &played.nodes[at].figures, status.crashes, now as f64);
-            events.push(Event::Said { node: at, status: Box::new(status), asked: true });
+            judge.record_statistics(at, &played.nodes[at].statistics, status.crashes, now as f64);
+            events.push(Event::StatusReceived { node: at, status: Box::new(status), polled: true });
         }
         if let Phase::Watching(stage) = conductor.phase() {
             if watched.replace(*stage) != Some(*stage) {
-                judge.watch();
+                judge.stage_started();
             }
         }
-        let verdict = judge.look();
-        if let (Verdict::Worse(why), false) = (&verdict, decided) {
+        let verdict = judge.evaluate();
+        if let (Verdict::Fail(why), false) = (&verdict, decided) {
             (decided, went.why) = (true, why.clone());
         }
-        events.push(Event::Judged(verdict));
+        events.push(Event::Verdict(verdict));
         timers.retain(|timer, due| {
             let waits = *due > now;
             events.extend((!waits).then_some(Event::Timer(*timer)));
@@ -330,25 +335,27 @@
             conductor.handle(event, &mut actions);
             for action in actions {
                 match action {
-                    Action::Tell(at, order) => {
+                    Action::Send(at, order) => {
                         let node = &mut played.nodes[at];
                         match order {
-                            Order::Claim(generation) => node.status.generation = Some(generation),
-                            Order::Do { step, .. } => {
+                            SupervisorRequest::Claim(generation) => node.status.generation = Some(generation),
+                            SupervisorRequest::ExecuteStep { step, .. } => {
                                 node.status.busy = Some(step);
                                 node.until = Some((now + STEP_S, order));
                             }
-                            Order::Keep { version, .. } => node.status.good = Some(version),
-                            Order::Ask => {}
+                            SupervisorRequest::MarkGood { version, .. } => node.status.good = Some(version),
+                            SupervisorRequest::GetStatus => {}
                         }
                     }
-                    Action::Set(timer) => drop(timers.insert(timer, now + seconds(timer))),
-                    Action::Unset(timer) => drop(timers.remove(&timer)),
-                    Action::Runs { node, new } => judge.runs(node, new, now as f64),
+                    Action::SetTimer(timer) => drop(timers.insert(timer, now + seconds(timer))),
+                    Action::CancelTimer(timer) => drop(timers.remove(&timer)),
+                    Action::VersionChanged { node, changed: new } => {
+                        judge.version_changed(node, new, now as f64)
+                    }
                     Action::Note(_) => {}
                     Action::End(outcome) => {
-                        went.done = outcome == Outcome::Done;
-                        if let (Outcome::Back(why, _), true) = (outcome, went.why.is_empty()) {
+                        went.done = outcome == Outcome::Completed;
+                        if let (Outcome::RolledBack(why, _), true) = (outcome, went.why.is_empty()) {
                             went.why = why;
                         }
                         went.harmed = played.harmed / played.requests.max(1.0);
@@ -359,7 +366,7 @@
         }
         let new = (0..played.nodes.len()).filter(|at| played.is_new(*at)).count();
         went.reached = went.reached.max(new as f64 / played.nodes.len() as f64);
-        if !matches!(conductor.phase(), Phase::Back(_)) {
+        if !matches!(conductor.phase(), Phase::RollingBack(_)) {
             went.seconds = now as f64;
             went.requests += played
                 .nodes
@@ -376,12 +383,12 @@
 /// Lengths in seconds.
 fn seconds(timer: Timer) -> u64 {
     match timer {
-        Timer::Claims => 5,
-        Timer::Before => 60,
-        Timer::Least(_) => 30,
-        Timer::Most(_) => 600,
-        Timer::Trouble => 120,
-        Timer::Back => 600,
+        Timer::ClaimTimeout => 5,
+        Timer::Baseline => 60,
+        Timer::MinWatch(_) => 30,
+        Timer::MaxWatch(_) => 600,
+        Timer::FleetDegraded => 120,
+        Timer::RollbackTimeout => 600,
     }
 }
 
--- a/crates/spurdrum-rollout/src/judge/evidence.rs
+++ b/crates/spurdrum-rollout/src/judge/evidence.rs
@@ -12,7 +12,7 @@
 
 /// Evidence against a mean of at most a margin.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Evidence {
+pub struct SequentialTest {
     margin: f64,
     clip: f64,
     /// Logarithms of the gamblers' wealths.
@@ -21,7 +21,7 @@
     count: f64,
 }
 
-impl Evidence {
+impl SequentialTest {
     /// Values are cut off at `clip` above and below 0: no single one weighs more.
     #[must_use]
     pub fn new(margin: f64, clip: f64) -> Self {
@@ -42,7 +42,7 @@
 
     /// What the gamblers have on average: 1 at first; the reciprocal of the chance that so much or more is ever had by mistake.
     #[must_use]
-    pub fn worth(&self) -> f64 {
+    pub fn e_value(&self) -> f64 {
         // Beyond this it is certain, and a sum of several must stay a number.
         let most = 1e12_f64;
         self.wealth.iter().map(|wealth| wealth.exp().min(most)).sum::<f64>() / BETS.len() as f64
@@ -71,20 +71,20 @@
         let mut mistakes = 0;
         for seed in 0..lives {
             let mut rng = fastrand::Rng::with_seed(seed);
-            let mut evidence = Evidence::new(0.0, 0.1);
+            let mut evidence = SequentialTest::new(0.0, 0.1);
             mistakes += u64::from((0..1000).any(|_| {
                 evidence.add(values(&mut rng, 30, 0.01));
-                evidence.worth() >= 50.0
+                evidence.e_value() >= 50.0
             }));
         }
         assert!(mistakes as f64 <= 0.02 * lives as f64 + 3.0 * (0.02 * lives as f64).sqrt(), "{mistakes}");
         let mut times: Vec<usize> = (0..200)
             .map(|seed| {
                 let mut rng = fastrand::Rng::with_seed(seed);
-                let mut evidence = Evidence::new(0.005, 0.1);
+                let mut evidence = SequentialTest::new(0.005, 0.1);
                 let tells = |_: &usize| {
                     evidence.add(values(&mut rng, 30, 0.03));
-                    evidence.worth() >= 50.0
+                    evidence.e_value() >= 50.0
                 };
                 (1..1000).find(tells).unwrap_or(1000)
             })
@@ -95,12 +95,12 @@
 
     #[test]
     fn no_single_value_decides() {
-        let mut evidence = Evidence::new(0.005, 0.1);
+        let mut evidence = SequentialTest::new(0.005, 0.1);
         evidence.add(1.0);
-        assert!(evidence.worth() < 2.0, "{}", evidence.worth());
+        assert!(evidence.e_value() < 2.0, "{}", evidence.e_value());
         (0..100).for_each(|_| evidence.add(f64::MIN));
-        assert!(evidence.worth() >= 0.0 && evidence.worth() < 0.1, "{}", evidence.worth());
+        assert!(evidence.e_value() >= 0.0 && evidence.e_value() < 0.1, "{}", evidence.e_value());
         (0..10_000).for_each(|_| evidence.add(1.0));
-        assert!(evidence.worth() <= 1e12);
+        assert!(evidence.e_value() <= 1e12);
     }
 }
--- a/crates/spurdrum-rollout/src/judge/mod.rs
+++ b/crates/spurdrum-rollout/src/judge/mod.rs
@@ -13,8 +13,8 @@
 use serde::Deserialize;
 
 use crate::conductor::Verdict;
-use crate::orders::Figures;
-use evidence::Evidence;
+use crate::orders::NodeStatistics;
+use evidence::SequentialTest;
 use rules::{Crashes, Resources};
 
 /// What is compared, and how much worse is too much.
@@ -87,33 +87,33 @@
 
 /// What a part is of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Measure {
+pub enum Metric {
     /// Failed.
-    Failed,
+    FailedRequests,
     /// Refused.
-    Refused,
+    RefusedRequests,
     /// Served, but slowly.
-    Slow,
+    SlowAnswers,
     /// Attempts beyond one a request.
-    Attempts,
+    AttemptsPerRequest,
     /// Servers avoided.
-    Down,
+    AvoidedServers,
 }
 
-impl Measure {
+impl Metric {
     fn name(self) -> &'static str {
         match self {
-            Self::Failed => "failed requests",
-            Self::Refused => "refused requests",
-            Self::Slow => "slow answers",
-            Self::Attempts => "attempts a request",
-            Self::Down => "servers avoided",
+            Self::FailedRequests => "failed requests",
+            Self::RefusedRequests => "refused requests",
+            Self::SlowAnswers => "slow answers",
+            Self::AttemptsPerRequest => "attempts a request",
+            Self::AvoidedServers => "servers avoided",
         }
     }
 }
 
 /// Of a class, or of all.
-type Key = (String, Measure);
+type Key = (String, Metric);
 
 /// So many of so many.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -149,7 +149,7 @@
     new: bool,
     /// When it was last changed, in seconds; none: never.
     since: Option<f64>,
-    figures: Option<Figures>,
+    statistics: Option<NodeStatistics>,
     heard: f64,
     crashes: Option<u64>,
     /// What came since the last second that was looked at.
@@ -170,7 +170,7 @@
 }
 
 /// The judge of one rollout.
-pub struct Judge {
+pub struct CanaryAnalysis {
     settings: Settings,
     nodes: Vec<Node>,
     zones: usize,
@@ -178,7 +178,7 @@
     slow: BTreeMap<String, u64>,
     /// What was usual for all together, before.
     usual: BTreeMap<Key, f64>,
-    evidence: BTreeMap<Key, Evidence>,
+    evidence: BTreeMap<Key, SequentialTest>,
     crashes: Crashes,
     /// Sums that were too few to be compared, by zone: new, old, and what both would have done by their past.
     waiting: BTreeMap<Key, Vec<Sums>>,
@@ -223,7 +223,7 @@
     }
 }
 
-impl Judge {
+impl CanaryAnalysis {
     /// For nodes in these zones.
     #[must_use]
     pub fn new(settings: Settings, zones: &[String]) -> Self {
@@ -250,7 +250,7 @@
     }
 
     /// From now on this node runs the change, or the old version again.
-    pub fn runs(&mut self, at: usize, new: bool, now: f64) {
+    pub fn version_changed(&mut self, at: usize, new: bool, now: f64) {
         if new && !std::mem::replace(&mut self.begun, true) {
             self.end_of_before();
         }
@@ -258,11 +258,11 @@
         (node.new, node.since) = (new, Some(now));
         node.fresh.clear();
         (node.requests, node.expected) = (0.0, 0.0);
-        node.resources.changed();
+        node.resources.mark_changed();
     }
 
     /// A stage is watched from now on.
-    pub fn watch(&mut self) {
+    pub fn stage_started(&mut self) {
         self.seen = 0.0;
     }
 
@@ -296,28 +296,30 @@
             for (class, times) in std::mem::take(&mut node.times) {
                 let Some(bound) = self.slow.get(&class) else { continue };
                 let part = slow_part(times, *bound);
-                node.before.insert((class, Measure::Slow), part);
+                node.before.insert((class, Metric::SlowAnswers), part);
             }
         }
     }
 
     /// What a node's keeper told of it.
-    pub fn saw(&mut self, at: usize, figures: &Figures, crashes: u64, now: f64) {
+    pub fn record_statistics(&mut self, at: usize, statistics: &NodeStatistics, crashes: u64, now: f64) {
         let settled = self.nodes[at].since.is_none_or(|since| now >= since + self.settings.settle_s);
         let (new, heard) = (self.nodes[at].new, self.nodes[at].heard);
         let fell = self.nodes[at].crashes.replace(crashes).map_or(0, |before| crashes.saturating_sub(before));
         let seconds = (now - heard).clamp(0.0, STALE);
         self.crashes.add(new, seconds, fell);
         let node = &mut self.nodes[at];
-        let was = node.figures.replace(figures.clone());
+        let was = node.statistics.replace(statistics.clone());
         node.heard = now;
-        node.resources.saw(figures.memory, figures.descriptors, new && settled);
+        node.resources.record(statistics.memory, statistics.descriptors, new && settled);
         // Counts of another process, or of a node that was not heard of, tell nothing of this second.
-        let Some(was) = was.filter(|was| was.process == figures.process && seconds < STALE) else { return };
+        let Some(was) = was.filter(|was| was.process == statistics.process && seconds < STALE) else {
+            return;
+        };
         if !settled {
             return;
         }
-        let requests = self.differences(at, &was, figures);
+        let requests = self.differences(at, &was, statistics);
         let node = &mut self.nodes[at];
         if !self.begun {
             node.before_s += seconds;
@@ -330,7 +332,7 @@
     }
 
     /// Adds what came between two tellings of one process. How many requests ended.
-    fn differences(&mut self, at: usize, was: &Figures, is: &Figures) -> f64 {
+    fn differences(&mut self, at: usize, was: &NodeStatistics, is: &NodeStatistics) -> f64 {
         let more = |is: u64, was: u64| is.saturating_sub(was) as f64;
         let mut found: Vec<(Key, Part)> = Vec::new();
         let mut requests = 0.0;
@@ -342,8 +344,8 @@
             let all = success + busy + failure;
             requests += all;
             overall.add(Part { bad: busy + failure, all });
-            found.push(((class.clone(), Measure::Failed), Part { bad: failure, all }));
-            found.push(((class.clone(), Measure::Refused), Part { bad: busy, all }));
+            found.push(((class.clone(), Metric::FailedRequests), Part { bad: failure, all }));
+            found.push(((class.clone(), Metric::RefusedRequests), Part { bad: busy, all }));
         }
         let before = !self.begun;
         for (class, steps) in &is.latencies {
@@ -353,7 +355,7 @@
                 |upper: u64| was.binary_search_by_key(&upper, |step| step.0).map_or(0, |at| was[at].1);
             let more = steps.iter().map(|(upper, count)| (*upper, count.saturating_sub(counted(*upper))));
             match self.slow.get(class) {
-                Some(bound) => found.push(((class.clone(), Measure::Slow), slow_part(more, *bound))),
+                Some(bound) => found.push(((class.clone(), Metric::SlowAnswers), slow_part(more, *bound))),
                 None if before => {
                     let times = self.nodes[at].times.entry(class.clone()).or_default();
                     more.for_each(|(upper, count)| *times.entry(upper).or_default() += count);
@@ -362,10 +364,10 @@
             }
         }
         let extra = (more(is.attempts, was.attempts) - requests).clamp(0.0, requests);
-        found.push(((String::new(), Measure::Attempts), Part { bad: extra, all: requests }));
+        found.push(((String::new(), Metric::AttemptsPerRequest), Part { bad: extra, all: requests }));
         let listed = is.listed as f64;
         // A node's list counts as one request a second and server, so that zones are weighed alike.
-        found.push(((String::new(), Measure::Down), Part { bad: is.down as f64, all: listed }));
+        found.push(((String::new(), Metric::AvoidedServers), Part { bad: is.down as f64, all: listed }));
         let node = &mut self.nodes[at];
         let of_node = if before { &mut node.before } else { &mut node.fresh };
         for (key, part) in found {
@@ -384,7 +386,7 @@
     }
 
     /// Looks at what came in the last second. What can be said now.
-    pub fn look(&mut self) -> Verdict {
+    pub fn evaluate(&mut self) -> Verdict {
         self.compare();
         let trouble = self.trouble();
         self.recent.push(Sums::default());
@@ -392,16 +394,16 @@
             self.recent.remove(0);
         }
         if let Some(why) = self.worse() {
-            return Verdict::Worse(why);
+            return Verdict::Fail(why);
         }
         if let Some(why) = trouble {
-            return Verdict::Trouble(why);
+            return Verdict::FleetDegraded(why);
         }
         // Guards against a changed node whose process has ended and that the many other measures outweigh in the mean.
-        let doubt = self.evidence_mean().max(self.crashes.worth()) >= DOUBT;
+        let doubt = self.evidence_mean().max(self.crashes.e_value()) >= DOUBT;
         match self.seen >= self.settings.least_requests as f64 && !doubt && !self.looks_worse() {
-            true => Verdict::Fine,
-            false => Verdict::Open,
+            true => Verdict::Pass,
+            false => Verdict::Inconclusive,
         }
     }
 
@@ -424,7 +426,8 @@
             match difference(&sums) {
                 Some(value) => {
                     let margin = self.margin(key.1);
-                    let evidence = self.evidence.entry(key).or_insert_with(|| Evidence::new(margin, CLIP));
+                    let evidence =
+                        self.evidence.entry(key).or_insert_with(|| SequentialTest::new(margin, CLIP));
                     evidence.add(value);
                 }
                 None => {
@@ -438,20 +441,20 @@
         }
     }
 
-    fn margin(&self, measure: Measure) -> f64 {
+    fn margin(&self, measure: Metric) -> f64 {
         match measure {
-            Measure::Failed => self.settings.failed,
-            Measure::Refused => self.settings.refused,
-            Measure::Slow => self.settings.slow,
-            Measure::Attempts => self.settings.attempts,
-            Measure::Down => self.settings.down,
+            Metric::FailedRequests => self.settings.failed,
+            Metric::RefusedRequests => self.settings.refused,
+            Metric::SlowAnswers => self.settings.slow,
+            Metric::AttemptsPerRequest => self.settings.attempts,
+            Metric::AvoidedServers => self.settings.down,
         }
     }
 
     /// The mean of all evidence: evidence of its own, however the parts hang together.
     fn evidence_mean(&self) -> f64 {
-        let all = self.evidence.values().map(Evidence::worth).chain([self.crashes.worth()]);
-        let (sum, count) = all.fold((0.0, 0.0), |(sum, count), worth| (sum + worth, count + 1.0));
+        let all = self.evidence.values().map(SequentialTest::e_value).chain([self.crashes.e_value()]);
+        let (sum, count) = all.fold((0.0, 0.0), |(sum, count), e_value| (sum + e_value, count + 1.0));
         sum / count
     }
 
@@ -460,8 +463,8 @@
             return Some(why);
         }
         if self.evidence_mean() >= 1.0 / self.settings.false_stops {
-            let most = self.evidence.iter().max_by(|a, b| a.1.worth().total_cmp(&b.1.worth()));
-            let of = most.filter(|(_, evidence)| evidence.worth() >= self.crashes.worth());
+            let most = self.evidence.iter().max_by(|a, b| a.1.e_value().total_cmp(&b.1.e_value()));
+            let of = most.filter(|(_, evidence)| evidence.e_value() >= self.crashes.e_value());
             return Some(match of {
                 Some(((class, measure), evidence)) => {
                     let class = if class.is_empty() { String::new() } else { format!(" of class {class}") };
@@ -473,7 +476,7 @@
         }
         let load = self.load();
         for (at, node) in self.nodes.iter().enumerate().filter(|(_, node)| node.new) {
-            if let Some(what) = node.resources.grown(self.settings.growth) {
+            if let Some(what) = node.resources.excessive_growth(self.settings.growth) {
                 return Some(format!("node {at}: {what}"));
             }
             if node.expected >= EXPECTED && node.requests < NOBODY * node.expected * load {
@@ -534,7 +537,7 @@
 
     /// Requests at changed nodes since the stage was watched.
     #[must_use]
-    pub fn requests(&self) -> u64 {
+    pub fn requests_at_changed_nodes(&self) -> u64 {
         self.seen as u64
     }
 }
--- a/crates/spurdrum-rollout/src/judge/rules.rs
+++ b/crates/spurdrum-rollout/src/judge/rules.rs
@@ -46,7 +46,7 @@
 
     /// As [`super::evidence::Evidence::worth`].
     #[must_use]
-    pub fn worth(&self) -> f64 {
+    pub fn e_value(&self) -> f64 {
         self.wealth.exp().min(1e12)
     }
 }
@@ -73,7 +73,7 @@
 
 impl Resources {
     /// One reading; of the change where it runs and has settled.
-    pub fn saw(&mut self, memory: u64, descriptors: u64, new: bool) {
+    pub fn record(&mut self, memory: u64, descriptors: u64, new: bool) {
         if new {
             self.now = (memory, descriptors);
         } else if !self.changed {
@@ -83,14 +83,14 @@
     }
 
     /// The node was changed, or changed back.
-    pub fn changed(&mut self) {
+    pub fn mark_changed(&mut self) {
         self.changed = true;
         self.now = (0, 0);
     }
 
     /// What is above so many times what it was before.
     #[must_use]
-    pub fn grown(&self, times: f64) -> Option<String> {
+    pub fn excessive_growth(&self, times: f64) -> Option<String> {
         if self.readings < READINGS {
             return None;
         }
@@ -115,28 +115,28 @@
             crashes.add(false, 99.0, 0);
         }
         crashes.add(false, 0.0, 1);
-        assert!(crashes.worth() < 1.0);
+        assert!(crashes.e_value() < 1.0);
         crashes.add(true, 0.0, 1);
         crashes.add(true, 0.0, 1);
-        assert!(crashes.worth() > 50.0, "{crashes}");
+        assert!(crashes.e_value() > 50.0, "{crashes}");
         // With half of the time, it takes many.
         let mut half = Crashes::default();
         half.add(true, 50.0, 0);
         half.add(false, 50.0, 0);
         half.add(true, 0.0, 3);
-        assert!(half.worth() < 10.0, "{half}");
+        assert!(half.e_value() < 10.0, "{half}");
     }
 
     #[test]
     fn what_grows_is_told_beside_the_node_itself() {
         let mut resources = Resources::default();
-        (0..10).for_each(|_| resources.saw(40 << 20, 100, false));
-        resources.changed();
-        resources.saw(120 << 20, 250, true);
-        assert_eq!(resources.grown(2.0), None);
-        resources.saw(150 << 20, 250, true);
-        assert!(resources.grown(2.0).is_some_and(|why| why.starts_with("memory 150 MB")));
-        resources.saw(120 << 20, 300, true);
-        assert!(resources.grown(2.0).is_some_and(|why| why.starts_with("300 descriptors")));
+        (0..10).for_each(|_| resources.record(40 << 20, 100, false));
+        resources.mark_changed();
+        resources.record(120 << 20, 250, true);
+        assert_eq!(resources.excessive_growth(2.0), None);
+        resources.record(150 << 20, 250, true);
+        assert!(resources.excessive_growth(2.0).is_some_and(|why| why.starts_with("memory 150 MB")));
+        resources.record(120 << 20, 300, true);
+        assert!(resources.excessive_growth(2.0).is_some_and(|why| why.starts_with("300 descriptors")));
     }
 }
--- a/crates/spurdrum-rollout/src/orders.rs
+++ b/crates/spurdrum-rollout/src/orders.rs
@@ -1,4 +1,4 @@
-//! What conductors say to keepers and what they hear: one line of JSON each way.
+//! The protocol between a rollout controller and the supervisors: one line of JSON as the request, one as the answer.
 
 use std::collections::BTreeMap;
 
@@ -6,118 +6,126 @@
 
 use crate::version::{Change, Version};
 
-/// A line holds so many bytes at most, either way.
-pub const LINE_MOST: usize = 64 * 1024;
+/// Maximum length in bytes of a request or answer line.
+pub const MAX_LINE_BYTES: usize = 64 * 1024;
 
-/// Who directs: the higher one counts. Two conductors that took the same number are told apart by the second.
+/// Identifies a rollout controller. A supervisor obeys the highest generation that has claimed it. Two controllers that chose the
+/// same number are ordered by the second field.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Generation {
-    /// Above every number that the conductor had heard of.
+    /// Higher than every number that supervisors reported when the controller started.
     pub number: u64,
-    /// Drawn by the conductor.
-    pub conductor: u64,
+    /// Random identifier of the controller.
+    #[serde(rename = "conductor")]
+    pub controller: u64,
 }
 
-/// What a conductor says to a keeper.
+/// A request of a rollout controller to a supervisor.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Order {
-    /// How are you?
-    Ask,
-    /// From now on only this generation's orders are carried out.
+pub enum SupervisorRequest {
+    /// Report the status, change nothing.
+    #[serde(rename = "ask")]
+    GetStatus,
+    /// From now on, accept steps of this generation only.
     Claim(Generation),
-    /// One step. Said again, it is the same step: it is carried out once.
-    Do {
-        /// Of whom it comes.
+    /// Execute one step. A request that is sent again has the same step number and is executed once.
+    #[serde(rename = "do")]
+    ExecuteStep {
+        /// The generation of the sender.
         generation: Generation,
-        /// Of this generation's steps.
+        /// The number of the step within this generation.
         step: u64,
-        /// What is to run.
+        /// The version to run, and how to apply it.
         change: Change,
-        /// Whether it takes a change back.
+        /// Whether the step rolls a change back.
         back: bool,
     },
-    /// What runs is good: it is what the keeper goes back to by itself.
-    Keep {
-        /// Of whom it comes.
+    /// Record the running version as good: the supervisor falls back to it on its own when a later version keeps crashing.
+    #[serde(rename = "keep")]
+    MarkGood {
+        /// The generation of the sender.
         generation: Generation,
-        /// What should run by now.
+        /// The version that should be running; the request is refused if another one runs.
         version: Version,
     },
 }
 
-/// How a step ended.
+/// The result of a step.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Done {
-    /// Whose it was.
+pub struct StepResult {
+    /// The generation of the controller that requested the step.
     pub generation: Generation,
-    /// Which.
+    /// The number of the step within this generation.
     pub step: u64,
-    /// The version that it took back, where it took one back.
-    pub undone: Option<Version>,
-    /// Why it failed; the node runs what it ran before.
+    /// The version that the step rolled back, if it was a rollback and succeeded.
+    #[serde(rename = "undone")]
+    pub reverted: Option<Version>,
+    /// Why the step failed; the node then runs the version that it ran before the step.
     pub failed: Option<String>,
-    /// It was the keeper that was cut off, and not the change that failed.
-    #[serde(default)]
-    pub cut_off: bool,
+    /// The step failed only because the supervisor was restarted in the middle of it, which does not speak against the change.
+    #[serde(default, rename = "cut_off")]
+    pub interrupted: bool,
 }
 
-/// Requests of a class, as the node counted them since its process began.
+/// Requests of a class by result, counted by the node since its process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Calls {
-    /// Served.
+pub struct RequestCounts {
+    /// Requests that were served.
     pub success: u64,
-    /// Refused.
+    /// Requests that were refused.
     pub busy: u64,
-    /// Failed.
+    /// Requests that failed.
     pub failure: u64,
 }
 
-/// What a node's process told of itself.
+/// Statistics of a node's process.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Figures {
-    /// A number of the process: counts begin anew with another.
+pub struct NodeStatistics {
+    /// Identifies the process: the counters of another process start from zero.
     pub process: u64,
     /// Requests by class.
-    pub calls: BTreeMap<String, Calls>,
-    /// Answers by class and time: upper bounds in microseconds, and counts. Empty where the node does not tell.
+    pub calls: BTreeMap<String, RequestCounts>,
+    /// Latency histogram by class: upper bound of each bucket in microseconds, and the count. Empty if the node's program does
+    /// not report latencies.
     #[serde(default)]
     pub latencies: BTreeMap<String, Vec<(u64, u64)>>,
-    /// Attempts that were sent.
+    /// Attempts that were sent to servers.
     pub attempts: u64,
-    /// Servers in its list.
+    /// Servers in the node's list.
     pub listed: u64,
-    /// Servers that it avoids.
+    /// Servers that the node currently avoids.
     pub down: u64,
-    /// Memory in bytes.
+    /// Resident memory in bytes.
     pub memory: u64,
-    /// Descriptors.
+    /// Open file descriptors.
     pub descriptors: u64,
 }
 
-/// A keeper's answer to whatever it was told.
+/// A supervisor's answer to any request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Status {
-    /// The node.
+    /// The name of the supervised node.
     pub name: String,
-    /// Who directs it, as far as it knows.
+    /// The newest generation that has claimed the node.
     pub generation: Option<Generation>,
-    /// The step that it is at.
+    /// The number of the step that is under way.
     pub busy: Option<u64>,
-    /// The last step that ended.
-    pub last: Option<Done>,
-    /// What runs, or is to run once it comes up.
+    /// The result of the last step.
+    pub last: Option<StepResult>,
+    /// The version that runs, or will run as soon as the process is up again.
     pub runs: Option<Version>,
-    /// What it goes back to by itself.
+    /// The version that the supervisor falls back to on its own.
     pub good: Option<Version>,
-    /// Whether the process says that it can serve.
+    /// Whether the node's process reports that it is ready to serve.
     pub ready: bool,
-    /// Processes that ended by themselves since the keeper has had a record.
+    /// Process exits that the supervisor did not cause, counted since its record was created.
     pub crashes: u64,
-    /// It went back by itself, since the last step.
+    /// Whether the supervisor has fallen back to the good version on its own since the last step.
     pub fell_back: bool,
-    /// Why the order was not taken; none: it was.
+    /// Why the request was refused; none if it was accepted.
     pub refused: Option<String>,
-    /// The process's figures, where it tells them.
-    pub figures: Option<Figures>,
+    /// The statistics of the node's process, if it reports them.
+    #[serde(rename = "figures")]
+    pub statistics: Option<NodeStatistics>,
 }
--- a/crates/spurdrum-rollout/src/plan.rs
+++ b/crates/spurdrum-rollout/src/plan.rs
@@ -8,12 +8,12 @@
 use serde::Deserialize;
 use spurdrum_facts::file;
 
-use crate::conductor::{self, Timer, Unjudged};
+use crate::conductor::{self, InconclusivePolicy, Timer};
 use crate::judge;
-use crate::version::{Change, Hash, How, Version};
+use crate::version::{ApplyMethod, Change, Hash, Version};
 
 /// Nodes at most.
-const NODES_MOST: usize = 16_384;
+const MAX_NODES: usize = 16_384;
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -40,7 +40,7 @@
     #[serde(default)]
     failures: usize,
     #[serde(default)]
-    unjudged: Unjudged,
+    unjudged: InconclusivePolicy,
     #[serde(default = "claims")]
     claims_s: f64,
     #[serde(default = "before")]
@@ -59,7 +59,7 @@
     program_sha256: Option<Hash>,
     settings_sha256: Option<Hash>,
     #[serde(default)]
-    how: How,
+    how: ApplyMethod,
 }
 
 #[derive(Deserialize)]
@@ -109,8 +109,9 @@
 pub struct Node {
     /// Its name, as its keeper has it.
     pub name: String,
-    /// Where its keeper listens.
-    pub keeper: SocketAddr,
+    /// The address at which its supervisor listens.
+    #[serde(rename = "keeper")]
+    pub supervisor: SocketAddr,
     /// Its zone.
     #[serde(default)]
     pub zone: String,
@@ -123,18 +124,18 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Stage {
     /// Nodes, in all or in each zone.
-    pub size: Size,
+    pub size: StageSize,
     /// Whether it is of each zone.
     pub each_zone: bool,
     /// It is watched for so long at least.
-    pub least: Duration,
+    pub min_watch: Duration,
     /// And so long at most, unless it is held.
-    pub most: Duration,
+    pub max_watch: Duration,
 }
 
 /// How many.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Size {
+pub enum StageSize {
     /// So many.
     Nodes(usize),
     /// A part of them.
@@ -157,7 +158,7 @@
     back_at_once: usize,
     least_left: usize,
     failures: usize,
-    unjudged: Unjudged,
+    unjudged: InconclusivePolicy,
     claims: Duration,
     before: Duration,
     trouble: Duration,
@@ -203,17 +204,17 @@
 
     fn of(file: File) -> Result<Self, Wrong> {
         let File { rollout, change, node, stage, judge } = file;
-        if node.is_empty() || node.len() > NODES_MOST {
-            return Err(("node", "name", format!("there are {} nodes, not 1 to {NODES_MOST}", node.len())));
+        if node.is_empty() || node.len() > MAX_NODES {
+            return Err(("node", "name", format!("there are {} nodes, not 1 to {MAX_NODES}", node.len())));
         }
         let (mut names, mut keepers) = (HashSet::new(), HashSet::new());
         for of in &node {
-            if !names.insert(&of.name) || !keepers.insert(of.keeper) {
+            if !names.insert(&of.name) || !keepers.insert(of.supervisor) {
                 return Err(("node", "name", format!("`{}` or its keeper is there twice", of.name)));
             }
         }
         for hash in [&change.program_sha256, &change.settings_sha256].into_iter().flatten() {
-            if !hash.is_sound() {
+            if !hash.is_well_formed() {
                 return Err(("change", "program_sha256", "is not 64 hexadecimal digits".into()));
             }
         }
@@ -234,8 +235,8 @@
         }
         let read = |table: &StageTable| {
             let size = match (table.nodes, table.share) {
-                (Some(n), None) if n > 0 => Size::Nodes(n),
-                (None, Some(share)) if share > 0.0 && share <= 1.0 => Size::Share(share),
+                (Some(n), None) if n > 0 => StageSize::Nodes(n),
+                (None, Some(share)) if share > 0.0 && share <= 1.0 => StageSize::Share(share),
                 _ => {
                     let why = "a stage has either `nodes` above 0, or a `share` above 0 and up to 1";
                     return Err(("stage", "nodes", why.to_owned()));
@@ -246,7 +247,7 @@
             if most < least {
                 return Err(("stage", "most_s", "is below `least_s`".to_owned()));
             }
-            Ok(Stage { size, each_zone: table.each_zone, least, most })
+            Ok(Stage { size, each_zone: table.each_zone, min_watch: least, max_watch: most })
         };
         let stages: Vec<Stage> = stage.iter().map(read).collect::<Result<_, _>>()?;
         if stages.is_empty() {
@@ -269,7 +270,7 @@
             trouble: time("rollout", "trouble_s", rollout.trouble_s)?,
             back: time("rollout", "back_s", rollout.back_s)?,
         };
-        if plan.targets().last().map_or(0, Vec::len) < plan.nodes.len() {
+        if plan.nodes_by_stage().last().map_or(0, Vec::len) < plan.nodes.len() {
             return Err(("stage", "share", "the last stage leaves nodes out: `share = 1.0` has all".into()));
         }
         Ok(plan)
@@ -278,7 +279,7 @@
     /// By stage, the places of the nodes that run the change when it is carried out. Zones take turns; nodes that are to be
     /// last come in the last stage.
     #[must_use]
-    pub fn targets(&self) -> Vec<Vec<usize>> {
+    pub fn nodes_by_stage(&self) -> Vec<Vec<usize>> {
         let turn = |at: usize| {
             let of_zone = |n: &usize| self.nodes[*n].zone == self.nodes[at].zone && !self.nodes[*n].last;
             (0..at).filter(of_zone).count()
@@ -288,8 +289,8 @@
         let (mut targets, mut before): (Vec<Vec<usize>>, Vec<usize>) = (Vec::new(), Vec::new());
         for (n, stage) in self.stages.iter().enumerate() {
             let count = |all: usize| match stage.size {
-                Size::Nodes(n) => n.min(all),
-                Size::Share(share) => (all as f64 * share).ceil() as usize,
+                StageSize::Nodes(n) => n.min(all),
+                StageSize::Share(share) => (all as f64 * share).ceil() as usize,
             };
             let in_zone = |zone: &String| self.nodes.iter().filter(|node| node.zone == *zone).count();
             let wanted = |at: &usize| match stage.each_zone {
@@ -298,7 +299,7 @@
             };
             let mut target = before.clone();
             target.extend(order.iter().copied().filter(|at| !before.contains(at) && wanted(at)));
-            if n + 1 == self.stages.len() && stage.size == Size::Share(1.0) {
+            if n + 1 == self.stages.len() && stage.size == StageSize::Share(1.0) {
                 target.extend((0..self.nodes.len()).filter(|n| self.nodes[*n].last));
             }
             before.clone_from(&target);
@@ -312,7 +313,7 @@
     /// # Errors
     ///
     /// A file cannot be read, or is not what the plan says.
-    pub fn settings(&self) -> Result<conductor::Settings, String> {
+    pub fn controller_settings(&self) -> Result<conductor::Settings, String> {
         let hash = |path: &Path, wanted: &Option<Hash>, key: &str| {
             let shown = path.display();
             let found = Hash::of_file(path);
@@ -340,26 +341,26 @@
                 settings: Some(whole(&of.settings)),
                 how: of.how,
             },
-            stages: self.targets(),
-            at_once: self.at_once,
-            back_at_once: self.back_at_once,
-            least_left: self.least_left,
-            failures: self.failures,
-            unjudged: self.unjudged,
+            stages: self.nodes_by_stage(),
+            max_unavailable: self.at_once,
+            max_unavailable_in_rollback: self.back_at_once,
+            min_available_per_zone: self.least_left,
+            max_failed_steps: self.failures,
+            when_inconclusive: self.unjudged,
         })
     }
 
     /// How long a time of the conductor's is.
     #[must_use]
-    pub fn length(&self, timer: Timer) -> Duration {
+    pub fn timer_duration(&self, timer: Timer) -> Duration {
         let stage = |n: usize| self.stages.get(n);
         match timer {
-            Timer::Claims => self.claims,
-            Timer::Before => self.before,
-            Timer::Least(n) => stage(n).map_or(Duration::ZERO, |stage| stage.least),
-            Timer::Most(n) => stage(n).map_or(Duration::ZERO, |stage| stage.most),
-            Timer::Trouble => self.trouble,
-            Timer::Back => self.back,
+            Timer::ClaimTimeout => self.claims,
+            Timer::Baseline => self.before,
+            Timer::MinWatch(n) => stage(n).map_or(Duration::ZERO, |stage| stage.min_watch),
+            Timer::MaxWatch(n) => stage(n).map_or(Duration::ZERO, |stage| stage.max_watch),
+            Timer::FleetDegraded => self.trouble,
+            Timer::RollbackTimeout => self.back,
         }
     }
 }
@@ -406,7 +407,7 @@
     fn stages_grow_and_zones_take_turns() {
         let stages = "[[stage]]\nnodes = 1\n[[stage]]\nnodes = 1\neach_zone = true\n[[stage]]\nshare = 0.5\n";
         let plan = plan(12, 3, "", &format!("{stages}{ALL}")).expect("sound");
-        let targets = plan.targets();
+        let targets = plan.nodes_by_stage();
         assert_eq!(targets[..3], [vec![0], vec![0, 1, 2], vec![0, 1, 2, 3, 4, 5]]);
         assert_eq!(targets[3].len(), 12);
     }
@@ -420,7 +421,7 @@
             text += &format!("[[node]]\nname = 'n{n}'\nkeeper = '127.0.0.1:{}'\nlast = {last}\n", 2 + n);
         }
         let plan = Plan::parse(&format!("{text}[[stage]]\nshare = 0.5\n{ALL}")).expect("sound");
-        assert_eq!(plan.targets(), [vec![1, 2], vec![1, 2, 3, 0]]);
+        assert_eq!(plan.nodes_by_stage(), [vec![1, 2], vec![1, 2, 3, 0]]);
     }
 
     #[test]
--- a/crates/spurdrum-rollout/src/shell.rs
+++ b/crates/spurdrum-rollout/src/shell.rs
@@ -13,9 +13,9 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout, Instant};
 
-use crate::conductor::{Action, Command, Conductor, Event, Outcome, Phase, Timer};
-use crate::judge::Judge;
-use crate::orders::{Generation, Order, Status, LINE_MOST};
+use crate::conductor::{Action, Command, Event, Outcome, Phase, RolloutController, Timer};
+use crate::judge::CanaryAnalysis;
+use crate::orders::{Generation, Status, SupervisorRequest, MAX_LINE_BYTES};
 use crate::plan::Plan;
 use crate::timers::Timers;
 
@@ -35,14 +35,14 @@
         stream.write_all(line.as_bytes()).await?;
         stream.write_all(b"\n").await?;
         let mut answer = String::new();
-        stream.take(LINE_MOST as u64).read_to_string(&mut answer).await?;
+        stream.take(MAX_LINE_BYTES as u64).read_to_string(&mut answer).await?;
         Ok(answer.lines().next().unwrap_or_default().to_owned())
     };
     timeout(ANSWER_MOST, asked).await.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
 }
 
 /// Tells a keeper something; none where it does not answer, or nothing that can be understood.
-pub async fn tell(keeper: SocketAddr, order: &Order) -> Option<Status> {
+pub async fn send_request(keeper: SocketAddr, order: &SupervisorRequest) -> Option<Status> {
     let line = serde_json::to_string(order).ok()?;
     let answer = call(keeper, &line).await.ok()?;
     serde_json::from_str(&answer).ok()
@@ -61,22 +61,23 @@
     pub changed: usize,
     /// Nodes.
     pub nodes: usize,
-    /// Nodes that count as out.
-    pub out: usize,
+    /// Nodes that count as unavailable.
+    #[serde(rename = "out")]
+    pub unavailable: usize,
 }
 
 /// How it shows [`Progress`].
-pub type Show = Rc<dyn Fn(&Progress)>;
+pub type ProgressCallback = Rc<dyn Fn(&Progress)>;
 
 struct Running {
     plan: Plan,
-    conductor: RefCell<Conductor>,
-    judge: RefCell<Judge>,
+    conductor: RefCell<RolloutController>,
+    judge: RefCell<CanaryAnalysis>,
     started: Instant,
     timers: Rc<Timers<Timer>>,
     outcome: RefCell<Option<Outcome>>,
     over: Notify,
-    show: Show,
+    show: ProgressCallback,
 }
 
 /// Carries a plan out, as the conductor of this number: it is drawn. `back`: takes the change back at once. Returns when it is
@@ -85,17 +86,22 @@
 /// # Errors
 ///
 /// The files of the change are not what the plan says, or the conductor's address is in use.
-pub async fn conduct(plan: Plan, number: u64, back: bool, show: Show) -> Result<Outcome, String> {
-    let settings = plan.settings()?;
+pub async fn run_rollout(
+    plan: Plan,
+    number: u64,
+    back: bool,
+    show: ProgressCallback,
+) -> Result<Outcome, String> {
+    let settings = plan.controller_settings()?;
     let listener = TcpListener::bind(plan.listen).await;
     let listener = listener.map_err(|error| {
         format!("`rollout.listen`: {}: {error}: does another conductor of this plan run?", plan.listen)
     })?;
     let generation = generation(&plan, number).await;
-    let judge = Judge::new(plan.judge.clone(), &settings.zones);
+    let judge = CanaryAnalysis::new(plan.judge.clone(), &settings.zones);
     let running = Rc::new(Running {
         plan,
-        conductor: RefCell::new(Conductor::new(settings, generation)),
+        conductor: RefCell::new(RolloutController::new(settings, generation)),
         judge: RefCell::new(judge),
         started: Instant::now(),
         timers: Rc::default(),
@@ -107,7 +113,7 @@
     let desk = tokio::task::spawn_local(desk);
     running.handle(Event::Start);
     if back {
-        running.handle(Event::Command(Command::Back));
+        running.handle(Event::Command(Command::RollBack));
     }
     let polls: Vec<_> = (0..running.plan.nodes.len())
         .map(|node| tokio::task::spawn_local(Rc::clone(&running).poll(node)))
@@ -126,15 +132,15 @@
 async fn generation(plan: &Plan, conductor: u64) -> Generation {
     let mut asked = tokio::task::JoinSet::new();
     for node in &plan.nodes {
-        let keeper = node.keeper;
-        asked.spawn_local(async move { tell(keeper, &Order::Ask).await });
+        let keeper = node.supervisor;
+        asked.spawn_local(async move { send_request(keeper, &SupervisorRequest::GetStatus).await });
     }
     let mut highest = 0;
     while let Some(answer) = asked.join_next().await {
         let told = answer.ok().flatten().and_then(|status| status.generation);
         highest = highest.max(told.map_or(0, |told| told.number));
     }
-    Generation { number: highest + 1, conductor }
+    Generation { number: highest + 1, controller: conductor }
 }
 
 impl Running {
@@ -143,18 +149,18 @@
         self.conductor.borrow_mut().handle(event, &mut actions);
         for action in actions {
             match action {
-                Action::Tell(node, order) => {
+                Action::Send(node, order) => {
                     let running = Rc::clone(self);
                     tokio::task::spawn_local(async move {
-                        let said = tell(running.plan.nodes[node].keeper, &order).await;
+                        let said = send_request(running.plan.nodes[node].supervisor, &order).await;
                         running.said(node, said, false);
                     });
                 }
-                Action::Set(timer) => self.set(timer),
-                Action::Unset(timer) => self.timers.unset(timer),
-                Action::Runs { node, new } => {
+                Action::SetTimer(timer) => self.set(timer),
+                Action::CancelTimer(timer) => self.timers.cancel(timer),
+                Action::VersionChanged { node, changed: new } => {
                     let now = self.started.elapsed().as_secs_f64();
-                    self.judge.borrow_mut().runs(node, new, now);
+                    self.judge.borrow_mut().version_changed(node, new, now);
                     let what = if new { "runs the change" } else { "runs the old version again" };
                     self.note(format!("{} {what}", self.plan.nodes[node].name));
                 }
@@ -174,13 +180,13 @@
         // Guards against a plan that names another node's keeper.
         match said.filter(|status| status.name == self.plan.nodes[node].name) {
             Some(status) => {
-                if let Some(figures) = &status.figures {
+                if let Some(statistics) = &status.statistics {
                     let now = self.started.elapsed().as_secs_f64();
-                    self.judge.borrow_mut().saw(node, figures, status.crashes, now);
+                    self.judge.borrow_mut().record_statistics(node, statistics, status.crashes, now);
                 }
-                self.handle(Event::Said { node, status: Box::new(status), asked });
+                self.handle(Event::StatusReceived { node, status: Box::new(status), polled: asked });
             }
-            None => self.handle(Event::Silent(node)),
+            None => self.handle(Event::Unreachable(node)),
         }
     }
 
@@ -188,7 +194,7 @@
         // Not all in one instant.
         sleep(EVERY.mul_f64(node as f64 / self.plan.nodes.len() as f64)).await;
         loop {
-            let said = tell(self.plan.nodes[node].keeper, &Order::Ask).await;
+            let said = send_request(self.plan.nodes[node].supervisor, &SupervisorRequest::GetStatus).await;
             self.said(node, said, true);
             sleep(EVERY).await;
         }
@@ -201,39 +207,39 @@
             let phase = self.conductor.borrow().phase().clone();
             if let Phase::Watching(stage) = phase {
                 if watched.replace(stage) != Some(stage) {
-                    self.judge.borrow_mut().watch();
+                    self.judge.borrow_mut().stage_started();
                 }
             }
-            let verdict = self.judge.borrow_mut().look();
-            self.handle(Event::Judged(verdict));
+            let verdict = self.judge.borrow_mut().evaluate();
+            self.handle(Event::Verdict(verdict));
         }
     }
 
     fn set(self: &Rc<Self>, timer: Timer) {
         let running = Rc::clone(self);
         let over = move || running.handle(Event::Timer(timer));
-        self.timers.set(timer, self.plan.length(timer), over);
+        self.timers.set(timer, self.plan.timer_duration(timer), over);
     }
 
     fn progress(&self, note: String) -> Progress {
         let conductor = self.conductor.borrow();
         let phase = match conductor.phase() {
             Phase::Claiming => "claiming keepers".to_owned(),
-            Phase::Before => "watching before".to_owned(),
+            Phase::Baseline => "watching before".to_owned(),
             Phase::Changing(stage) => format!("changing stage {}", stage + 1),
             Phase::Watching(stage) => format!("watching stage {}", stage + 1),
-            Phase::Keeping => "keeping".to_owned(),
-            Phase::Back(_) => "going back".to_owned(),
-            Phase::Over => "over".to_owned(),
+            Phase::MarkingGood => "keeping".to_owned(),
+            Phase::RollingBack(_) => "going back".to_owned(),
+            Phase::Ended => "over".to_owned(),
         };
         let paused = if conductor.is_paused() { ", paused" } else { "" };
         Progress {
             at_s: (self.started.elapsed().as_secs_f64() * 10.0).round() / 10.0,
             note,
             phase: phase + paused,
-            changed: conductor.changed(),
+            changed: conductor.changed_count(),
             nodes: self.plan.nodes.len(),
-            out: conductor.out().len(),
+            unavailable: conductor.unavailable().len(),
         }
     }
 
@@ -252,7 +258,7 @@
             "pause" => Some(Command::Pause),
             "resume" => Some(Command::Resume),
             "stop" => Some(Command::Stop),
-            "back" => Some(Command::Back),
+            "back" => Some(Command::RollBack),
             _ => return "NO there is no such call: status, pause, resume, stop, back\n".into(),
         };
         let running = &self.0;
@@ -260,7 +266,10 @@
             running.handle(Event::Command(command));
             running.note(format!("told to {line}"));
         }
-        let judged = format!("{} requests at changed nodes in this stage", running.judge.borrow().requests());
+        let judged = format!(
+            "{} requests at changed nodes in this stage",
+            running.judge.borrow().requests_at_changed_nodes()
+        );
         serde_json::to_string(&running.progress(judged)).map_or_else(|_| "NO\n".into(), |text| text + "\n")
     }
 }
--- a/crates/spurdrum-rollout/src/timers.rs
+++ b/crates/spurdrum-rollout/src/timers.rs
@@ -31,14 +31,14 @@
             sleep(after).await;
             let is_set = timers.set.borrow().get(&timer) == Some(&number);
             if is_set {
-                timers.unset(timer);
+                timers.cancel(timer);
                 then();
             }
         });
     }
 
     /// Forgets a time.
-    pub fn unset(&self, timer: T) {
+    pub fn cancel(&self, timer: T) {
         self.set.borrow_mut().remove(&timer);
     }
 }
@@ -59,7 +59,7 @@
             set("again", 50, 2);
             set("forgotten", 10, 3);
             set("once", 20, 4);
-            timers.unset("forgotten");
+            timers.cancel("forgotten");
             sleep(Duration::from_millis(100)).await;
             assert_eq!(*came.borrow(), [4, 2]);
             set("again", 5, 5);
--- a/crates/spurdrum-rollout/src/version.rs
+++ b/crates/spurdrum-rollout/src/version.rs
@@ -37,7 +37,7 @@
 
     /// Whether it has the form of one: it names files, so nothing else may.
     #[must_use]
-    pub fn is_sound(&self) -> bool {
+    pub fn is_well_formed(&self) -> bool {
         self.0.len() == 64 && self.0.bytes().all(|byte| matches!(byte, b'0'..=b'9' | b'a'..=b'f'))
     }
 
@@ -49,7 +49,7 @@
 
     /// Any text, for models in which nothing is hashed.
     #[must_use]
-    pub fn named(text: &str) -> Self {
+    pub fn unchecked(text: &str) -> Self {
         Self(text.to_owned())
     }
 }
@@ -82,7 +82,7 @@
 /// How a change is put in force.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum How {
+pub enum ApplyMethod {
     /// A new process takes over from the old one.
     #[default]
     Replace,
@@ -101,5 +101,5 @@
     pub settings: Option<PathBuf>,
     /// How.
     #[serde(default)]
-    pub how: How,
+    pub how: ApplyMethod,
 }
--- a/crates/spurdrum-rollout/tests/conductor.rs
+++ b/crates/spurdrum-rollout/tests/conductor.rs
@@ -1,21 +1,21 @@
 //! A conductor, told what keepers say.
 
 use spurdrum_rollout::conductor::{
-    Action, Command, Conductor, Event, Outcome, Phase, Settings, Timer, Unjudged, Verdict,
+    Action, Command, Event, InconclusivePolicy, Outcome, Phase, RolloutController, Settings, Timer, Verdict,
 };
-use spurdrum_rollout::orders::{Done, Generation, Order, Status};
-use spurdrum_rollout::version::{Change, Hash, How, Version};
+use spurdrum_rollout::orders::{Generation, Status, StepResult, SupervisorRequest};
+use spurdrum_rollout::version::{ApplyMethod, Change, Hash, Version};
 
 const NONE: [usize; 0] = [];
-const OURS: Generation = Generation { number: 5, conductor: 1 };
+const OURS: Generation = Generation { number: 5, controller: 1 };
 
 fn version(name: &str) -> Version {
-    Version { program: Hash::named(name), settings: Hash::named("s") }
+    Version { program: Hash::unchecked(name), settings: Hash::unchecked("s") }
 }
 
 /// A fleet whose keepers do at once what they are told.
 struct Fleet {
-    conductor: Conductor,
+    conductor: RolloutController,
     statuses: Vec<Status>,
     /// Nodes whose keepers do not answer.
     silent: Vec<usize>,
@@ -37,7 +37,7 @@
         };
         let statuses = (0..settings.zones.len()).map(status).collect();
         Self {
-            conductor: Conductor::new(settings, OURS),
+            conductor: RolloutController::new(settings, OURS),
             statuses,
             silent: Vec::new(),
             slow: Vec::new(),
@@ -54,37 +54,40 @@
             self.conductor.handle(event, &mut actions);
             for action in actions {
                 match action {
-                    Action::Tell(node, _) if self.silent.contains(&node) => events.push(Event::Silent(node)),
-                    Action::Tell(node, order) => {
+                    Action::Send(node, _) if self.silent.contains(&node) => {
+                        events.push(Event::Unreachable(node))
+                    }
+                    Action::Send(node, order) => {
                         self.obey(node, order);
                         let status = Box::new(self.statuses[node].clone());
-                        events.push(Event::Said { node, status, asked: false });
+                        events.push(Event::StatusReceived { node, status, polled: false });
                     }
-                    Action::Set(timer) => self.timers.push(timer),
-                    Action::Unset(timer) => self.timers.retain(|set| *set != timer),
+                    Action::SetTimer(timer) => self.timers.push(timer),
+                    Action::CancelTimer(timer) => self.timers.retain(|set| *set != timer),
                     Action::End(outcome) => self.outcome = Some(outcome),
-                    Action::Runs { .. } | Action::Note(_) => {}
+                    Action::VersionChanged { .. } | Action::Note(_) => {}
                 }
             }
         }
     }
 
-    fn obey(&mut self, node: usize, order: Order) {
+    fn obey(&mut self, node: usize, order: SupervisorRequest) {
         let slow = self.slow.contains(&node);
         let status = &mut self.statuses[node];
         match order {
-            Order::Claim(generation) => status.generation = Some(generation),
-            Order::Do { generation, step, change, back } => {
+            SupervisorRequest::Claim(generation) => status.generation = Some(generation),
+            SupervisorRequest::ExecuteStep { generation, step, change, back } => {
                 self.orders.push((node, step, back));
                 if slow {
                     status.busy = Some(step);
                     return;
                 }
-                let undone = status.runs.replace(change.version).filter(|_| back);
-                status.last = Some(Done { generation, step, undone, failed: None, cut_off: false });
+                let reverted = status.runs.replace(change.version).filter(|_| back);
+                status.last =
+                    Some(StepResult { generation, step, reverted, failed: None, interrupted: false });
             }
-            Order::Keep { version, .. } => status.good = Some(version),
-            Order::Ask => {}
+            SupervisorRequest::MarkGood { version, .. } => status.good = Some(version),
+            SupervisorRequest::GetStatus => {}
         }
     }
 
@@ -92,8 +95,12 @@
     fn polled(&mut self) {
         for node in 0..self.statuses.len() {
             let event = match self.silent.contains(&node) {
-                true => Event::Silent(node),
-                false => Event::Said { node, status: Box::new(self.statuses[node].clone()), asked: true },
+                true => Event::Unreachable(node),
+                false => Event::StatusReceived {
+                    node,
+                    status: Box::new(self.statuses[node].clone()),
+                    polled: true,
+                },
             };
             self.tell(event);
         }
@@ -106,7 +113,7 @@
 
     fn under_way(&mut self) {
         self.tell(Event::Start);
-        self.over(Timer::Before);
+        self.over(Timer::Baseline);
     }
 
     fn new_nodes(&self) -> Vec<usize> {
@@ -117,13 +124,13 @@
 fn settings(nodes: usize, at_once: usize) -> Settings {
     Settings {
         zones: (0..nodes).map(|n| format!("z{}", n % 2)).collect(),
-        change: Change { version: version("new"), program: None, settings: None, how: How::Replace },
+        change: Change { version: version("new"), program: None, settings: None, how: ApplyMethod::Replace },
         stages: vec![vec![0], vec![0, 1, 2], (0..nodes).collect()],
-        at_once,
-        back_at_once: 2 * at_once,
-        least_left: 1,
-        failures: 0,
-        unjudged: Unjudged::Hold,
+        max_unavailable: at_once,
+        max_unavailable_in_rollback: 2 * at_once,
+        min_available_per_zone: 1,
+        max_failed_steps: 0,
+        when_inconclusive: InconclusivePolicy::Hold,
     }
 }
 
@@ -134,11 +141,11 @@
     for (stage, expected) in [(0, vec![0]), (1, vec![0, 1, 2]), (2, (0..6).collect())] {
         assert_eq!(fleet.new_nodes(), expected);
         assert_eq!(*fleet.conductor.phase(), Phase::Watching(stage));
-        fleet.tell(Event::Judged(Verdict::Fine));
+        fleet.tell(Event::Verdict(Verdict::Pass));
         assert_eq!(*fleet.conductor.phase(), Phase::Watching(stage), "its shortest time is not over");
-        fleet.over(Timer::Least(stage));
+        fleet.over(Timer::MinWatch(stage));
     }
-    assert_eq!(fleet.outcome, Some(Outcome::Done));
+    assert_eq!(fleet.outcome, Some(Outcome::Completed));
     assert!(fleet.statuses.iter().all(|status| status.good == Some(version("new"))));
 }
 
@@ -146,15 +153,15 @@
 fn worse_takes_all_back_those_that_cannot_serve_first() {
     let mut fleet = Fleet::new(settings(6, 1));
     fleet.under_way();
-    fleet.tell(Event::Judged(Verdict::Fine));
-    fleet.over(Timer::Least(0));
+    fleet.tell(Event::Verdict(Verdict::Pass));
+    fleet.over(Timer::MinWatch(0));
     fleet.statuses[2].ready = false;
     fleet.polled();
     fleet.orders.clear();
-    fleet.tell(Event::Judged(Verdict::Worse("it fails".into())));
+    fleet.tell(Event::Verdict(Verdict::Fail("it fails".into())));
     fleet.statuses[2].ready = true;
     fleet.polled();
-    assert_eq!(fleet.outcome, Some(Outcome::Back("it fails".into(), Vec::new())));
+    assert_eq!(fleet.outcome, Some(Outcome::RolledBack("it fails".into(), Vec::new())));
     assert_eq!(fleet.new_nodes(), NONE);
     assert_eq!(fleet.orders[0].0, 2);
     assert!(fleet.orders.iter().all(|(.., back)| *back));
@@ -162,7 +169,7 @@
 
 #[test]
 fn no_more_are_out_than_may_be_whoever_has_them_out() {
-    let others = Generation { number: 4, conductor: 9 };
+    let others = Generation { number: 4, controller: 9 };
     // One does not answer; one is at a step of another conductor's; one cannot serve; one stays with another conductor.
     let spoils: [fn(&mut Fleet); 4] = [
         |fleet| fleet.silent = vec![5],
@@ -170,7 +177,7 @@
         |fleet| fleet.statuses[5].ready = false,
         |fleet| {
             fleet.silent = vec![5];
-            fleet.statuses[5].generation = Some(Generation { number: 4, conductor: 9 });
+            fleet.statuses[5].generation = Some(Generation { number: 4, controller: 9 });
         },
     ];
     for (n, spoil) in spoils.iter().enumerate() {
@@ -181,10 +188,10 @@
             // It is heard, but its claim was lost: it may be told anything by the other.
             fleet.silent.clear();
             let status = Box::new(Status { generation: Some(others), ..fleet.statuses[5].clone() });
-            fleet.conductor.handle(Event::Said { node: 5, status, asked: true }, &mut Vec::new());
+            fleet.conductor.handle(Event::StatusReceived { node: 5, status, polled: true }, &mut Vec::new());
         }
-        fleet.over(Timer::Claims);
-        fleet.over(Timer::Before);
+        fleet.over(Timer::ClaimTimeout);
+        fleet.over(Timer::Baseline);
         assert_eq!(fleet.new_nodes(), NONE, "case {n}");
         // It is in again.
         fleet.silent.clear();
@@ -199,8 +206,8 @@
     let mut fleet = Fleet::new(settings(6, 1));
     fleet.slow = vec![1];
     fleet.under_way();
-    fleet.tell(Event::Judged(Verdict::Fine));
-    fleet.over(Timer::Least(0));
+    fleet.tell(Event::Verdict(Verdict::Pass));
+    fleet.over(Timer::MinWatch(0));
     assert_eq!(fleet.new_nodes(), [0]);
     let step = fleet.statuses[1].busy.expect("under way");
     // Its order was lost with its keeper: it is told again, and the same step.
@@ -209,7 +216,8 @@
     assert_eq!(fleet.orders.last(), Some(&(1, step, false)));
     // Its keeper was started again, and has undone it: nobody is to blame, and it is ordered anew.
     let failed = Some("cut off".to_owned());
-    fleet.statuses[1].last = Some(Done { generation: OURS, step, undone: None, failed, cut_off: true });
+    fleet.statuses[1].last =
+        Some(StepResult { generation: OURS, step, reverted: None, failed, interrupted: true });
     fleet.statuses[1].busy = None;
     fleet.slow.clear();
     fleet.polled();
@@ -221,7 +229,7 @@
 #[test]
 fn a_zone_keeps_those_that_must_be_left() {
     // Three of a zone; one is out by itself, so no other may go.
-    let mut fleet = Fleet::new(Settings { least_left: 2, ..settings(6, 3) });
+    let mut fleet = Fleet::new(Settings { min_available_per_zone: 2, ..settings(6, 3) });
     fleet.statuses[2].ready = false;
     fleet.under_way();
     assert_eq!(fleet.new_nodes(), NONE, "n0 is of its zone");
@@ -234,17 +242,17 @@
 fn trouble_of_all_holds_and_only_what_does_not_pass_takes_back() {
     let mut fleet = Fleet::new(settings(6, 1));
     fleet.under_way();
-    fleet.tell(Event::Judged(Verdict::Trouble("refused".into())));
-    fleet.over(Timer::Least(0));
+    fleet.tell(Event::Verdict(Verdict::FleetDegraded("refused".into())));
+    fleet.over(Timer::MinWatch(0));
     assert_eq!((fleet.new_nodes(), fleet.outcome.clone()), (vec![0], None));
-    fleet.tell(Event::Judged(Verdict::Fine));
-    assert!(!fleet.timers.contains(&Timer::Trouble), "it has passed");
+    fleet.tell(Event::Verdict(Verdict::Pass));
+    assert!(!fleet.timers.contains(&Timer::FleetDegraded), "it has passed");
     assert_eq!(fleet.new_nodes(), [0, 1, 2]);
-    fleet.tell(Event::Judged(Verdict::Trouble("refused".into())));
-    fleet.tell(Event::Judged(Verdict::Trouble("refused more".into())));
-    assert_eq!(fleet.timers.iter().filter(|timer| **timer == Timer::Trouble).count(), 1);
-    fleet.over(Timer::Trouble);
-    assert!(matches!(fleet.outcome, Some(Outcome::Back(..))));
+    fleet.tell(Event::Verdict(Verdict::FleetDegraded("refused".into())));
+    fleet.tell(Event::Verdict(Verdict::FleetDegraded("refused more".into())));
+    assert_eq!(fleet.timers.iter().filter(|timer| **timer == Timer::FleetDegraded).count(), 1);
+    fleet.over(Timer::FleetDegraded);
+    assert!(matches!(fleet.outcome, Some(Outcome::RolledBack(..))));
     assert_eq!(fleet.new_nodes(), NONE);
 }
 
@@ -259,11 +267,12 @@
     // One that was taking it back is followed by one that does.
     let mut fleet = Fleet::new(settings(6, 1));
     fleet.statuses[0].runs = Some(version("new"));
-    let theirs = Generation { number: 4, conductor: 9 };
-    let undone = Some(version("new"));
-    fleet.statuses[1].last = Some(Done { generation: theirs, step: 1, undone, failed: None, cut_off: false });
+    let theirs = Generation { number: 4, controller: 9 };
+    let reverted = Some(version("new"));
+    fleet.statuses[1].last =
+        Some(StepResult { generation: theirs, step: 1, reverted, failed: None, interrupted: false });
     fleet.tell(Event::Start);
-    assert!(matches!(fleet.outcome, Some(Outcome::Back(..))), "{:?}", fleet.conductor.phase());
+    assert!(matches!(fleet.outcome, Some(Outcome::RolledBack(..))), "{:?}", fleet.conductor.phase());
     assert_eq!(fleet.new_nodes(), NONE);
 }
 
@@ -271,10 +280,10 @@
 fn a_newer_conductor_is_heard_of_and_this_one_ends() {
     let mut fleet = Fleet::new(settings(6, 1));
     fleet.under_way();
-    let newer = Generation { number: 6, conductor: 0 };
+    let newer = Generation { number: 6, controller: 0 };
     fleet.statuses[4].generation = Some(newer);
     fleet.polled();
-    assert_eq!(fleet.outcome, Some(Outcome::Displaced(newer)));
+    assert_eq!(fleet.outcome, Some(Outcome::Superseded(newer)));
     let orders = fleet.orders.len();
     fleet.polled();
     assert_eq!(fleet.orders.len(), orders);
@@ -285,31 +294,31 @@
     let mut fleet = Fleet::new(settings(6, 1));
     fleet.tell(Event::Start);
     let mut actions = Vec::new();
-    fleet.conductor.handle(Event::Timer(Timer::Before), &mut actions);
-    assert!(actions.iter().any(|a| matches!(a, Action::Tell(0, Order::Do { .. }))));
+    fleet.conductor.handle(Event::Timer(Timer::Baseline), &mut actions);
+    assert!(actions.iter().any(|a| matches!(a, Action::Send(0, SupervisorRequest::ExecuteStep { .. }))));
     let refused = Some("its record cannot be written".to_owned());
     let status = Box::new(Status { refused, ..fleet.statuses[0].clone() });
-    fleet.tell(Event::Said { node: 0, status, asked: false });
-    assert!(matches!(&fleet.outcome, Some(Outcome::Back(why, _)) if why.contains("record")));
+    fleet.tell(Event::StatusReceived { node: 0, status, polled: false });
+    assert!(matches!(&fleet.outcome, Some(Outcome::RolledBack(why, _)) if why.contains("record")));
 
     let mut fleet = Fleet::new(settings(6, 1));
     fleet.under_way();
     (fleet.statuses[0].fell_back, fleet.statuses[0].runs) = (true, Some(version("old")));
     fleet.polled();
-    assert!(matches!(&fleet.outcome, Some(Outcome::Back(why, _)) if why.contains("by itself")));
+    assert!(matches!(&fleet.outcome, Some(Outcome::RolledBack(why, _)) if why.contains("by itself")));
 }
 
 #[test]
 fn people_may_pause_and_a_stage_that_cannot_be_judged_is_held_or_stopped() {
-    for (unjudged, stopped) in [(Unjudged::Hold, false), (Unjudged::Stop, true)] {
-        let mut fleet = Fleet::new(Settings { unjudged, ..settings(6, 1) });
+    for (unjudged, stopped) in [(InconclusivePolicy::Hold, false), (InconclusivePolicy::RollBack, true)] {
+        let mut fleet = Fleet::new(Settings { when_inconclusive: unjudged, ..settings(6, 1) });
         fleet.under_way();
-        fleet.over(Timer::Least(0));
-        fleet.over(Timer::Most(0));
+        fleet.over(Timer::MinWatch(0));
+        fleet.over(Timer::MaxWatch(0));
         assert_eq!(fleet.outcome.is_some(), stopped);
         if !stopped {
             fleet.tell(Event::Command(Command::Pause));
-            fleet.tell(Event::Judged(Verdict::Fine));
+            fleet.tell(Event::Verdict(Verdict::Pass));
             assert_eq!(fleet.new_nodes(), [0]);
             fleet.tell(Event::Command(Command::Resume));
             assert_eq!(fleet.new_nodes(), [0, 1, 2]);
--- a/crates/spurdrum-rollout/tests/judge.rs
+++ b/crates/spurdrum-rollout/tests/judge.rs
@@ -3,13 +3,13 @@
 use std::collections::BTreeMap;
 
 use spurdrum_rollout::conductor::Verdict;
-use spurdrum_rollout::judge::{Judge, Settings};
-use spurdrum_rollout::orders::{Calls, Figures};
+use spurdrum_rollout::judge::{CanaryAnalysis, Settings};
+use spurdrum_rollout::orders::{NodeStatistics, RequestCounts};
 
 /// A fleet that counts as it is told.
 struct Fleet {
-    judge: Judge,
-    figures: Vec<Figures>,
+    judge: CanaryAnalysis,
+    statistics: Vec<NodeStatistics>,
     crashes: Vec<u64>,
     now: f64,
 }
@@ -20,10 +20,11 @@
 impl Fleet {
     fn new(nodes: usize) -> Self {
         let zones: Vec<String> = (0..nodes).map(|n| format!("z{}", n % 2)).collect();
-        let figures = Figures { process: 1, listed: 10, memory: 40 << 20, ..Figures::default() };
+        let statistics =
+            NodeStatistics { process: 1, listed: 10, memory: 40 << 20, ..NodeStatistics::default() };
         Self {
-            judge: Judge::new(Settings::default(), &zones),
-            figures: vec![figures; nodes],
+            judge: CanaryAnalysis::new(Settings::default(), &zones),
+            statistics: vec![statistics; nodes],
             crashes: vec![0; nodes],
             now: 0.0,
         }
@@ -31,20 +32,20 @@
 
     /// Seconds in which nodes do this; the last verdict, and how many seconds it took to say worse.
     fn seconds(&mut self, count: usize, of: impl Fn(usize) -> Second) -> (Verdict, usize) {
-        let mut verdict = Verdict::Open;
+        let mut verdict = Verdict::Inconclusive;
         for second in 1..=count {
             self.now += 1.0;
-            for at in 0..self.figures.len() {
+            for at in 0..self.statistics.len() {
                 let (success, busy, failure) = of(at);
-                let calls: &mut Calls = self.figures[at].calls.entry("update".into()).or_default();
+                let calls: &mut RequestCounts = self.statistics[at].calls.entry("update".into()).or_default();
                 calls.success += success;
                 calls.busy += busy;
                 calls.failure += failure;
-                self.figures[at].attempts += success + failure;
-                self.judge.saw(at, &self.figures[at], self.crashes[at], self.now);
+                self.statistics[at].attempts += success + failure;
+                self.judge.record_statistics(at, &self.statistics[at], self.crashes[at], self.now);
             }
-            verdict = self.judge.look();
-            if matches!(verdict, Verdict::Worse(_)) {
+            verdict = self.judge.evaluate();
+            if matches!(verdict, Verdict::Fail(_)) {
                 return (verdict, second);
             }
         }
@@ -53,16 +54,16 @@
 
     /// Seconds in which nodes answer 30 requests each, so many of them slowly.
     fn answers(&mut self, count: usize, slow: impl Fn(usize) -> u64) -> Verdict {
-        let mut verdict = Verdict::Open;
+        let mut verdict = Verdict::Inconclusive;
         for _ in 0..count {
-            for at in 0..self.figures.len() {
-                let times = self.figures[at].latencies.entry("update".into());
+            for at in 0..self.statistics.len() {
+                let times = self.statistics[at].latencies.entry("update".into());
                 let times = times.or_insert_with(|| vec![(10_000, 0), (20_000, 0)]);
                 times[0].1 += 30 - slow(at);
                 times[1].1 += slow(at);
             }
             (verdict, _) = self.seconds(1, |_| WELL);
-            if matches!(verdict, Verdict::Worse(_)) {
+            if matches!(verdict, Verdict::Fail(_)) {
                 break;
             }
         }
@@ -70,11 +71,11 @@
     }
 
     fn change(&mut self, at: usize) {
-        self.judge.runs(at, true, self.now);
-        self.figures[at].process += 1;
-        self.figures[at].calls = BTreeMap::new();
-        self.figures[at].latencies = BTreeMap::new();
-        self.figures[at].attempts = 0;
+        self.judge.version_changed(at, true, self.now);
+        self.statistics[at].process += 1;
+        self.statistics[at].calls = BTreeMap::new();
+        self.statistics[at].latencies = BTreeMap::new();
+        self.statistics[at].attempts = 0;
     }
 }
 
@@ -83,11 +84,11 @@
 #[test]
 fn what_does_as_before_is_fine_once_enough_was_seen() {
     let mut fleet = Fleet::new(10);
-    assert_eq!(fleet.seconds(20, |_| WELL).0, Verdict::Open, "nothing is changed");
+    assert_eq!(fleet.seconds(20, |_| WELL).0, Verdict::Inconclusive, "nothing is changed");
     fleet.change(0);
-    fleet.judge.watch();
-    assert_eq!(fleet.seconds(8, |_| WELL).0, Verdict::Open, "few requests give no verdict");
-    assert_eq!(fleet.seconds(5, |_| WELL).0, Verdict::Fine);
+    fleet.judge.stage_started();
+    assert_eq!(fleet.seconds(8, |_| WELL).0, Verdict::Inconclusive, "few requests give no verdict");
+    assert_eq!(fleet.seconds(5, |_| WELL).0, Verdict::Pass);
 }
 
 #[test]
@@ -96,12 +97,12 @@
     let uneven = |at: usize| if at == 0 { (26, 1, 3) } else { WELL };
     fleet.seconds(60, uneven);
     fleet.change(0);
-    fleet.judge.watch();
-    assert_eq!(fleet.seconds(200, uneven).0, Verdict::Fine);
+    fleet.judge.stage_started();
+    assert_eq!(fleet.seconds(200, uneven).0, Verdict::Pass);
     // But that it does worse than it did, is.
     let (verdict, _) = fleet.seconds(200, |at| if at == 0 { (22, 1, 7) } else { WELL });
     assert!(
-        matches!(&verdict, Verdict::Worse(why) if why.starts_with("failed requests of class update")),
+        matches!(&verdict, Verdict::Fail(why) if why.starts_with("failed requests of class update")),
         "{verdict:?}"
     );
 }
@@ -114,13 +115,13 @@
         let mut fleet = Fleet::new(10);
         fleet.answers(60, slow);
         fleet.change(0);
-        fleet.judge.watch();
+        fleet.judge.stage_started();
         fleet.answers(200, then)
     };
-    assert_eq!(after(slow), Verdict::Fine);
+    assert_eq!(after(slow), Verdict::Pass);
     let verdict = after(|at| if at == 0 { 12 } else { 1 });
     assert!(
-        matches!(&verdict, Verdict::Worse(why) if why.starts_with("slow answers of class update")),
+        matches!(&verdict, Verdict::Fail(why) if why.starts_with("slow answers of class update")),
         "{verdict:?}"
     );
 }
@@ -133,7 +134,7 @@
         fleet.change(4);
         let (verdict, took) = fleet.seconds(300, |at| if at == 4 { bad } else { WELL });
         assert!(
-            matches!(verdict, Verdict::Worse(_)) && took <= most + 3,
+            matches!(verdict, Verdict::Fail(_)) && took <= most + 3,
             "{bad:?}: {verdict:?} after {took} s"
         );
     }
@@ -144,15 +145,15 @@
     let mut fleet = Fleet::new(10);
     fleet.seconds(30, |_| WELL);
     fleet.change(0);
-    fleet.judge.watch();
+    fleet.judge.stage_started();
     let trouble = |_: usize| (24, 3, 3);
     let (verdict, _) = fleet.seconds(300, trouble);
-    assert!(matches!(verdict, Verdict::Trouble(_)), "{verdict:?}");
-    assert_eq!(fleet.seconds(10, |_| WELL).0, Verdict::Fine, "it has passed");
+    assert!(matches!(verdict, Verdict::FleetDegraded(_)), "{verdict:?}");
+    assert_eq!(fleet.seconds(10, |_| WELL).0, Verdict::Pass, "it has passed");
     // A zone's trouble is not one of the node that was changed there.
     let zone = |at: usize| if at.is_multiple_of(2) { (20, 0, 10) } else { WELL };
     let (verdict, _) = fleet.seconds(300, zone);
-    assert!(!matches!(verdict, Verdict::Worse(_)), "{verdict:?}");
+    assert!(!matches!(verdict, Verdict::Fail(_)), "{verdict:?}");
 }
 
 #[test]
@@ -162,13 +163,13 @@
     fleet.change(0);
     // A quarter of all would look like trouble of all.
     let (verdict, _) = fleet.seconds(6, |at| if at == 0 { (17, 0, 13) } else { WELL });
-    assert!(!matches!(verdict, Verdict::Trouble(_)), "{verdict:?}");
+    assert!(!matches!(verdict, Verdict::FleetDegraded(_)), "{verdict:?}");
     for at in 1..4 {
         fleet.change(at);
     }
     let (verdict, _) = fleet.seconds(20, |_| (20, 0, 10));
     assert!(
-        matches!(verdict, Verdict::Trouble(_) | Verdict::Worse(_)),
+        matches!(verdict, Verdict::FleetDegraded(_) | Verdict::Fail(_)),
         "all are changed, and all do worse: {verdict:?}"
     );
 }
@@ -179,7 +180,7 @@
     mute.seconds(30, |_| WELL);
     mute.change(0);
     let (verdict, took) = mute.seconds(60, |at| if at == 0 { (0, 0, 0) } else { (33, 0, 0) });
-    assert!(matches!(&verdict, Verdict::Worse(why) if why.contains("serves nobody")), "{verdict:?}");
+    assert!(matches!(&verdict, Verdict::Fail(why) if why.contains("serves nobody")), "{verdict:?}");
     assert!(took < 15, "{took}");
 
     let mut crashing = Fleet::new(100);
@@ -191,15 +192,15 @@
         crashing.seconds(1, |_| WELL);
     }
     let (verdict, _) = crashing.seconds(1, |_| WELL);
-    assert!(matches!(&verdict, Verdict::Worse(why) if why.starts_with("processes ended")), "{verdict:?}");
+    assert!(matches!(&verdict, Verdict::Fail(why) if why.starts_with("processes ended")), "{verdict:?}");
 
     let mut leaking = Fleet::new(10);
     leaking.seconds(30, |_| WELL);
     leaking.change(0);
     leaking.seconds(10, |_| WELL);
-    leaking.figures[0].memory = 400 << 20;
+    leaking.statistics[0].memory = 400 << 20;
     let (verdict, _) = leaking.seconds(2, |_| WELL);
-    assert!(matches!(&verdict, Verdict::Worse(why) if why.contains("memory")), "{verdict:?}");
+    assert!(matches!(&verdict, Verdict::Fail(why) if why.contains("memory")), "{verdict:?}");
 }
 
 /// A node whose keeper was not heard for a while, or whose process was started again, tells nothing of that while.
@@ -211,12 +212,12 @@
     fleet.seconds(10, |_| WELL);
     for _ in 0..20 {
         // Another process, whose first counts are of its whole life.
-        fleet.figures[0].process += 1;
-        fleet.figures[0].calls.insert("update".into(), Calls { success: 0, busy: 0, failure: 50 });
+        fleet.statistics[0].process += 1;
+        fleet.statistics[0].calls.insert("update".into(), RequestCounts { success: 0, busy: 0, failure: 50 });
         fleet.seconds(1, |at| if at == 0 { (0, 0, 0) } else { WELL });
     }
     let (verdict, _) = fleet.seconds(1, |_| WELL);
-    assert!(!matches!(&verdict, Verdict::Worse(why) if why.contains("failed")), "{verdict:?}");
+    assert!(!matches!(&verdict, Verdict::Fail(why) if why.contains("failed")), "{verdict:?}");
 }
 
 /// Guards against a stage that goes on although a changed node's process has ended and none of the others' has.
@@ -224,14 +225,14 @@
 fn a_stage_is_not_fine_while_the_first_changed_node_has_crashed_and_no_other_has() {
     let mut fleet = Fleet::new(8);
     let settings = Settings { least_requests: 30, settle_s: 1.0, ..Settings::default() };
-    fleet.judge = Judge::new(settings, &vec!["z".to_owned(); 8]);
+    fleet.judge = CanaryAnalysis::new(settings, &vec!["z".to_owned(); 8]);
     fleet.seconds(4, |_| WELL);
     fleet.change(0);
-    fleet.judge.watch();
+    fleet.judge.stage_started();
     fleet.seconds(2, |_| WELL);
     fleet.crashes[0] += 1;
     let (verdict, _) = fleet.seconds(1, |_| WELL);
-    assert_ne!(verdict, Verdict::Fine);
+    assert_ne!(verdict, Verdict::Pass);
 }
 
 /// Guards against a stage that is fine because little has been gathered yet: a third of the requests is refused at its node.
@@ -240,20 +241,20 @@
     for bad in [(20, 10, 0), (20, 0, 10)] {
         let mut fleet = Fleet::new(8);
         let settings = Settings { least_requests: 30, settle_s: 1.0, ..Settings::default() };
-        fleet.judge = Judge::new(settings, &vec!["z".to_owned(); 8]);
+        fleet.judge = CanaryAnalysis::new(settings, &vec!["z".to_owned(); 8]);
         fleet.seconds(4, |_| WELL);
         fleet.change(0);
-        fleet.judge.watch();
+        fleet.judge.stage_started();
         let mut looks = 0;
         let verdict = loop {
             let (verdict, _) = fleet.seconds(1, |at| if at == 0 { bad } else { WELL });
             looks += 1;
             match verdict {
-                Verdict::Open if looks < 60 => {}
+                Verdict::Inconclusive if looks < 60 => {}
                 verdict => break verdict,
             }
         };
         let at_changed = |why: &String| why.ends_with("points more at changed nodes");
-        assert!(matches!(&verdict, Verdict::Worse(why) if at_changed(why)), "{verdict:?} after {looks} s");
+        assert!(matches!(&verdict, Verdict::Fail(why) if at_changed(why)), "{verdict:?} after {looks} s");
     }
 }
--- a/crates/spurdrum/src/rollout.rs
+++ b/crates/spurdrum/src/rollout.rs
@@ -5,9 +5,9 @@
 
 use clap::Subcommand;
 use spurdrum_rollout::conductor::{Outcome, Timer};
-use spurdrum_rollout::orders::Order;
+use spurdrum_rollout::orders::SupervisorRequest;
 use spurdrum_rollout::plan::Plan;
-use spurdrum_rollout::shell::{call, conduct, tell, Progress, Show};
+use spurdrum_rollout::shell::{call, run_rollout, send_request, Progress, ProgressCallback};
 
 use crate::log::{self, Format};
 use crate::on_event_loop;
@@ -62,7 +62,7 @@
 pub fn keep(file: &Path) -> Result<(), String> {
     let settings = spurdrum_keeper::Settings::read(file)?;
     let _log = log::start(&settings.name, Format::Text);
-    on_event_loop(spurdrum_keeper::keep(settings))
+    on_event_loop(spurdrum_keeper::supervise(settings))
 }
 
 /// Does what is said with a plan.
@@ -86,10 +86,11 @@
 
 fn check(path: &Path) -> Result<(), String> {
     let plan = Plan::read(path)?;
-    let settings = plan.settings().map_err(|why| format!("{}: {why}", path.display()))?;
+    let settings = plan.controller_settings().map_err(|why| format!("{}: {why}", path.display()))?;
     println!("{}: sound; {}", path.display(), settings.change.version);
     for (n, stage) in settings.stages.iter().enumerate() {
-        let (least, most) = (plan.length(Timer::Least(n)), plan.length(Timer::Most(n)));
+        let (least, most) =
+            (plan.timer_duration(Timer::MinWatch(n)), plan.timer_duration(Timer::MaxWatch(n)));
         let named: Vec<&str> = stage.iter().take(5).map(|at| plan.nodes[*at].name.as_str()).collect();
         let more = if stage.len() > named.len() { " ..." } else { "" };
         println!(
@@ -119,7 +120,7 @@
     println!("no conductor answers at {}", plan.listen);
     on_event_loop(async {
         for node in &plan.nodes {
-            let Some(status) = tell(node.keeper, &Order::Ask).await else {
+            let Some(status) = send_request(node.supervisor, &SupervisorRequest::GetStatus).await else {
                 println!("{}: its keeper does not answer", node.name);
                 continue;
             };
@@ -134,29 +135,29 @@
 
 fn start(plan: Plan, back: bool, json: bool) -> Result<(), String> {
     let names: Vec<String> = plan.nodes.iter().map(|node| node.name.clone()).collect();
-    let show: Show = Rc::new(move |progress: &Progress| {
+    let show: ProgressCallback = Rc::new(move |progress: &Progress| {
         use std::io::Write as _;
         let line = match json {
             true => serde_json::to_string(progress).unwrap_or_default(),
             false => {
-                let Progress { at_s, note, phase, changed, nodes, out } = progress;
-                format!("{at_s:>7.1} s  {phase}, {changed} of {nodes} changed, {out} out: {note}")
+                let Progress { at_s, note, phase, changed, nodes, unavailable } = progress;
+                format!("{at_s:>7.1} s  {phase}, {changed} of {nodes} changed, {unavailable} out: {note}")
             }
         };
         // Whoever reads may have read enough; the rollout goes on.
         let _ = writeln!(std::io::stdout(), "{line}");
     });
-    match on_event_loop(conduct(plan, crate::file::random_seed(), back, show))? {
-        Outcome::Done => {
+    match on_event_loop(run_rollout(plan, crate::file::random_seed(), back, show))? {
+        Outcome::Completed => {
             println!("done: all nodes run it, and keep it as good");
             Ok(())
         }
-        Outcome::Back(why, left) if left.is_empty() => Err(format!("taken back: {why}")),
-        Outcome::Back(why, left) => {
+        Outcome::RolledBack(why, left) if left.is_empty() => Err(format!("taken back: {why}")),
+        Outcome::RolledBack(why, left) => {
             let left: Vec<&str> = left.iter().map(|at| names[*at].as_str()).collect();
             Err(format!("taken back: {why}; not known to be back: {}", left.join(" ")))
         }
         Outcome::Stopped => Err("stopped: all nodes are as they are".into()),
-        Outcome::Displaced(by) => Err(format!("another conductor directs, of generation {}", by.number)),
+        Outcome::Superseded(by) => Err(format!("another conductor directs, of generation {}", by.number)),
     }
 }
