--- a/crates/spurdrum-admission/src/admission.rs
+++ b/crates/spurdrum-admission/src/admission.rs
@@ -5,7 +5,7 @@
 
 use crate::counts::{Counts, Reason};
 use crate::peers::{PeerKey, Peers};
-use crate::settings::{Pace, Settings, Shares};
+use crate::settings::{Settings, Shares, TransferTimeout};
 use crate::worth::{kind, Worth};
 use crate::{Action, Candidate, ConnId, Event, Level, Limits, State, Verdict};
 
@@ -171,35 +171,35 @@
                 return verdict;
             }
             Event::Received { id, bytes } => self.received(id, bytes),
-            Event::Head { id, body } => return self.head(id, body),
-            Event::Long { id } => self.long(id),
-            Event::Waits { id, waits } => self.waits(id, waits),
-            Event::Taken { id } => self.taken(id),
-            Event::Answer { id, bytes, more } => return self.answer(id, bytes, more),
-            Event::Sent { id, bytes } => self.progress(id, State::Writing, bytes),
-            Event::Written { id } => self.written(id, actions),
+            Event::HeadComplete { id, body } => return self.head(id, body),
+            Event::Streaming { id } => self.long(id),
+            Event::TransferSuspended { id, suspended } => self.transfer_suspended(id, suspended),
+            Event::RequestComplete { id } => self.taken(id),
+            Event::ResponseReady { id, bytes, pipelined } => return self.answer(id, bytes, pipelined),
+            Event::ResponseProgress { id, bytes } => self.progress(id, State::Writing, bytes),
+            Event::ResponseWritten { id } => self.written(id, actions),
             Event::HalfClosed { id } => self.half_closed(id, actions),
             Event::Closed { id } => {
                 self.closed(id);
                 self.look_at_level(actions);
             }
-            Event::ServerWanted => return self.server_wanted(actions),
-            Event::ServerClosed => self.servers = self.servers.saturating_sub(1),
-            Event::Starved => self.starved(actions),
-            Event::Ending => self.ending = true,
-            Event::Passing => {
+            Event::ServerConnectionRequested => return self.server_wanted(actions),
+            Event::ServerConnectionClosed => self.servers = self.servers.saturating_sub(1),
+            Event::ResourcesExhausted => self.starved(actions),
+            Event::ShutdownStarted => self.ending = true,
+            Event::HandoverStarted => {
                 self.passing = true;
                 // Its connections go on at the other process, also where that is known only by now.
                 self.ending = false;
-                actions.extend(self.resting().into_iter().map(Action::Pass));
+                actions.extend(self.resting().into_iter().map(Action::HandOver));
             }
-            Event::NotPassing => self.passing = false,
-            Event::Part { most } => {
-                self.part = most.max(6);
+            Event::HandoverEnded => self.passing = false,
+            Event::DescriptorShare { max } => {
+                self.part = max.max(6);
                 self.total = self.whole();
             }
-            Event::NoneComes => self.none_comes(actions),
-            Event::LastCall => {
+            Event::AcceptingStopped => self.none_comes(actions),
+            Event::ShutdownImminent => {
                 // What rests is on its way to the other process, where there is one.
                 if !self.passing {
                     self.none_comes(actions);
@@ -241,17 +241,17 @@
     }
 
     /// Descriptors that clients and servers use together, and the most they may.
-    pub fn used(&self) -> (usize, usize) {
+    pub fn descriptor_usage(&self) -> (usize, usize) {
         (self.counts.open() + self.servers, self.shares.total)
     }
 
     /// Bytes that connections are counted with, and the most that may be promised.
-    pub fn memory(&self) -> (u64, u64) {
+    pub fn memory_usage(&self) -> (u64, u64) {
         (self.memory, self.shares.memory)
     }
 
     /// Entries in the table of peers.
-    pub fn peers(&self) -> usize {
+    pub fn peer_count(&self) -> usize {
         self.peers.len()
     }
 
@@ -280,7 +280,7 @@
     }
 
     fn serving(&self) -> usize {
-        self.counts.open() - self.counts.of(State::Closing) - self.lobby
+        self.counts.open() - self.counts.in_state(State::Closing) - self.lobby
     }
 
     /// Connections that clients can be expected to hold open here.
@@ -301,7 +301,7 @@
             room = false;
         } else if !room {
             if self.servers > self.shares.servers && self.settings.adaptive {
-                actions.push(Action::CloseServer);
+                actions.push(Action::CloseServerConnection);
             }
             if let Some(victim) = self.victim(Some(peer), RANK_BODY) {
                 self.shed(victim, Reason::Shed, actions);
@@ -365,10 +365,10 @@
         let (silent, sending) = (part(self.settings.silent_share), part(self.settings.sending_share));
         loop {
             let over = match () {
-                () if self.counts.of(State::Silent) > silent => {
+                () if self.counts.in_state(State::Silent) > silent => {
                     first_in(&self.candidates, RANK_SILENT, RANK_IDLE)
                 }
-                () if self.counts.of(State::Head) + self.counts.of(State::Body) > sending => {
+                () if self.counts.in_state(State::Head) + self.counts.in_state(State::Body) > sending => {
                     self.half_sent(&self.candidates, RANK_BODY)
                 }
                 () => None,
@@ -503,7 +503,7 @@
 
     /// Keeps those that are closing within their share.
     fn trim_closing(&mut self, actions: &mut Vec<Action>) {
-        while self.counts.of(State::Closing) > self.shares.lobby {
+        while self.counts.in_state(State::Closing) > self.shares.lobby {
             let Some((_, oldest)) = self.lingering.first().copied() else { return };
             self.abort(oldest, Reason::Lingered, actions);
         }
@@ -566,7 +566,9 @@
     }
 
     fn answer(&mut self, id: ConnId, bytes: u64, more: bool) -> Verdict {
-        let Some(conn) = self.conns.get(&id).filter(|conn| !conn.gone) else { return Verdict::Last };
+        let Some(conn) = self.conns.get(&id).filter(|conn| !conn.gone) else {
+            return Verdict::CloseAfterResponse;
+        };
         let crowds = self.over_fair_share(conn.peer);
         let ends = conn.last || self.ending || crowds;
         let worthless = !ends && !more && self.is_worthless(id);
@@ -580,9 +582,9 @@
         let conn = self.conns.get_mut(&id).expect("known");
         conn.last = !keep;
         if keep {
-            Verdict::Keep
+            Verdict::KeepAlive
         } else {
-            Verdict::Last
+            Verdict::CloseAfterResponse
         }
     }
 
@@ -644,7 +646,7 @@
         self.enter(id, next);
         self.charge(id, 0);
         if self.passing && next == State::Idle {
-            actions.push(Action::Pass(id));
+            actions.push(Action::HandOver(id));
         }
     }
 
@@ -752,11 +754,11 @@
             State::New => Some(conn.since + s.coming),
             State::Silent => Some((conn.start + silent).max(conn.since)),
             State::Head => {
-                Some((conn.since + s.head.allowed(conn.bytes)).min(conn.start + s.head.most).max(conn.since))
+                Some((conn.since + s.head.allowed(conn.bytes)).min(conn.start + s.head.max).max(conn.since))
             }
             State::Body if conn.long => self.long_due(conn, &s.body),
             State::Body => {
-                let due = (conn.since + s.body.allowed(conn.bytes)).min(conn.start + s.body.most);
+                let due = (conn.since + s.body.allowed(conn.bytes)).min(conn.start + s.body.max);
                 // A head that came late leaves its body a moment.
                 Some(due.max(conn.since + s.linger))
             }
@@ -770,7 +772,7 @@
     }
 
     /// No time that its client is given grows without bound where nothing moves, and none ends where all is in pace.
-    fn long_due(&self, conn: &Conn, pace: &Pace) -> Option<Duration> {
+    fn long_due(&self, conn: &Conn, pace: &TransferTimeout) -> Option<Duration> {
         conn.waits.is_none().then(|| conn.since + conn.waited + pace.allowed_long(conn.bytes))
     }
 
@@ -780,10 +782,10 @@
         self.progress(id, self.conns[&id].state, 0);
     }
 
-    fn waits(&mut self, id: ConnId, waits: bool) {
+    fn transfer_suspended(&mut self, id: ConnId, suspended: bool) {
         let now = self.now;
         let Some(conn) = self.conns.get_mut(&id).filter(|conn| conn.long && !conn.gone) else { return };
-        match (waits, conn.waits) {
+        match (suspended, conn.waits) {
             (true, None) => conn.waits = Some(now),
             (false, Some(since)) => {
                 conn.waited += now - since;
@@ -901,7 +903,7 @@
         };
         let rested = self.now >= self.level_since + s.dwell;
         if level > self.level || level < self.level && rested {
-            actions.push(Action::Level { from: self.level, to: level });
+            actions.push(Action::LevelChanged { from: self.level, to: level });
             let rises = level > self.level;
             (self.level, self.level_since) = (level, self.now);
             if rises {
@@ -945,7 +947,7 @@
             }
         }
         if self.servers > 0 {
-            actions.push(Action::CloseServer);
+            actions.push(Action::CloseServerConnection);
         }
     }
 
--- a/crates/spurdrum-admission/src/counts.rs
+++ b/crates/spurdrum-admission/src/counts.rs
@@ -34,11 +34,11 @@
 }
 
 /// How many reasons there are.
-pub const REASONS: usize = 12;
+pub const REASON_COUNT: usize = 12;
 /// How many states there are.
-pub const STATES: usize = 8;
+pub const STATE_COUNT: usize = 8;
 
-const REASON_NAMES: [&str; REASONS] = [
+const REASON_NAMES: [&str; REASON_COUNT] = [
     "silent",
     "slow_head",
     "slow_body",
@@ -52,24 +52,24 @@
     "starved",
     "ending",
 ];
-const STATE_NAMES: [&str; STATES] =
+const STATE_NAMES: [&str; STATE_COUNT] =
     ["new", "silent", "head", "body", "waiting", "writing", "idle", "closing"];
 
 /// Connections by state now, and closings by reason since the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    pub(crate) states: [usize; STATES],
-    pub(crate) reasons: [u64; REASONS],
+    pub(crate) states: [usize; STATE_COUNT],
+    pub(crate) reasons: [u64; REASON_COUNT],
 }
 
 impl Counts {
     /// Connections in a state.
-    pub fn of(&self, state: State) -> usize {
+    pub fn in_state(&self, state: State) -> usize {
         self.states[state as usize]
     }
 
     /// Closings and refusals for a reason.
-    pub fn by(&self, reason: Reason) -> u64 {
+    pub fn for_reason(&self, reason: Reason) -> u64 {
         self.reasons[reason as usize]
     }
 
--- a/crates/spurdrum-admission/src/lib.rs
+++ b/crates/spurdrum-admission/src/lib.rs
@@ -40,8 +40,8 @@
 use std::time::Duration;
 
 pub use admission::Admission;
-pub use counts::{Counts, Reason, REASONS, STATES};
-pub use settings::{Pace, Settings};
+pub use counts::{Counts, Reason, REASON_COUNT, STATE_COUNT};
+pub use settings::{Settings, TransferTimeout};
 
 /// A connection, as the front calls it. Not used again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -95,48 +95,48 @@
         bytes: u64,
     },
     /// A request's head is whole. Verdict: `Serve` or `Refuse`.
-    Head {
+    HeadComplete {
         /// The connection.
         id: ConnId,
         /// The body's length, or the most that it may have.
         body: u64,
     },
     /// The body that is coming, or the answer that is going, is longer than is held: its pace alone bounds its time.
-    Long {
+    Streaming {
         /// The connection.
         id: ConnId,
     },
     /// Nothing is read of a long body, as there is no room, or a long answer's source has nothing: that time is not the
     /// client's; or it goes on.
-    Waits {
+    TransferSuspended {
         /// The connection.
         id: ConnId,
         /// Whether it waits.
-        waits: bool,
+        suspended: bool,
     },
     /// The request is whole: it is owed its answer from now on.
-    Taken {
+    RequestComplete {
         /// The connection.
         id: ConnId,
     },
     /// The answer is known. Verdict: `Keep`, or `Last` where it is to say that the connection ends with it.
-    Answer {
+    ResponseReady {
         /// The connection.
         id: ConnId,
         /// The answer's length.
         bytes: u64,
         /// Whether something of a next request has come already.
-        more: bool,
+        pipelined: bool,
     },
     /// Bytes of the answer have been written.
-    Sent {
+    ResponseProgress {
         /// The connection.
         id: ConnId,
         /// How many.
         bytes: u64,
     },
     /// The last byte of the answer has been written.
-    Written {
+    ResponseWritten {
         /// The connection.
         id: ConnId,
     },
@@ -151,26 +151,26 @@
         id: ConnId,
     },
     /// A connection to a server is wanted. Verdict: `Serve`, counted as open from then on, or `Refuse`.
-    ServerWanted,
+    ServerConnectionRequested,
     /// A connection to a server is closed.
-    ServerClosed,
+    ServerConnectionClosed,
     /// The system had no descriptor, or no memory, for one more socket.
-    Starved,
+    ResourcesExhausted,
     /// The node is ending: each answer is its connection's last.
-    Ending,
+    ShutdownStarted,
     /// Another process takes over: what rests between two requests is passed on to it, and no answer ends its connection any more.
-    Passing,
+    HandoverStarted,
     /// There is none to pass to any more.
-    NotPassing,
+    HandoverEnded,
     /// Clients and servers together may hold so many descriptors: another process of this node holds the rest.
-    Part {
+    DescriptorShare {
         /// So many.
-        most: usize,
+        max: usize,
     },
     /// The node is ending and none comes any more: what owes nothing is closed.
-    NoneComes,
+    AcceptingStopped,
     /// The node ends in a moment: what has not been taken by now is answered or closed.
-    LastCall,
+    ShutdownImminent,
     /// The time that [`Admission::next_wake`] told has come.
     Tick,
 }
@@ -187,9 +187,9 @@
     /// Close it now: there is not even a place to refuse it from.
     Drop,
     /// The connection may ask again.
-    Keep,
+    KeepAlive,
     /// The answer says that the connection ends.
-    Last,
+    CloseAfterResponse,
 }
 
 /// What the front is to do.
@@ -198,15 +198,15 @@
     /// Half-close it, unless something has come: then that is read and answered, as the last request.
     Close(ConnId),
     /// Pass it on to the process that takes over, unless something has come.
-    Pass(ConnId),
+    HandOver(ConnId),
     /// Answer what is half sent, 408 for one that is too slow and 503 for one that makes room or that the end cuts off; then close.
     Expire(ConnId, Reason),
     /// Close it at once, whatever is unsent.
     Abort(ConnId, Reason),
     /// Close the connection to a server that has stood idle longest.
-    CloseServer,
+    CloseServerConnection,
     /// The level has changed: operators want to see it.
-    Level {
+    LevelChanged {
         /// It was this.
         from: Level,
         /// It is this.
--- a/crates/spurdrum-admission/src/settings.rs
+++ b/crates/spurdrum-admission/src/settings.rs
@@ -48,11 +48,11 @@
     /// A connection may stay idle after an answer for so long.
     pub idle: Duration,
     /// Time for a head, and how it grows and ends.
-    pub head: Pace,
+    pub head: TransferTimeout,
     /// Time for a body.
-    pub body: Pace,
+    pub body: TransferTimeout,
     /// Time for a client to read an answer.
-    pub read: Pace,
+    pub read: TransferTimeout,
     /// A connection that has been half-closed waits so long for its client's end.
     pub linger: Duration,
     /// Peer addresses that are remembered.
@@ -65,24 +65,24 @@
 
 /// A time that grows with what comes: `first`, and a second more for every `rate` bytes, up to `most`.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Pace {
+pub struct TransferTimeout {
     /// Before anything has come.
-    pub first: Duration,
+    pub initial: Duration,
     /// Bytes a second that are enough after it.
-    pub rate: f64,
+    pub min_rate: f64,
     /// However fast it is.
-    pub most: Duration,
+    pub max: Duration,
 }
 
-impl Pace {
+impl TransferTimeout {
     /// For what is long: `most` is only for its beginning.
     pub(crate) fn allowed_long(&self, bytes: u64) -> Duration {
-        self.first + Duration::from_secs_f64((bytes as f64 / self.rate).min(1e9))
+        self.initial + Duration::from_secs_f64((bytes as f64 / self.min_rate).min(1e9))
     }
 
     pub(crate) fn allowed(&self, bytes: u64) -> Duration {
-        let more = bytes as f64 / self.rate;
-        (self.first + Duration::from_secs_f64(more.min(self.most.as_secs_f64()))).min(self.most)
+        let more = bytes as f64 / self.min_rate;
+        (self.initial + Duration::from_secs_f64(more.min(self.max.as_secs_f64()))).min(self.max)
     }
 }
 
@@ -109,9 +109,9 @@
             silent: ms(2500),
             silent_pressed: ms(500),
             idle: ms(5000),
-            head: Pace { first: ms(2500), rate: 4096.0, most: ms(3000) },
-            body: Pace { first: ms(1500), rate: 32_768.0, most: ms(5500) },
-            read: Pace { first: ms(1000), rate: 16_384.0, most: ms(6000) },
+            head: TransferTimeout { initial: ms(2500), min_rate: 4096.0, max: ms(3000) },
+            body: TransferTimeout { initial: ms(1500), min_rate: 32_768.0, max: ms(5500) },
+            read: TransferTimeout { initial: ms(1000), min_rate: 16_384.0, max: ms(6000) },
             linger: ms(500),
             peers: 4096,
             peer_prefix: 64,
@@ -163,8 +163,8 @@
             }
         }
         for (name, pace) in [("head", self.head), ("body", self.body), ("read", self.read)] {
-            let sound = !pace.first.is_zero() && pace.first <= pace.most && pace.rate >= 1.0;
-            if !sound || pace.most > Duration::from_secs(86_400) {
+            let sound = !pace.initial.is_zero() && pace.initial <= pace.max && pace.min_rate >= 1.0;
+            if !sound || pace.max > Duration::from_secs(86_400) {
                 return Err((name, "needs 0 < first_ms <= most_ms <= a day and rate >= 1".into()));
             }
         }
--- a/crates/spurdrum-admission/tests/properties.rs
+++ b/crates/spurdrum-admission/tests/properties.rs
@@ -43,13 +43,13 @@
     }
 
     fn check(&self) {
-        let (used, most) = self.admission.used();
+        let (used, most) = self.admission.descriptor_usage();
         assert!(used <= most.min(self.part), "{used} descriptors of {most} and {}", self.part);
-        let (memory, budget) = self.admission.memory();
+        let (memory, budget) = self.admission.memory_usage();
         assert!(memory <= budget + 70_000 * self.conns.len() as u64, "{memory} of {budget}");
         let counts = self.admission.counts();
         assert!(counts.open() <= self.conns.len());
-        assert!(self.admission.peers() <= 8 + counts.open());
+        assert!(self.admission.peer_count() <= 8 + counts.open());
     }
 
     fn carry_out(&mut self, action: Action) {
@@ -66,7 +66,7 @@
                     self.tell(Event::HalfClosed { id });
                 }
             }
-            Action::Pass(id) => {
+            Action::HandOver(id) => {
                 assert_eq!(self.conns[&id], At::Resting, "chosen to be passed on");
                 self.leave(id);
             }
@@ -75,8 +75,8 @@
                 assert!(matches!(at, At::Head | At::Body), "{at:?} expired");
                 self.conns.insert(id, At::HalfClosed);
                 if at == At::Body {
-                    self.tell(Event::Answer { id, bytes: 8, more: false });
-                    self.tell(Event::Written { id });
+                    self.tell(Event::ResponseReady { id, bytes: 8, pipelined: false });
+                    self.tell(Event::ResponseWritten { id });
                 }
                 self.tell(Event::HalfClosed { id });
             }
@@ -86,12 +86,12 @@
                 assert!(writing || at == At::HalfClosed, "{at:?} cut for {reason:?}");
                 self.tell(Event::Closed { id });
             }
-            Action::CloseServer => {
+            Action::CloseServerConnection => {
                 assert!(self.servers > 0);
                 self.servers -= 1;
-                self.tell(Event::ServerClosed);
+                self.tell(Event::ServerConnectionClosed);
             }
-            Action::Level { from, to } => assert_ne!(from, to),
+            Action::LevelChanged { from, to } => assert_ne!(from, to),
         }
     }
 
@@ -106,7 +106,8 @@
                 self.tell(Event::Received { id, bytes: 50 });
             }
             At::Head => {
-                let served = self.tell(Event::Head { id, body: u64::from(way) * 200 }) == Verdict::Serve;
+                let served =
+                    self.tell(Event::HeadComplete { id, body: u64::from(way) * 200 }) == Verdict::Serve;
                 let at = if served { At::Body } else { At::Owed };
                 self.conns.insert(id, at);
             }
@@ -115,21 +116,21 @@
             }
             At::Body => {
                 self.conns.insert(id, At::Owed);
-                self.tell(Event::Taken { id });
+                self.tell(Event::RequestComplete { id });
             }
             At::Owed => {
-                let more = way.is_multiple_of(5);
-                let last =
-                    self.tell(Event::Answer { id, bytes: u64::from(way) * 250, more }) == Verdict::Last;
-                assert!(!(last && more), "a request that has come is not cut off");
+                let pipelined = way.is_multiple_of(5);
+                let last = self.tell(Event::ResponseReady { id, bytes: u64::from(way) * 250, pipelined })
+                    == Verdict::CloseAfterResponse;
+                assert!(!(last && pipelined), "a request that has come is not cut off");
                 self.conns.insert(id, At::Writing(last));
             }
             At::Writing(_) if way.is_multiple_of(4) => {
-                self.tell(Event::Sent { id, bytes: 1000 });
+                self.tell(Event::ResponseProgress { id, bytes: 1000 });
             }
             At::Writing(last) => {
                 self.conns.insert(id, if last { At::HalfClosed } else { At::Resting });
-                self.tell(Event::Written { id });
+                self.tell(Event::ResponseWritten { id });
                 if last {
                     self.tell(Event::HalfClosed { id });
                 }
@@ -178,32 +179,32 @@
                 (5..=11, Some(id)) => front.go_on(id, way),
                 (12, Some(id)) => front.leave(id),
                 (13, _) if way % 3 == 0 => {
-                    front.tell(Event::Starved);
+                    front.tell(Event::ResourcesExhausted);
                 }
                 (13, _) if way == 2 => {
-                    front.tell(Event::Passing);
+                    front.tell(Event::HandoverStarted);
                     let resting = front.conns.values().filter(|at| **at == At::Resting).count();
                     let known = front.admission.counts();
-                    prop_assert_eq!(known.of(State::New) + known.of(State::Silent) + known.of(State::Idle), 0, "{}", resting);
+                    prop_assert_eq!(known.in_state(State::New) + known.in_state(State::Silent) + known.in_state(State::Idle), 0, "{}", resting);
                 }
                 (13, _) if way == 4 => {
-                    front.tell(Event::NotPassing);
+                    front.tell(Event::HandoverEnded);
                 }
                 (13, _) if (5..60).contains(&way) => {
-                    let most = front.admission.used().0.max(usize::from(way) * 2);
-                    front.tell(Event::Part { most });
-                    front.part = most.max(6);
+                    let max = front.admission.descriptor_usage().0.max(usize::from(way) * 2);
+                    front.tell(Event::DescriptorShare { max });
+                    front.part = max.max(6);
                 }
                 (13, _) if way == 1 => {
-                    front.tell(Event::Ending);
-                    front.tell(Event::NoneComes);
+                    front.tell(Event::ShutdownStarted);
+                    front.tell(Event::AcceptingStopped);
                 }
                 (13, _) if way == 7 => {
-                    front.tell(Event::Ending);
-                    front.tell(Event::LastCall);
+                    front.tell(Event::ShutdownStarted);
+                    front.tell(Event::ShutdownImminent);
                 }
                 (13 | 14, _) => {
-                    if front.tell(Event::ServerWanted) == Verdict::Serve {
+                    if front.tell(Event::ServerConnectionRequested) == Verdict::Serve {
                         front.servers += 1;
                     }
                 }
@@ -219,7 +220,7 @@
             }
         }
         prop_assert_eq!(front.admission.counts().open(), 0);
-        prop_assert_eq!(front.admission.memory().0, 0);
-        prop_assert_eq!(front.admission.used().0, front.servers);
+        prop_assert_eq!(front.admission.memory_usage().0, 0);
+        prop_assert_eq!(front.admission.descriptor_usage().0, front.servers);
     }
 }
--- a/crates/spurdrum-admission/tests/world.rs
+++ b/crates/spurdrum-admission/tests/world.rs
@@ -131,7 +131,7 @@
     fn tell(&mut self, event: Event) -> Verdict {
         let mut actions = Vec::new();
         let verdict = self.admission.handle(self.now, event, &mut actions);
-        let (used, most) = self.admission.used();
+        let (used, most) = self.admission.descriptor_usage();
         assert!(used <= most, "{used} descriptors of {most}");
         self.most_open = self.most_open.max(self.admission.counts().open());
         for action in actions {
@@ -151,18 +151,18 @@
             }
             Action::Expire(id, _) => {
                 if self.admission.state(id) == Some(State::Waiting) {
-                    self.tell(Event::Answer { id, bytes: 10, more: false });
-                    self.tell(Event::Written { id });
+                    self.tell(Event::ResponseReady { id, bytes: 10, pipelined: false });
+                    self.tell(Event::ResponseWritten { id });
                 }
                 self.turned[self.conns[&id].kind] += 1;
                 self.tell(Event::HalfClosed { id });
                 self.gone(id);
             }
-            Action::Abort(id, _) | Action::Pass(id) => self.gone(id),
-            Action::CloseServer => {
-                self.tell(Event::ServerClosed);
+            Action::Abort(id, _) | Action::HandOver(id) => self.gone(id),
+            Action::CloseServerConnection => {
+                self.tell(Event::ServerConnectionClosed);
             }
-            Action::Level { to, .. } => self.levels.push((self.now, to)),
+            Action::LevelChanged { to, .. } => self.levels.push((self.now, to)),
         }
     }
 
@@ -222,17 +222,17 @@
                 sim.body = if kind.drips { 1000 } else { 0 };
                 let body = u64::from(sim.body);
                 self.tell(Event::Received { id, bytes: 300 });
-                if self.tell(Event::Head { id, body }) == Verdict::Refuse {
+                if self.tell(Event::HeadComplete { id, body }) == Verdict::Refuse {
                     self.turned[self.conns[&id].kind] += 1;
-                    self.tell(Event::Answer { id, bytes: 10, more: false });
-                    self.tell(Event::Written { id });
+                    self.tell(Event::ResponseReady { id, bytes: 10, pipelined: false });
+                    self.tell(Event::ResponseWritten { id });
                     self.tell(Event::HalfClosed { id });
                     return self.gone(id);
                 }
                 if kind.drips {
                     return self.at(SECOND, Step::BodyByte(id));
                 }
-                self.tell(Event::Taken { id });
+                self.tell(Event::RequestComplete { id });
                 self.at(self.service, Step::Answer(id));
             }
             Step::BodyByte(id) => {
@@ -242,18 +242,19 @@
                 }
             }
             Step::Answer(id) => {
-                let last = self.tell(Event::Answer { id, bytes: 65_536, more: false }) == Verdict::Last;
+                let last = self.tell(Event::ResponseReady { id, bytes: 65_536, pipelined: false })
+                    == Verdict::CloseAfterResponse;
                 let sim = self.conns.get_mut(&id).expect("a taken request is answered on its connection");
                 sim.last = last;
                 let kind = self.kinds[sim.kind];
                 if kind.deaf {
-                    self.tell(Event::Sent { id, bytes: 4096 });
+                    self.tell(Event::ResponseProgress { id, bytes: 4096 });
                 } else {
                     self.at(MS, Step::ReadAll(id));
                 }
             }
             Step::ReadAll(id) => {
-                self.tell(Event::Written { id });
+                self.tell(Event::ResponseWritten { id });
                 let sim = &self.conns[&id];
                 self.served[sim.kind] += 1;
                 let kind = self.kinds[sim.kind];
@@ -271,7 +272,7 @@
     }
 
     fn closed(&self, reason: Reason) -> u64 {
-        self.admission.counts().by(reason)
+        self.admission.counts().for_reason(reason)
     }
 }
 
@@ -403,7 +404,7 @@
     world.run(60 * SECOND);
     assert!(world.closed(Reason::SlowRead) > 500);
     // Each may hold its 64 KiB for 1 s, and 0.25 s more for the 4 KiB that it read.
-    assert!(world.admission.memory().0 < 20 * 90_000, "{:?}", world.admission.memory());
+    assert!(world.admission.memory_usage().0 < 20 * 90_000, "{:?}", world.admission.memory_usage());
     assert_eq!((world.connects[1], world.turned[1]), (1, 0));
 }
 
@@ -435,12 +436,12 @@
     let mut world = World::new(settings.clone(), LIMITS, vec![silent()]);
     (0..150).for_each(|_| world.at(Duration::ZERO, Step::Connect(0)));
     world.run(SECOND / 2);
-    let n = world.admission.counts().of(State::Silent);
+    let n = world.admission.counts().in_state(State::Silent);
     assert!(n > most / 6 && n <= most / 4, "{n} of {most} say nothing");
     let mut world = World::new(settings, LIMITS, vec![Kind { drips: true, ..once(SECOND) }]);
     (0..220).for_each(|_| world.at(Duration::ZERO, Step::Connect(0)));
     world.run(SECOND);
-    let n = world.admission.counts().of(State::Body);
+    let n = world.admission.counts().in_state(State::Body);
     assert!(n > most / 2 && n <= most * 3 / 4, "{n} of {most} are half sent");
 }
 
@@ -450,7 +451,7 @@
     let mut world = World::new(Settings::default(), limits, vec![Kind { drips: true, ..once(SECOND) }]);
     (0..2000).for_each(|n| world.at(MS * n / 10, Step::Connect(0)));
     world.run(SECOND);
-    let (used, most) = world.admission.memory();
+    let (used, most) = world.admission.memory_usage();
     assert!(used <= most, "{used} of {most}");
     assert!(world.closed(Reason::Refused) + world.closed(Reason::Dropped) > 1000);
 }
@@ -469,15 +470,17 @@
     // Servers want their share: each gets its place, and clients' idle connections go for it.
     let mut refused = 0;
     for _ in 0..154 {
-        refused += u32::from(world.tell(Event::ServerWanted) == Verdict::Refuse);
+        refused += u32::from(world.tell(Event::ServerConnectionRequested) == Verdict::Refuse);
         world.now += MS;
     }
     assert_eq!(refused, 0);
-    let more = (0..400).take_while(|_| world.tell(Event::ServerWanted) == Verdict::Serve).count();
+    let more =
+        (0..400).take_while(|_| world.tell(Event::ServerConnectionRequested) == Verdict::Serve).count();
     assert!(154 + more < 300, "what is the clients' whatever happens stays theirs, {more}");
     // And the reverse.
     let mut world = World::new(Settings::default(), LIMITS, vec![once(SECOND)]);
-    let lent = (0..400).take_while(|_| world.tell(Event::ServerWanted) == Verdict::Serve).count();
+    let lent =
+        (0..400).take_while(|_| world.tell(Event::ServerConnectionRequested) == Verdict::Serve).count();
     assert!(lent > 154 && lent < 300, "{lent}");
     (0..150).for_each(|n| world.at(MS * n, Step::Connect(0)));
     world.run(SECOND);
@@ -490,7 +493,7 @@
     (0..60).for_each(|n| world.at(MS * n, Step::Connect(0)));
     world.run(SECOND);
     let before = world.admission.client_limit();
-    world.tell(Event::Starved);
+    world.tell(Event::ResourcesExhausted);
     assert!(world.admission.client_limit() < 60);
     assert_eq!(world.closed(Reason::Starved), 1, "the first in the order makes room");
     world.run(30 * SECOND);
@@ -503,9 +506,9 @@
     (0..30).for_each(|n| (0..3).for_each(|kind| world.at(MS * (n + kind as u32), Step::Connect(kind))));
     world.kinds[1].again = None;
     world.run(SECOND);
-    world.tell(Event::Ending);
+    world.tell(Event::ShutdownStarted);
     world.run(SECOND + 200 * MS);
-    world.tell(Event::NoneComes);
+    world.tell(Event::AcceptingStopped);
     world.run(SECOND + 400 * MS);
     assert_eq!(world.admission.counts().open(), 0, "{}", world.admission.counts());
 }
@@ -525,12 +528,12 @@
         tell(Event::Received { id, bytes: 20 }, &mut actions);
     }
     for id in [body, taken] {
-        tell(Event::Head { id, body: 100 }, &mut actions);
+        tell(Event::HeadComplete { id, body: 100 }, &mut actions);
     }
-    tell(Event::Taken { id: taken }, &mut actions);
-    tell(Event::Ending, &mut actions);
+    tell(Event::RequestComplete { id: taken }, &mut actions);
+    tell(Event::ShutdownStarted, &mut actions);
     assert!(actions.is_empty(), "{actions:?}");
-    tell(Event::LastCall, &mut actions);
+    tell(Event::ShutdownImminent, &mut actions);
     let expired = |id| Action::Expire(id, Reason::Ending);
     assert_eq!(actions, [Action::Close(resting), expired(head), expired(body)]);
 }
@@ -545,9 +548,9 @@
     tell(Event::Accepted { id: resting, peer: peer(1) });
     tell(Event::Accepted { id: head, peer: peer(1) });
     tell(Event::Received { id: head, bytes: 20 });
-    tell(Event::Passing);
-    tell(Event::LastCall);
-    assert_eq!(actions, [Action::Pass(resting), Action::Expire(head, Reason::Ending)]);
+    tell(Event::HandoverStarted);
+    tell(Event::ShutdownImminent);
+    assert_eq!(actions, [Action::HandOver(resting), Action::Expire(head, Reason::Ending)]);
 }
 
 /// That another process takes over may be known only once the node is ending.
@@ -559,13 +562,13 @@
     let mut tell = |event| admission.handle(SECOND, event, &mut actions);
     tell(Event::Accepted { id, peer: peer(1) });
     tell(Event::Received { id, bytes: 20 });
-    tell(Event::Head { id, body: 0 });
-    tell(Event::Taken { id });
-    tell(Event::Ending);
-    tell(Event::Passing);
-    assert_eq!(tell(Event::Answer { id, bytes: 4, more: false }), Verdict::Keep);
-    tell(Event::Written { id });
-    assert_eq!(actions, [Action::Pass(id)]);
+    tell(Event::HeadComplete { id, body: 0 });
+    tell(Event::RequestComplete { id });
+    tell(Event::ShutdownStarted);
+    tell(Event::HandoverStarted);
+    assert_eq!(tell(Event::ResponseReady { id, bytes: 4, pipelined: false }), Verdict::KeepAlive);
+    tell(Event::ResponseWritten { id });
+    assert_eq!(actions, [Action::HandOver(id)]);
 }
 
 #[test]
@@ -579,7 +582,7 @@
         assert!(world.admission.counts().open() > 0);
         if sockets >= 32 {
             assert!(world.most_open < sockets, "{} of {sockets}", world.most_open);
-            assert_eq!(world.tell(Event::ServerWanted), Verdict::Serve, "{sockets}");
+            assert_eq!(world.tell(Event::ServerConnectionRequested), Verdict::Serve, "{sockets}");
         }
         world.run(5 * SECOND);
         assert!(world.served[0] as usize >= (clients / 3).min(2), "{sockets}: {}", world.served[0]);
--- a/crates/spurdrum-core/src/connections.rs
+++ b/crates/spurdrum-core/src/connections.rs
@@ -13,18 +13,18 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-use crate::pause::{sleep_and_read_first, Attention};
+use crate::pause::{sleep_and_catch_up, PauseAdjustedClock};
 
 /// While the level is not calm, the log says how things stand this often.
 const REPORT_EVERY: Duration = Duration::from_secs(10);
 
 /// What a connection's task has been told to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum ConnectionCommand {
     /// Half-close, unless something has come.
     Close,
     /// Pass it on to the process that takes over, unless something has come.
-    Pass,
+    HandOver,
     /// Answer what is half sent, then close.
     Expire(Reason),
     /// Close at once.
@@ -32,25 +32,25 @@
 }
 
 /// A connection as its own task and this module share it.
-pub struct Seat {
+pub struct ConnectionPermit {
     /// What the decisions call it.
     pub id: ConnId,
     /// Where it comes from.
     pub peer: IpAddr,
     connections: Rc<Connections>,
-    order: Cell<Option<Order>>,
+    order: Cell<Option<ConnectionCommand>>,
     /// Raised with an order.
-    pub ordered: Notify,
+    pub command_ready: Notify,
     /// Whether the body of a request is being read now: an expiry is then that reader's to answer.
     pub reading_body: Cell<bool>,
     /// Raised for the body's reader.
     body_late: Notify,
 }
 
-impl Seat {
+impl ConnectionPermit {
     /// Tells the decisions what has happened to it.
-    pub fn tell(&self, event: Event) -> Verdict {
-        self.connections.tell(event)
+    pub fn handle_event(&self, event: Event) -> Verdict {
+        self.connections.handle_event(event)
     }
 
     /// Waits until the body that is being read has had its time.
@@ -58,14 +58,14 @@
         loop {
             self.body_late.notified().await;
             // Guards against an expiry that came just as an earlier body was whole.
-            if let Some(Order::Expire(reason)) = self.take_order() {
+            if let Some(ConnectionCommand::Expire(reason)) = self.take_command() {
                 return reason;
             }
         }
     }
 
     /// The order that has come, once.
-    pub fn take_order(&self) -> Option<Order> {
+    pub fn take_command(&self) -> Option<ConnectionCommand> {
         self.order.take()
     }
 
@@ -75,10 +75,10 @@
     }
 }
 
-impl Drop for Seat {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         self.connections.seats.borrow_mut().remove(&self.id);
-        self.tell(Event::Closed { id: self.id });
+        self.handle_event(Event::Closed { id: self.id });
     }
 }
 
@@ -86,16 +86,16 @@
 pub struct Connections {
     admission: RefCell<Admission>,
     /// Clients are not judged by what they did while this process stood still.
-    attention: Rc<Attention>,
-    seats: RefCell<HashMap<ConnId, std::rc::Weak<Seat>>>,
+    attention: Rc<PauseAdjustedClock>,
+    seats: RefCell<HashMap<ConnId, std::rc::Weak<ConnectionPermit>>>,
     last_id: Cell<u64>,
     /// Until when the timer sleeps.
     sleeps_until: Cell<Option<Duration>>,
     changed: Notify,
     /// Raised when a connection to a server is to be closed.
-    pub server_to_close: Notify,
+    pub server_close_requested: Notify,
     /// An answer that its client does not read is held for so long.
-    pub unread_most: Duration,
+    pub max_unread_time: Duration,
     /// What refusals for want of a place say.
     retry_after_ms: Cell<Option<f64>>,
     /// What it says at the most where settings allow it.
@@ -116,17 +116,17 @@
         retry_after_most_ms: Option<f64>,
     ) -> Result<Rc<Self>, (&'static str, String)> {
         let after = settings.retry_after.as_secs_f64() * 1000.0;
-        let unread_most = settings.read.most;
+        let max_unread_time = settings.read.max;
         let admission = Admission::new(settings, limits)?;
         Ok(Rc::new(Self {
             admission: RefCell::new(admission),
-            unread_most,
-            attention: Attention::new(),
+            max_unread_time,
+            attention: PauseAdjustedClock::new(),
             seats: RefCell::default(),
             last_id: Cell::new(0),
             sleeps_until: Cell::new(None),
             changed: Notify::new(),
-            server_to_close: Notify::new(),
+            server_close_requested: Notify::new(),
             retry_after_ms: Cell::new(retry_after_most_ms.map(|most| most.min(after))),
             retry_after_own_ms: after,
             reported: Cell::new(Instant::now()),
@@ -134,7 +134,7 @@
     }
 
     /// The clock by which this node judges others.
-    pub fn attention(&self) -> &Rc<Attention> {
+    pub fn clock(&self) -> &Rc<PauseAdjustedClock> {
         &self.attention
     }
 
@@ -144,22 +144,22 @@
     }
 
     /// Clients may be told to come back after so long at the latest, from now on.
-    pub fn set_retry_after_most(&self, most_ms: Option<f64>) {
+    pub fn set_max_retry_after(&self, most_ms: Option<f64>) {
         self.retry_after_ms.set(most_ms.map(|most| most.min(self.retry_after_own_ms)));
     }
 
     /// Tells the decisions what has happened, and carries out what they say.
-    pub fn tell(&self, event: Event) -> Verdict {
+    pub fn handle_event(&self, event: Event) -> Verdict {
         let mut actions = Vec::new();
         let verdict = self.admission.borrow_mut().handle(self.attention.now(), event, &mut actions);
         for action in actions {
             match action {
-                Action::Close(id) => self.order(id, Order::Close),
-                Action::Pass(id) => self.order(id, Order::Pass),
-                Action::Expire(id, reason) => self.order(id, Order::Expire(reason)),
-                Action::Abort(id, reason) => self.order(id, Order::Abort(reason)),
-                Action::CloseServer => self.server_to_close.notify_one(),
-                Action::Level { from, to } => self.report(&format!("level {from:?} -> {to:?}")),
+                Action::Close(id) => self.order(id, ConnectionCommand::Close),
+                Action::HandOver(id) => self.order(id, ConnectionCommand::HandOver),
+                Action::Expire(id, reason) => self.order(id, ConnectionCommand::Expire(reason)),
+                Action::Abort(id, reason) => self.order(id, ConnectionCommand::Abort(reason)),
+                Action::CloseServerConnection => self.server_close_requested.notify_one(),
+                Action::LevelChanged { from, to } => self.report(&format!("level {from:?} -> {to:?}")),
             }
         }
         let wake = self.admission.borrow().next_wake();
@@ -170,31 +170,31 @@
     }
 
     /// Descriptors in use, and the most that may be.
-    pub fn used(&self) -> (usize, usize) {
-        self.admission.borrow().used()
+    pub fn descriptor_usage(&self) -> (usize, usize) {
+        self.admission.borrow().descriptor_usage()
     }
 
-    fn order(&self, id: ConnId, order: Order) {
+    fn order(&self, id: ConnId, order: ConnectionCommand) {
         let Some(seat) = self.seats.borrow().get(&id).and_then(std::rc::Weak::upgrade) else { return };
         seat.order.set(Some(order));
-        let to_body = matches!(order, Order::Expire(_)) && seat.reading_body.get();
-        if to_body { &seat.body_late } else { &seat.ordered }.notify_one();
+        let to_body = matches!(order, ConnectionCommand::Expire(_)) && seat.reading_body.get();
+        if to_body { &seat.body_late } else { &seat.command_ready }.notify_one();
     }
 
     /// A connection has been accepted: its seat, and whether it can only be refused. `None` where there is not
     /// even a place for that.
-    pub fn accept(self: &Rc<Self>, peer: IpAddr) -> Option<Rc<Seat>> {
+    pub fn accept(self: &Rc<Self>, peer: IpAddr) -> Option<Rc<ConnectionPermit>> {
         let id = ConnId(self.last_id.get() + 1);
         self.last_id.set(id.0);
-        if self.tell(Event::Accepted { id, peer }) == Verdict::Drop {
+        if self.handle_event(Event::Accepted { id, peer }) == Verdict::Drop {
             return None;
         }
-        let seat = Rc::new(Seat {
+        let seat = Rc::new(ConnectionPermit {
             id,
             peer,
             connections: Rc::clone(self),
             order: Cell::new(None),
-            ordered: Notify::new(),
+            command_ready: Notify::new(),
             reading_body: Cell::new(false),
             body_late: Notify::new(),
         });
@@ -203,13 +203,13 @@
     }
 
     /// Client connections that are open.
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.seats.borrow().len()
     }
 
     /// Whether some have been told to close: their tasks need a turn to do so.
-    pub fn is_closing(&self) -> bool {
-        self.admission.borrow().counts().of(State::Closing) > 0
+    pub fn has_closing(&self) -> bool {
+        self.admission.borrow().counts().in_state(State::Closing) > 0
     }
 
     fn report(&self, what: &str) {
@@ -219,7 +219,7 @@
     }
 
     /// Wakes the decisions when they want it, for as long as the node runs.
-    pub async fn keep_time(self: Rc<Self>) {
+    pub async fn run_timer(self: Rc<Self>) {
         loop {
             let wake = self.admission.borrow().next_wake();
             self.sleeps_until.set(wake);
@@ -227,10 +227,10 @@
                 None => self.changed.notified().await,
                 Some(wake) => tokio::select! {
                     () = self.changed.notified() => continue,
-                    () = sleep_and_read_first(wake.saturating_sub(self.attention.now())) => {}
+                    () = sleep_and_catch_up(wake.saturating_sub(self.attention.now())) => {}
                 },
             }
-            self.tell(Event::Tick);
+            self.handle_event(Event::Tick);
             let pressed = self.admission.borrow().level() > Level::Calm;
             if pressed && self.reported.get().elapsed() >= REPORT_EVERY {
                 self.report("still pressed");
@@ -240,24 +240,24 @@
 }
 
 /// A place for a connection to a server, free again when it is dropped with its socket.
-pub struct ServerSlot(Rc<Connections>);
+pub struct ServerConnectionPermit(Rc<Connections>);
 
-impl ServerSlot {
+impl ServerConnectionPermit {
     /// Takes a place, where there is one.
-    pub fn take(connections: &Rc<Connections>) -> Option<Self> {
-        let granted = connections.tell(Event::ServerWanted) == Verdict::Serve;
+    pub fn acquire(connections: &Rc<Connections>) -> Option<Self> {
+        let granted = connections.handle_event(Event::ServerConnectionRequested) == Verdict::Serve;
         granted.then(|| Self(Rc::clone(connections)))
     }
 }
 
-impl Drop for ServerSlot {
+impl Drop for ServerConnectionPermit {
     fn drop(&mut self) {
-        self.0.tell(Event::ServerClosed);
+        self.0.handle_event(Event::ServerConnectionClosed);
     }
 }
 
 /// Whether an error says that the system has no descriptor or memory for one more socket.
-pub fn is_starved(error: &io::Error) -> bool {
+pub fn is_resource_exhausted(error: &io::Error) -> bool {
     use rustix::io::Errno;
     let starved = [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM];
     error.raw_os_error().is_some_and(|code| starved.iter().any(|errno| errno.raw_os_error() == code))
--- a/crates/spurdrum-core/src/figures.rs
+++ b/crates/spurdrum-core/src/figures.rs
@@ -18,11 +18,11 @@
 const FIRST_US: u64 = 500;
 
 /// Answers by their time: upper bounds in microseconds, and how many were at most that long and longer than the bound before.
-pub type Times = Vec<(u64, u64)>;
+pub type LatencyBuckets = Vec<(u64, u64)>;
 
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum RequestResult {
     /// Served.
     Success,
     /// Refused.
@@ -44,7 +44,7 @@
 
 /// The counts of one process, from zero at its start.
 #[derive(Debug, Default)]
-pub struct Figures {
+pub struct NodeMetrics {
     classes: RefCell<BTreeMap<String, ClassCounts>>,
     attempts: Cell<u64>,
     inflight: Cell<u64>,
@@ -58,7 +58,7 @@
     to.set(to.get() + 1);
 }
 
-impl Figures {
+impl NodeMetrics {
     /// With how long answers took, by class: some 20 kB each.
     #[must_use]
     pub fn with_latencies() -> Self {
@@ -66,7 +66,7 @@
     }
 
     /// A request of a class that is counted, which came then, has its answer.
-    pub fn took(&self, class: &str, came: Instant) {
+    pub fn record_latency(&self, class: &str, came: Instant) {
         let Some(latencies) = self.latencies.as_ref().filter(|_| self.classes.borrow().contains_key(class))
         else {
             return;
@@ -82,7 +82,7 @@
     }
 
     /// How long answers took, by class, where that is kept.
-    pub fn latencies(&self) -> Option<Vec<(String, Times)>> {
+    pub fn latencies(&self) -> Option<Vec<(String, LatencyBuckets)>> {
         let shown = |histogram: &Histogram<u32>| {
             let steps = histogram.iter_log(FIRST_US, STEP);
             let steps = steps.map(|step| (step.value_iterated_to(), step.count_since_last_iteration()));
@@ -93,7 +93,7 @@
     }
 
     /// Requests of these classes are counted from now on. Those that were counted keep their counts.
-    pub fn know<'a>(&self, classes: impl IntoIterator<Item = &'a String>) {
+    pub fn add_classes<'a>(&self, classes: impl IntoIterator<Item = &'a String>) {
         let mut counted = self.classes.borrow_mut();
         for class in classes {
             if counted.len() < CLASSES_MOST && !counted.contains_key(class) {
@@ -103,29 +103,29 @@
     }
 
     /// A request has had its final answer. One of an unknown class is not counted: clients could make up any number.
-    pub fn ended(&self, class: &str, fate: Fate) {
+    pub fn record_result(&self, class: &str, fate: RequestResult) {
         if let Some(counts) = self.classes.borrow_mut().get_mut(class) {
             *match fate {
-                Fate::Success => &mut counts.success,
-                Fate::Busy => &mut counts.busy,
-                Fate::Failure => &mut counts.failure,
+                RequestResult::Success => &mut counts.success,
+                RequestResult::Busy => &mut counts.busy,
+                RequestResult::Failure => &mut counts.failure,
             } += 1;
         }
     }
 
     /// An attempt has been written whole to a server.
-    pub fn attempt_written(&self) {
+    pub fn record_attempt(&self) {
         add(&self.attempts);
     }
 
     /// A request has been taken: it counts as open until what this gives is dropped.
-    pub fn open(self: &Rc<Self>) -> Open {
+    pub fn start_request(self: &Rc<Self>) -> InflightRequest {
         add(&self.inflight);
-        Open(Rc::clone(self))
+        InflightRequest(Rc::clone(self))
     }
 
     /// Settings have been read again, and hold or were turned down.
-    pub fn reconfigured(&self, taken: bool) {
+    pub fn record_reload(&self, taken: bool) {
         add(if taken { &self.reconfig_ok } else { &self.reconfig_failed });
     }
 
@@ -157,9 +157,9 @@
 
 /// A request that has been taken and has not ended.
 #[derive(Debug)]
-pub struct Open(Rc<Figures>);
+pub struct InflightRequest(Rc<NodeMetrics>);
 
-impl Drop for Open {
+impl Drop for InflightRequest {
     fn drop(&mut self) {
         self.0.inflight.set(self.0.inflight.get() - 1);
     }
--- a/crates/spurdrum-core/src/lib.rs
+++ b/crates/spurdrum-core/src/lib.rs
@@ -1,5 +1,5 @@
 //! One node without a protocol. A front turns what its clients ask into requests of a class, a tenant and a budget, and
-//! [takes](Node::take) them; the core owes each one final answer. The decisions of `spurdrum_policy`, which only the core
+//! [submits](Node::accept) them; the core owes each one final answer. The decisions of `spurdrum_policy`, which only the core
 //! calls, say where they go; a [`Transport`] carries each attempt out and tells how it ended. Neither a front nor a transport
 //! chooses, retries or refuses.
 //!
@@ -13,9 +13,13 @@
 mod transport;
 mod waiting;
 
-pub use connections::{is_starved, Connections, Order, Seat, ServerSlot};
-pub use figures::{ClassCounts, Fate, Figures, Open, Times};
-pub use node::{unix_ms, Answer, Config, Listed, Node, NotTaken, Sign};
-pub use passed::PassedConnection;
-pub use pause::{attentive_timeout, look_again, sleep_and_read_first, Attention, PauseWatch};
-pub use transport::{Asked, Cancellation, Reply, Transport};
+pub use connections::{
+    is_resource_exhausted, ConnectionCommand, ConnectionPermit, Connections, ServerConnectionPermit,
+};
+pub use figures::{ClassCounts, InflightRequest, LatencyBuckets, NodeMetrics, RequestResult};
+pub use node::{unix_ms, Answer, Config, ListEvidence, ListedServer, Node, NotAccepted};
+pub use passed::HandedOverConnection;
+pub use pause::{
+    catch_up_deadline, pause_adjusted_timeout, sleep_and_catch_up, PauseAdjustedClock, PauseDetector,
+};
+pub use transport::{Cancellation, Reply, Transport, TransportRequest};
--- a/crates/spurdrum-core/src/node.rs
+++ b/crates/spurdrum-core/src/node.rs
@@ -15,9 +15,9 @@
 use tokio::sync::oneshot;
 use tokio::time::{sleep, Instant};
 
-use crate::figures::Figures;
-use crate::pause::sleep_and_read_first;
-use crate::transport::{Asked, Cancellation, Reply, Transport};
+use crate::figures::NodeMetrics;
+use crate::pause::sleep_and_catch_up;
+use crate::transport::{Cancellation, Reply, Transport, TransportRequest};
 use crate::waiting::Line;
 use crate::Connections;
 
@@ -29,14 +29,14 @@
     /// What the decisions go by at first.
     pub settings: Settings,
     /// Requests that it may hold at once.
-    pub most_held: usize,
+    pub max_pending: usize,
     /// Idle connections to servers are looked at this often.
-    pub tidy_every: Duration,
+    pub idle_check_interval: Duration,
 }
 
 /// A server as a list has it.
 #[derive(Clone, Debug)]
-pub struct Listed {
+pub struct ListedServer {
     /// The same at every node.
     pub id: String,
     /// Where it listens, as seen from this node.
@@ -47,7 +47,7 @@
 
 /// What the servers show of the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sign {
+pub enum ListEvidence {
     /// A listed server cannot be reached.
     Unreachable(ServerId),
     /// A listed server turns work away.
@@ -56,7 +56,7 @@
         idle: bool,
     },
     /// The decisions took a server out.
-    TakenOut,
+    Ejected,
     /// A server says that it was started later than the list has it.
     Restarted,
 }
@@ -78,11 +78,11 @@
 }
 
 /// Why a request is not taken.
-pub enum NotTaken {
+pub enum NotAccepted {
     /// As many are held as may be.
     Full,
     /// One of the same id is held.
-    Known,
+    DuplicateId,
 }
 
 /// An attempt that is out.
@@ -111,7 +111,7 @@
 
     /// What its client calls it, as traces have it.
     fn shown(&self) -> String {
-        String::from_utf8_lossy(self.request.name().as_ref()).into_owned()
+        String::from_utf8_lossy(self.request.client_request_id().as_ref()).into_owned()
     }
 }
 
@@ -136,16 +136,16 @@
     /// Who holds the node's descriptors.
     pub connections: Rc<Connections>,
     /// What operators see of it.
-    pub figures: Rc<Figures>,
+    pub metrics: Rc<NodeMetrics>,
     transport: T,
     /// Hears what the servers show of the list.
-    signs: Box<dyn Fn(Sign)>,
+    signs: Box<dyn Fn(ListEvidence)>,
     balancer: RefCell<Balancer>,
     /// Which server keys are bound to, where that is on.
     affinity: Option<Rc<RefCell<Affinity>>>,
     requests: RefCell<HashMap<RequestId, Held<T>>>,
     /// What clients call them. Guards against two requests that servers would take for one.
-    names: RefCell<HashSet<<T::Request as Asked>::Name>>,
+    names: RefCell<HashSet<<T::Request as TransportRequest>::ClientRequestId>>,
     last_id: Cell<u64>,
     /// The numbers of the servers that are listed.
     ids: RefCell<HashMap<String, ServerId>>,
@@ -171,9 +171,9 @@
     pub fn new(
         config: Config,
         connections: Rc<Connections>,
-        figures: Rc<Figures>,
+        metrics: Rc<NodeMetrics>,
         transport: T,
-        signs: impl Fn(Sign) + 'static,
+        signs: impl Fn(ListEvidence) + 'static,
         affinity: Option<Rc<RefCell<Affinity>>>,
         trace: Option<Trace>,
     ) -> Result<Rc<Self>, String> {
@@ -181,11 +181,11 @@
             Balancer::new(config.settings.clone(), config.seed).map_err(|e| format!("`settings`: {e}"))?;
         let started_unix_ms = unix_ms()?;
         Ok(Rc::new(Self {
-            tidy_every: config.tidy_every,
+            tidy_every: config.idle_check_interval,
             settings: RefCell::new(Rc::new(config.settings)),
-            most_held: Cell::new(config.most_held),
+            most_held: Cell::new(config.max_pending),
             connections,
-            figures,
+            metrics,
             transport,
             signs: Box::new(signs),
             balancer: RefCell::new(balancer),
@@ -218,7 +218,7 @@
     }
 
     fn handle(self: &Rc<Self>, event: Event) {
-        let stood_still = self.connections.attention().stood_still();
+        let stood_still = self.connections.clock().total_pause();
         let pause = stood_still - self.told_stood_still.replace(stood_still);
         if !pause.is_zero() {
             self.decide(Event::Resumed { stood_still_ms: pause.as_secs_f64() * 1000.0 });
@@ -251,8 +251,8 @@
                 let (node, asked) = (Rc::clone(self), Rc::clone(&held.request));
                 tokio::task::spawn_local(async move {
                     let mut reply = node.transport.attempt(server, &asked, &cancellation).await;
-                    let took = reply.took.unwrap_or_else(|| begun.elapsed());
-                    if let Some(rest) = reply.rest.take() {
+                    let took = reply.server_time.unwrap_or_else(|| begun.elapsed());
+                    if let Some(rest) = reply.body_end.take() {
                         node.handle(Event::StreamStarted { request, attempt });
                         if let Some(body) = reply.body.take() {
                             node.answer(request, Answer::Served(body));
@@ -286,13 +286,13 @@
             Action::Subscribe => {}
             Action::TakenOut { server } => {
                 tracing::info!("server {} is taken out", self.shown(server));
-                (self.signs)(Sign::TakenOut);
+                (self.signs)(ListEvidence::Ejected);
             }
             Action::SetTimer { timer, after_ms } => {
                 let node = Rc::clone(self);
                 let after = Duration::try_from_secs_f64(after_ms / 1000.0).unwrap_or_default();
                 tokio::task::spawn_local(async move {
-                    sleep_and_read_first(after).await;
+                    sleep_and_catch_up(after).await;
                     node.handle(Event::Timer(timer));
                 });
             }
@@ -307,14 +307,14 @@
     }
 
     /// Other settings hold for what comes from now on; what is held keeps the rules it came under.
-    pub fn retune(self: &Rc<Self>, new: NewSettings, most_held: usize) {
+    pub fn reload(self: &Rc<Self>, new: NewSettings, most_held: usize) {
         self.settings.replace(Rc::new(new.settings.clone()));
         self.most_held.set(most_held);
         self.handle(Event::Settings(Box::new(new)));
     }
 
     /// What the decisions have learned, with the servers' ids.
-    pub fn learned(&self) -> (Vec<String>, Learned) {
+    pub fn learned_state(&self) -> (Vec<String>, Learned) {
         let mut learned = self.balancer.borrow().learned();
         let ids = self.ids.borrow();
         let names: HashMap<ServerId, &String> = ids.iter().map(|(id, server)| (*server, id)).collect();
@@ -323,7 +323,7 @@
     }
 
     /// Goes on from what another process of this node has learned, whose servers have these ids. For before the first request.
-    pub fn learn(self: &Rc<Self>, ids: &[String], mut learned: Learned) {
+    pub fn import_learned_state(self: &Rc<Self>, ids: &[String], mut learned: Learned) {
         let own = self.ids.borrow();
         let known = std::mem::take(&mut learned.servers).into_iter().zip(ids);
         learned.servers = known
@@ -340,13 +340,13 @@
 
     // ---- Requests
 
-    /// Requests wait until [`Node::serve`]: nothing confirms the list of servers yet.
-    pub fn wait_to_serve(&self) {
+    /// Requests wait until [`Node::start_serving`]: nothing confirms the list of servers yet.
+    pub fn queue_until_serving(&self) {
         self.line.replace(Some(Line::default()));
     }
 
     /// Requests that waited go on, and others as they come.
-    pub fn serve(self: &Rc<Self>) {
+    pub fn start_serving(self: &Rc<Self>) {
         let Some(mut line) = self.line.take() else { return };
         for request in line.release(Instant::now()) {
             self.handle(Event::Request(request));
@@ -365,7 +365,7 @@
         let Some(most) = line.as_mut().map(|line| line.join(request, Instant::now())) else { return };
         let node = Rc::clone(self);
         tokio::task::spawn_local(async move {
-            sleep_and_read_first(most).await;
+            sleep_and_catch_up(most).await;
             if node.leave_line(id) {
                 let (name, waited) = (node.name_of(id), most.as_secs_f64());
                 tracing::info!("request {name} refused, it waited {waited:.3} s for the list");
@@ -386,17 +386,17 @@
     }
 
     /// Takes a request, where that can be. The answer comes through `answer`.
-    pub fn take(
+    pub fn accept(
         self: &Rc<Self>,
         asked: T::Request,
         request: Request,
         answer: oneshot::Sender<Answer<T::Body>>,
-    ) -> Result<RequestId, NotTaken> {
+    ) -> Result<RequestId, NotAccepted> {
         if self.requests.borrow().len() >= self.most_held.get() {
-            return Err(NotTaken::Full);
+            return Err(NotAccepted::Full);
         }
-        if !self.names.borrow_mut().insert(asked.name().clone()) {
-            return Err(NotTaken::Known);
+        if !self.names.borrow_mut().insert(asked.client_request_id().clone()) {
+            return Err(NotAccepted::DuplicateId);
         }
         self.last_id.set(self.last_id.get() + 1);
         let id = RequestId(self.last_id.get());
@@ -442,17 +442,17 @@
     }
 
     /// Part of its body is gone for good: it cannot be sent again.
-    pub fn spent(self: &Rc<Self>, id: RequestId) {
+    pub fn mark_not_replayable(self: &Rc<Self>, id: RequestId) {
         self.handle(Event::Spent(id));
     }
 
     /// Requests that still wait for something.
-    pub fn held(&self) -> usize {
+    pub fn pending_requests(&self) -> usize {
         self.requests.borrow().len()
     }
 
     /// Servers in the list, and those of them that the decisions avoid now.
-    pub fn servers(&self) -> (usize, usize) {
+    pub fn server_counts(&self) -> (usize, usize) {
         (self.ids.borrow().len(), self.balancer.borrow().avoided(self.now()))
     }
 
@@ -487,20 +487,20 @@
             ask = held.request.affinity();
         }
         if let Some(affinity) = self.affinity.as_ref().filter(|_| reply.ending == Ending::Served) {
-            for ask in ask.into_iter().chain(reply.names.filter(|names| Some(*names) != ask)) {
+            for ask in ask.into_iter().chain(reply.affinity.filter(|names| Some(*names) != ask)) {
                 affinity.borrow_mut().served(self.now(), ask, server);
             }
         }
         let listed = self.starts.borrow().get(&server).copied();
         if listed.zip(reply.started_at).is_some_and(|(listed, said)| said > listed + SAME_START) {
-            (self.signs)(Sign::Restarted);
+            (self.signs)(ListEvidence::Restarted);
         }
         let waits = |report: Report| report.queued.or(report.in_flight);
         match reply.ending {
-            Ending::Unreachable => (self.signs)(Sign::Unreachable(server)),
+            Ending::Unreachable => (self.signs)(ListEvidence::Unreachable(server)),
             Ending::Full => {
                 let idle = reply.report.and_then(waits).is_some_and(|waits| waits < 1.0);
-                (self.signs)(Sign::Refused { idle });
+                (self.signs)(ListEvidence::Refused { idle });
             }
             _ => {}
         }
@@ -524,14 +524,14 @@
         let over = |held: &Held<T>| held.answer.is_none() && held.attempts.iter().all(Option::is_none);
         if requests.get(&id).is_some_and(over) {
             let held = requests.remove(&id).expect("found");
-            self.names.borrow_mut().remove(held.request.name());
+            self.names.borrow_mut().remove(held.request.client_request_id());
         }
     }
 
     // ---- The list of servers
 
     /// The whole list, or what changed in it.
-    pub fn listed(self: &Rc<Self>, complete: bool, servers: Vec<Listed>) {
+    pub fn update_servers(self: &Rc<Self>, complete: bool, servers: Vec<ListedServer>) {
         self.log_attempts_out_to(&self.leaving(complete, &servers));
         let entries = self.entries(complete, servers);
         let listing = if complete { Listing::Full(entries) } else { Listing::Changes(entries) };
@@ -539,13 +539,13 @@
     }
 
     /// The whole list as it was known in an earlier run.
-    pub fn known(self: &Rc<Self>, servers: Vec<Listed>) {
+    pub fn load_cached_servers(self: &Rc<Self>, servers: Vec<ListedServer>) {
         let entries = self.entries(true, servers);
         self.handle(Event::Servers(Listing::Cached(entries)));
     }
 
     /// The entries of a list, their servers numbered and their addresses noted.
-    fn entries(&self, complete: bool, servers: Vec<Listed>) -> Vec<ServerEntry> {
+    fn entries(&self, complete: bool, servers: Vec<ListedServer>) -> Vec<ServerEntry> {
         let mut bound = Vec::new();
         let mut ids = self.ids.borrow_mut();
         if complete {
@@ -554,14 +554,14 @@
                 let stays = listed.contains(id);
                 if !stays {
                     self.told(*server, id, Availability::Gone);
-                    self.transport.forget(*server);
+                    self.transport.remove_server(*server);
                     self.starts.borrow_mut().remove(server);
                 }
                 stays
             });
         }
         let mut entries = Vec::with_capacity(servers.len());
-        for Listed { id, address, mut entry } in servers {
+        for ListedServer { id, address, mut entry } in servers {
             // Numbers are not used again: what was sent to a server that has gone may end late.
             let next = ServerId(self.last_server.get() + 1);
             let number = *ids.entry(id.clone()).or_insert(next);
@@ -569,11 +569,11 @@
             self.told(number, &id, entry.availability);
             if entry.availability == Availability::Gone {
                 ids.remove(&id);
-                self.transport.forget(number);
+                self.transport.remove_server(number);
                 self.starts.borrow_mut().remove(&number);
             } else {
                 self.starts.borrow_mut().insert(number, entry.started_at.unwrap_or(0.0));
-                self.transport.list(number, address, entry.availability == Availability::Ready);
+                self.transport.set_server(number, address, entry.availability == Availability::Ready);
             }
             entry.server = number;
             if self.affinity.is_some() {
@@ -595,9 +595,9 @@
     }
 
     /// Listed servers that a list is about to tell to be draining or gone.
-    fn leaving(&self, complete: bool, servers: &[Listed]) -> Vec<ServerId> {
+    fn leaving(&self, complete: bool, servers: &[ListedServer]) -> Vec<ServerId> {
         let ids = self.ids.borrow();
-        let stays = |server: &&Listed| server.entry.availability == Availability::Ready;
+        let stays = |server: &&ListedServer| server.entry.availability == Availability::Ready;
         if complete {
             let staying: HashSet<&String> = servers.iter().filter(stays).map(|server| &server.id).collect();
             return ids.iter().filter(|(id, _)| !staying.contains(id)).map(|(_, server)| *server).collect();
@@ -647,15 +647,15 @@
     }
 
     /// Closes connections to servers whose places others need, for as long as the node runs.
-    pub async fn lend(self: Rc<Self>) {
+    pub async fn release_server_connections(self: Rc<Self>) {
         loop {
-            self.connections.server_to_close.notified().await;
-            self.transport.close_oldest();
+            self.connections.server_close_requested.notified().await;
+            self.transport.close_longest_idle();
         }
     }
 
     /// Closes connections to servers before the servers do, for as long as the node runs.
-    pub async fn reap(self: Rc<Self>) {
+    pub async fn close_idle_connections(self: Rc<Self>) {
         loop {
             sleep(self.tidy_every).await;
             self.transport.close_idle();
--- a/crates/spurdrum-core/src/passed.rs
+++ b/crates/spurdrum-core/src/passed.rs
@@ -4,7 +4,7 @@
 
 /// A client's connection that one process passes to the other.
 #[derive(Debug)]
-pub struct PassedConnection {
+pub struct HandedOverConnection {
     /// The socket.
     pub stream: TcpStream,
     /// What has been read from it and is still to be served: nothing, or a request that no server has been sent and what came
@@ -12,7 +12,7 @@
     pub read: Vec<u8>,
 }
 
-impl PassedConnection {
+impl HandedOverConnection {
     /// A connection of which nothing is left to be served but what its socket holds.
     #[must_use]
     pub fn idle(stream: TcpStream) -> Self {
--- a/crates/spurdrum-core/src/pause.rs
+++ b/crates/spurdrum-core/src/pause.rs
@@ -1,8 +1,8 @@
 //! Pauses of this process: times in which it stood still while the rest of the world went on, as on a machine that is busy, is
 //! suspended, or stops the process by a signal.
 //!
-//! What others said meanwhile lies unread when the process resumes. So a pause is nobody else's silence: [`Attention`] is a clock
-//! that leaves pauses out, for judging others by, and [`attentive_timeout`] bounds a wait by the time in which the process could
+//! What others said meanwhile lies unread when the process resumes. So a pause is nobody else's silence: [`PauseAdjustedClock`] is a clock
+//! that leaves pauses out, for judging others by, and [`pause_adjusted_timeout`] bounds a wait by the time in which the process could
 //! have noticed an answer. Promises to others (a client's deadline, the end of the process) go by the monotonic clock.
 
 use std::cell::{Cell, RefCell};
@@ -25,12 +25,12 @@
 
 /// Finds pauses by when the process was last seen to run. Pure: times are those since its start.
 #[derive(Debug, Default)]
-pub struct PauseWatch {
+pub struct PauseDetector {
     seen_at: Duration,
     stood_still: Duration,
 }
 
-impl PauseWatch {
+impl PauseDetector {
     /// The process runs at `now`. How long it stood still just before, where that was a pause.
     pub fn observe(&mut self, now: Duration) -> Option<Duration> {
         let unseen = now.saturating_sub(self.seen_at);
@@ -42,29 +42,29 @@
     }
 
     /// The time up to `now` without pauses. It does not run backwards.
-    pub fn attentive(&self, now: Duration) -> Duration {
+    pub fn running_time(&self, now: Duration) -> Duration {
         now.saturating_sub(self.stood_still)
     }
 
     /// All pauses together.
-    pub fn stood_still(&self) -> Duration {
+    pub fn total_pause(&self) -> Duration {
         self.stood_still
     }
 }
 
 /// The clock by which others are judged: it stands still while this process does.
 #[derive(Debug)]
-pub struct Attention {
+pub struct PauseAdjustedClock {
     started: Instant,
-    watch: RefCell<PauseWatch>,
+    watch: RefCell<PauseDetector>,
     /// When the last pause was seen to be over.
     resumed_at: Cell<Option<Instant>>,
     /// Whether somebody looks at the clock at each tick. Without that a quiet time cannot be told from a pause.
     is_kept: Cell<bool>,
 }
 
-impl Attention {
-    /// A clock that begins now. Until [`Attention::keep`] runs it finds no pause.
+impl PauseAdjustedClock {
+    /// A clock that begins now. Until [`PauseAdjustedClock::run`] runs it finds no pause.
     #[must_use]
     pub fn new() -> Rc<Self> {
         Rc::new(Self {
@@ -78,13 +78,13 @@
     /// Time since its start, without pauses.
     pub fn now(&self) -> Duration {
         let now = self.observe();
-        self.watch.borrow().attentive(now)
+        self.watch.borrow().running_time(now)
     }
 
     /// All pauses together, up to now.
-    pub fn stood_still(&self) -> Duration {
+    pub fn total_pause(&self) -> Duration {
         self.observe();
-        self.watch.borrow().stood_still()
+        self.watch.borrow().total_pause()
     }
 
     fn observe(&self) -> Duration {
@@ -115,7 +115,7 @@
     }
 
     /// Looks at the clock at each tick, for as long as the process runs.
-    pub async fn keep(self: Rc<Self>) {
+    pub async fn run(self: Rc<Self>) {
         self.watch.borrow_mut().seen_at = self.started.elapsed();
         self.is_kept.set(true);
         loop {
@@ -128,16 +128,16 @@
 /// Where a process that wakes now for what was due then stood still meanwhile: when to look again, once what has come is read.
 /// After a stop by a signal the event loop heeds its timers before its sockets.
 #[must_use]
-pub fn look_again(due: Instant) -> Option<Instant> {
+pub fn catch_up_deadline(due: Instant) -> Option<Instant> {
     let now = Instant::now();
     (now.saturating_duration_since(due) >= PAUSE_LEAST).then(|| now + READ_FIRST)
 }
 
 /// Sleeps, and where the process wakes late, a moment more: what has come meanwhile is read before what became due is judged.
-pub async fn sleep_and_read_first(most: Duration) {
+pub async fn sleep_and_catch_up(most: Duration) {
     let due = Instant::now() + most;
     sleep(most).await;
-    if let Some(again) = look_again(due) {
+    if let Some(again) = catch_up_deadline(due) {
         sleep_until(again).await;
     }
 }
@@ -180,7 +180,7 @@
 }
 
 /// Waits for `future`, up to `most` of the time in which this process runs, twice that with pauses. `None` where it has not come by then.
-pub async fn attentive_timeout<F: Future>(most: Duration, future: F) -> Option<F::Output> {
+pub async fn pause_adjusted_timeout<F: Future>(most: Duration, future: F) -> Option<F::Output> {
     let mut future = pin!(future);
     let mut patience = Patience::new(most);
     while let Some(step) = patience.next_step() {
--- a/crates/spurdrum-core/src/pause/tests.rs
+++ b/crates/spurdrum-core/src/pause/tests.rs
@@ -8,28 +8,28 @@
 
 #[test]
 fn a_look_that_comes_late_shows_a_pause_and_the_attentive_clock_leaves_it_out() {
-    let mut watch = PauseWatch::default();
+    let mut watch = PauseDetector::default();
     for at in (100..=1000).step_by(100) {
         assert_eq!(watch.observe(ms(at)), None);
     }
-    assert_eq!(watch.attentive(ms(1000)), ms(1000));
+    assert_eq!(watch.running_time(ms(1000)), ms(1000));
     assert_eq!(watch.observe(ms(2300)), Some(ms(1300)));
-    assert_eq!(watch.attentive(ms(2300)), ms(1000));
+    assert_eq!(watch.running_time(ms(2300)), ms(1000));
     assert_eq!(watch.observe(ms(2350)), None);
-    assert_eq!(watch.attentive(ms(2350)), ms(1050));
-    assert_eq!(watch.stood_still(), ms(1300));
+    assert_eq!(watch.running_time(ms(2350)), ms(1050));
+    assert_eq!(watch.total_pause(), ms(1300));
 }
 
 /// Guards against a clock that runs backwards, whatever pauses there are.
 #[test]
 fn the_attentive_clock_never_runs_backwards_nor_ahead() {
     let mut random = fastrand::Rng::with_seed(7);
-    let mut watch = PauseWatch::default();
+    let mut watch = PauseDetector::default();
     let (mut now, mut before) = (Duration::ZERO, Duration::ZERO);
     for _ in 0..10_000 {
         now += ms(random.u64(0..1500));
         watch.observe(now);
-        let attentive = watch.attentive(now);
+        let attentive = watch.running_time(now);
         assert!(attentive >= before && attentive <= now);
         before = attentive;
     }
--- a/crates/spurdrum-core/src/transport.rs
+++ b/crates/spurdrum-core/src/transport.rs
@@ -11,12 +11,12 @@
 use tokio::sync::{oneshot, Notify};
 
 /// A request as its transport sends it.
-pub trait Asked {
+pub trait TransportRequest {
     /// What the client calls it: no two of one name are held at once.
-    type Name: Clone + Eq + Hash + AsRef<[u8]>;
+    type ClientRequestId: Clone + Eq + Hash + AsRef<[u8]>;
 
     /// What the client calls it.
-    fn name(&self) -> &Self::Name;
+    fn client_request_id(&self) -> &Self::ClientRequestId;
 
     /// The key whose requests had better reach one server, where it has one.
     fn affinity(&self) -> Option<Ask> {
@@ -47,8 +47,8 @@
 impl Cancellation {
     /// The transport is about to write the first byte of the attempt. Whether it may; if so, the attempt counts as begun.
     #[must_use]
-    pub fn begin(&self) -> bool {
-        let may_begin = !self.is_raised();
+    pub fn try_begin(&self) -> bool {
+        let may_begin = !self.is_requested();
         self.has_begun.set(self.has_begun.get() || may_begin);
         may_begin
     }
@@ -77,7 +77,7 @@
     }
 
     /// Whether it is cancelled, at least unless it has begun.
-    pub fn is_raised(&self) -> bool {
+    pub fn is_requested(&self) -> bool {
         self.state.get() != Cancelled::No
     }
 
@@ -102,40 +102,48 @@
     /// When the server says that it was started, in Unix milliseconds.
     pub started_at: Option<f64>,
     /// The key that the server gives to requests that are to come back to it.
-    pub names: Option<Ask>,
+    pub affinity: Option<Ask>,
     /// The body, where it was served: all of it, or its beginning.
     pub body: Option<B>,
     /// How long the server took, where that is not the attempt's whole time.
-    pub took: Option<Duration>,
+    pub server_time: Option<Duration>,
     /// Where the body goes on: how it ends. The attempt is out until then.
-    pub rest: Option<oneshot::Receiver<Ending>>,
+    pub body_end: Option<oneshot::Receiver<Ending>>,
 }
 
 impl<B> Reply<B> {
     /// An end without an answer.
-    pub fn none(ending: Ending) -> Self {
-        Self { ending, report: None, started_at: None, names: None, body: None, took: None, rest: None }
+    pub fn without_body(ending: Ending) -> Self {
+        Self {
+            ending,
+            report: None,
+            started_at: None,
+            affinity: None,
+            body: None,
+            server_time: None,
+            body_end: None,
+        }
     }
 }
 
 /// Connections to servers of one protocol, and the attempts and probes that are made on them.
 pub trait Transport: 'static {
     /// What is sent.
-    type Request: Asked + 'static;
+    type Request: TransportRequest + 'static;
     /// What comes back.
     type Body: 'static;
 
     /// Notes a server of the list. Where it is not ready, nothing new goes to it from now on.
-    fn list(&self, server: ServerId, address: SocketAddr, ready: bool);
+    fn set_server(&self, server: ServerId, address: SocketAddr, ready: bool);
 
     /// A server is gone: what is out to it may end, and nothing new begins.
-    fn forget(&self, server: ServerId);
+    fn remove_server(&self, server: ServerId);
 
     /// Closes what has stood idle for so long that servers may soon close it.
     fn close_idle(&self);
 
     /// Closes the connection that stood idle longest. Whether there was one.
-    fn close_oldest(&self) -> bool;
+    fn close_longest_idle(&self) -> bool;
 
     /// One attempt of a request. When it is over, nothing of it is out any more, also where it was cancelled.
     fn attempt(
--- a/crates/spurdrum-handover/src/offer.rs
+++ b/crates/spurdrum-handover/src/offer.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use spurdrum_core::PassedConnection;
+use spurdrum_core::HandedOverConnection;
 use tokio::net::{UnixListener, UnixStream};
 use tokio::sync::{mpsc, Notify};
 use tokio::time::sleep;
@@ -109,7 +109,7 @@
     /// # Errors
     ///
     /// Returns the connection if there is no process that accepts it.
-    pub fn pass(&self, connection: PassedConnection) -> Result<(), PassedConnection> {
+    pub fn pass(&self, connection: HandedOverConnection) -> Result<(), HandedOverConnection> {
         if connection.has_request() && !self.passes_requests() {
             return Err(connection);
         }
@@ -117,7 +117,7 @@
         let queue = self.successor.get().and_then(|id| channels.get(&id)).filter(|queue| !queue.is_closed());
         let Some(queue) = queue else { return Err(connection) };
         self.unsent.set(self.unsent.get() + 1);
-        let PassedConnection { stream, read } = connection;
+        let HandedOverConnection { stream, read } = connection;
         let message = if read.is_empty() { Message::Connection } else { Message::Request { read } };
         // If the queue is closed after the check, the connection is lost with the incoming process, as are all that it holds.
         let _ = queue.send((message, Some(stream.into())));
--- a/crates/spurdrum-handover/src/takeover.rs
+++ b/crates/spurdrum-handover/src/takeover.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use spurdrum_core::{attentive_timeout, PassedConnection};
+use spurdrum_core::{pause_adjusted_timeout, HandedOverConnection};
 use tokio::net::UnixStream;
 
 use crate::channel::Channel;
@@ -21,7 +21,7 @@
     /// The outgoing process now keeps this many descriptors.
     OutgoingShare(usize),
     /// A client's connection.
-    Connection(PassedConnection),
+    Connection(HandedOverConnection),
     /// The outgoing process has gone.
     OutgoingGone,
 }
@@ -33,7 +33,7 @@
             IncomingAction::Share(share) => Some(Self::OutgoingShare(share)),
             IncomingAction::Serve(read) => {
                 let stream = descriptor.take().map(TcpStream::from);
-                stream.map(|stream| Self::Connection(PassedConnection { stream, read }))
+                stream.map(|stream| Self::Connection(HandedOverConnection { stream, read }))
             }
             IncomingAction::Alone => Some(Self::OutgoingGone),
             IncomingAction::Send(_) | IncomingAction::TakeOver { .. } | IncomingAction::StartAlone(_) => None,
@@ -61,7 +61,7 @@
     /// Why the takeover was not granted; this process then listens on a socket of its own.
     pub async fn request(path: &Path, identity: Identity) -> Result<Self, String> {
         // A pause of this process must not count as the other one's silence.
-        let granted = attentive_timeout(ANSWER_TIMEOUT, Self::negotiate(path, identity)).await;
+        let granted = pause_adjusted_timeout(ANSWER_TIMEOUT, Self::negotiate(path, identity)).await;
         granted.unwrap_or_else(|| Err("no process answers in time".into()))
     }
 
--- a/crates/spurdrum-http/src/client.rs
+++ b/crates/spurdrum-http/src/client.rs
@@ -11,7 +11,7 @@
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use hyper::body::{Body, Frame, SizeHint};
 use spurdrum_admission::Event;
-use spurdrum_core::{Fate, Figures, Open, Seat};
+use spurdrum_core::{ConnectionPermit, InflightRequest, NodeMetrics, RequestResult};
 use spurdrum_tcp_info::since_last_data;
 use tokio::io::{Interest, ReadBuf};
 use tokio::net::TcpStream;
@@ -39,7 +39,7 @@
     /// The socket itself.
     pub stream: TcpStream,
     /// Its place among the connections.
-    pub seat: Rc<Seat>,
+    pub seat: Rc<ConnectionPermit>,
     /// What of the last body is still to come.
     body: Cell<Left>,
     ahead: RefCell<Vec<u8>>,
@@ -76,7 +76,7 @@
 
 impl Socket {
     /// Nothing has come yet.
-    pub fn new(stream: TcpStream, seat: Rc<Seat>) -> Self {
+    pub fn new(stream: TcpStream, seat: Rc<ConnectionPermit>) -> Self {
         Self {
             stream,
             seat,
@@ -99,7 +99,7 @@
     /// The present request is not answered here: these bytes say the same. Its connection is to be passed on.
     pub fn give_back(&self, request: Vec<u8>) {
         self.given_back.replace(Some(request));
-        self.seat.ordered.notify_one();
+        self.seat.command_ready.notify_one();
     }
 
     /// Whether the present request has been given back.
@@ -265,22 +265,22 @@
 
     fn came(&self, bytes: &[u8]) {
         self.split(bytes);
-        self.seat.tell(Event::Received { id: self.seat.id, bytes: bytes.len() as u64 });
+        self.seat.handle_event(Event::Received { id: self.seat.id, bytes: bytes.len() as u64 });
     }
 
     fn went(&self, bytes: usize) {
         if self.answering.get() {
-            self.seat.tell(Event::Sent { id: self.seat.id, bytes: bytes as u64 });
+            self.seat.handle_event(Event::ResponseProgress { id: self.seat.id, bytes: bytes as u64 });
         }
     }
 
     fn flushed(&self) {
         if self.answering.get() && self.given.get() {
             self.answering.set(false);
-            self.seat.tell(Event::Written { id: self.seat.id });
+            self.seat.handle_event(Event::ResponseWritten { id: self.seat.id });
             let ahead = self.ahead.borrow().len() as u64;
             if ahead > 0 {
-                self.seat.tell(Event::Received { id: self.seat.id, bytes: ahead });
+                self.seat.handle_event(Event::Received { id: self.seat.id, bytes: ahead });
             }
         }
     }
@@ -289,20 +289,20 @@
 /// A long answer that is on its way, as it is counted.
 pub struct Tally {
     /// Where it is counted.
-    pub figures: Rc<Figures>,
+    pub figures: Rc<NodeMetrics>,
     /// Under this class.
     pub class: Option<String>,
     /// It counts as open until then.
-    pub open: Option<Open>,
+    pub open: Option<InflightRequest>,
     /// When its request's head had come.
     pub came: Instant,
 }
 
 impl Tally {
-    fn end(self, fate: Fate) {
+    fn end(self, fate: RequestResult) {
         if let Some(class) = &self.class {
-            self.figures.ended(class, fate);
-            self.figures.took(class, self.came);
+            self.figures.record_result(class, fate);
+            self.figures.record_latency(class, self.came);
         }
         drop(self.open);
     }
@@ -318,10 +318,10 @@
 }
 
 impl Answering {
-    fn wait(&mut self, waits: bool) {
-        if self.tally.is_some() && self.waits != waits {
-            self.waits = waits;
-            self.socket.seat.tell(Event::Waits { id: self.socket.seat.id, waits });
+    fn wait(&mut self, suspended: bool) {
+        if self.tally.is_some() && self.waits != suspended {
+            self.waits = suspended;
+            self.socket.seat.handle_event(Event::TransferSuspended { id: self.socket.seat.id, suspended });
         }
     }
 }
@@ -337,9 +337,9 @@
         let frame = Pin::new(&mut self.body).poll_frame(cx);
         self.wait(frame.is_pending());
         let fate = match &frame {
-            Poll::Ready(None) => Some(Fate::Success),
-            Poll::Ready(Some(Ok(_))) if self.body.is_end_stream() => Some(Fate::Success),
-            Poll::Ready(Some(Err(_))) => Some(Fate::Failure),
+            Poll::Ready(None) => Some(RequestResult::Success),
+            Poll::Ready(Some(Ok(_))) if self.body.is_end_stream() => Some(RequestResult::Success),
+            Poll::Ready(Some(Err(_))) => Some(RequestResult::Failure),
             _ => None,
         };
         if let (Some(fate), Some(tally)) = (fate, self.tally.take_if(|_| fate.is_some())) {
@@ -362,7 +362,7 @@
     fn drop(&mut self) {
         // Its client has left.
         if let Some(tally) = self.tally.take() {
-            tally.end(Fate::Failure);
+            tally.end(RequestResult::Failure);
         }
     }
 }
--- a/crates/spurdrum-http/src/connection.rs
+++ b/crates/spurdrum-http/src/connection.rs
@@ -17,7 +17,7 @@
 use hyper_util::rt::TokioIo;
 use socket2::SockRef;
 use spurdrum_admission::{Event, Reason, State, Verdict};
-use spurdrum_core::{Order, PassedConnection, Seat};
+use spurdrum_core::{ConnectionCommand, ConnectionPermit, HandedOverConnection};
 use tokio::net::TcpStream;
 use tokio::time::{sleep, Instant};
 
@@ -54,9 +54,14 @@
 }
 
 /// Serves a client's connection of which `read` has been read already, until it has ended or another process has it.
-pub(crate) async fn connection(front: Rc<Front>, seat: Rc<Seat>, stream: TcpStream, read: Vec<u8>) {
+pub(crate) async fn connection(
+    front: Rc<Front>,
+    seat: Rc<ConnectionPermit>,
+    stream: TcpStream,
+    read: Vec<u8>,
+) {
     // Guards against answers that the system holds for clients that never read them.
-    let unread = front.node.connections.unread_most;
+    let unread = front.node.connections.max_unread_time;
     if stream.set_nodelay(true).is_err() || SockRef::from(&stream).set_tcp_user_timeout(Some(unread)).is_err()
     {
         return;
@@ -92,15 +97,15 @@
     if SockRef::from(&socket.stream).shutdown(Shutdown::Write).is_err() {
         return;
     }
-    seat.tell(Event::HalfClosed { id: seat.id });
+    seat.handle_event(Event::HalfClosed { id: seat.id });
     // Guards against a reset that destroys the last answer on its way: what still comes is read, and thrown
     // away, until the client has ended too. The decisions bound how long.
     let mut read = [0; 4096];
     let mut most = DISCARD_MOST;
     loop {
         tokio::select! {
-            () = seat.ordered.notified() => {
-                if matches!(seat.take_order(), Some(Order::Abort(_))) {
+            () = seat.command_ready.notified() => {
+                if matches!(seat.take_command(), Some(ConnectionCommand::Abort(_))) {
                     return;
                 }
             }
@@ -125,7 +130,7 @@
     let Socket { stream, seat, .. } = socket;
     // It fails where the event loop has trouble with it: then it is over.
     let Ok(stream) = stream.into_std() else { return Ok(()) };
-    match successor.take(PassedConnection { stream, read }) {
+    match successor.take(HandedOverConnection { stream, read }) {
         Ok(()) => Ok(()),
         Err(connection) => match TcpStream::from_std(connection.stream) {
             Ok(stream) => Err(Rc::new(Socket::new(stream, seat))),
@@ -135,7 +140,7 @@
 }
 
 /// Whether a connection rests between two requests, and nothing of the next one has been read.
-fn rests_unread(seat: &Seat, socket: &Socket) -> bool {
+fn rests_unread(seat: &ConnectionPermit, socket: &Socket) -> bool {
     matches!(seat.state(), Some(State::New | State::Silent | State::Idle)) && !socket.has_ahead()
 }
 
@@ -163,14 +168,14 @@
     let tally = match is_long {
         // Its end counts.
         true => {
-            let (figures, class) = (Rc::clone(&front.node.figures), class.map(str::to_owned));
+            let (figures, class) = (Rc::clone(&front.node.metrics), class.map(str::to_owned));
             Some(Tally { figures, class, open: disposition.open.take(), came })
         }
         false => {
             // Who never finished its request has not asked.
             if let Some(class) = class.filter(|_| disposition.open.is_some()) {
-                front.node.figures.ended(class, fate(response.status()));
-                front.node.figures.took(class, came);
+                front.node.metrics.record_result(class, fate(response.status()));
+                front.node.metrics.record_latency(class, came);
             }
             None
         }
@@ -180,7 +185,7 @@
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
     if is_long {
-        socket.seat.tell(Event::Long { id: socket.seat.id });
+        socket.seat.handle_event(Event::Streaming { id: socket.seat.id });
     }
     response.map(|body| socket.begin_answer(body, tally))
 }
@@ -188,7 +193,10 @@
 /// Tells the decisions of an answer of this length. Whether the connection ends with it, as it does where it `closes` in any case.
 fn is_last(socket: &Socket, bytes: u64, closes: bool) -> bool {
     let seat = &socket.seat;
-    let ends = |more| seat.tell(Event::Answer { id: seat.id, bytes, more }) == Verdict::Last;
+    let ends = |pipelined| {
+        seat.handle_event(Event::ResponseReady { id: seat.id, bytes, pipelined })
+            == Verdict::CloseAfterResponse
+    };
     let is_last = ends(!closes && socket.has_ahead());
     // Guards against the loss of a request that has come behind this one: it is answered first.
     if is_last && !closes && socket.has_input() {
@@ -198,7 +206,7 @@
 }
 
 /// Has hyper serve a connection, and carries out what is decided on it. How that ended.
-async fn serve(front: &Rc<Front>, seat: &Rc<Seat>, socket: &Rc<Socket>) -> End {
+async fn serve(front: &Rc<Front>, seat: &Rc<ConnectionPermit>, socket: &Rc<Socket>) -> End {
     let service = service_fn(|request: Request<Incoming>| {
         // What came is looked at before hyper reads on.
         let framing = socket.take_head();
@@ -225,14 +233,14 @@
                 return ended(result.is_ok());
             }
             () = socket.departed() => return End::Over,
-            () = seat.ordered.notified() => {}
+            () = seat.command_ready.notified() => {}
         }
-        let Some(order) = seat.take_order() else { continue };
-        if let Order::Abort(reason) = order {
+        let Some(order) = seat.take_command() else { continue };
+        if let ConnectionCommand::Abort(reason) = order {
             return End::Abort(reason);
         }
         // Guards against the loss of a request that has come just now: hyper reads it next.
-        if order != Order::Pass && socket.has_input() {
+        if order != ConnectionCommand::HandOver && socket.has_input() {
             tokio::select! {
                 biased;
                 result = served.as_mut() => {
@@ -242,10 +250,12 @@
             }
         }
         match (order, seat.state()) {
-            (Order::Pass, _) if can_pass() => return End::Pass,
+            (ConnectionCommand::HandOver, _) if can_pass() => return End::Pass,
             // One that came too late is answered as too late, whether or not more of it has come.
-            (Order::Expire(reason), Some(State::Head | State::Closing)) => return End::Expire(reason),
-            (Order::Close, Some(State::Closing)) => return End::Close,
+            (ConnectionCommand::Expire(reason), Some(State::Head | State::Closing)) => {
+                return End::Expire(reason)
+            }
+            (ConnectionCommand::Close, Some(State::Closing)) => return End::Close,
             // It has asked after all: that answer will say that it is the last.
             _ => {}
         }
--- a/crates/spurdrum-http/src/context.rs
+++ b/crates/spurdrum-http/src/context.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use spurdrum_admission::Event;
-use spurdrum_core::PassedConnection;
+use spurdrum_core::HandedOverConnection;
 use tokio::sync::Notify;
 
 use crate::keys::Keys;
@@ -45,7 +45,7 @@
     /// # Errors
     ///
     /// The connection, where it cannot.
-    fn take(&self, connection: PassedConnection) -> Result<(), PassedConnection>;
+    fn take(&self, connection: HandedOverConnection) -> Result<(), HandedOverConnection>;
 
     /// Whether it has been sent all that it was to take.
     fn has_all(&self) -> bool;
@@ -125,7 +125,7 @@
     /// Nothing more is taken, and what is owed an answer gets its last one.
     pub(crate) fn call_last(&self) {
         self.advance_to(EndStage::LastCall);
-        self.node.connections.tell(Event::LastCall);
+        self.node.connections.handle_event(Event::ShutdownImminent);
     }
 
     fn advance_to(&self, stage: EndStage) {
--- a/crates/spurdrum-http/src/front.rs
+++ b/crates/spurdrum-http/src/front.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use spurdrum_admission::Event;
-use spurdrum_core::{is_starved, Fate, PassedConnection};
+use spurdrum_core::{is_resource_exhausted, HandedOverConnection, RequestResult};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 use tokio::task::yield_now;
@@ -29,7 +29,7 @@
 const TURNS_MOST: usize = 64;
 
 /// Where the connections come from that another process passes on.
-pub type Passed = mpsc::UnboundedReceiver<PassedConnection>;
+pub type Passed = mpsc::UnboundedReceiver<HandedOverConnection>;
 
 /// Serves clients until `stop` is done and all that was taken is answered. What another process passes on is served as if
 /// it had been accepted here.
@@ -53,7 +53,11 @@
     let node = &front.node;
     let longest = node.settings().classes.iter().map(|class| class.deadline_ms).fold(0.0, f64::max);
     let longest = Duration::from_secs_f64(longest / 1000.0);
-    tracing::info!("told to end with {} connections and {} requests", node.connections.open(), node.held());
+    tracing::info!(
+        "told to end with {} connections and {} requests",
+        node.connections.open_connections(),
+        node.pending_requests()
+    );
     let mut shutdown = shutdown::Shutdown::new(Instant::now(), longest);
     let mut steps = Vec::new();
     loop {
@@ -63,20 +67,20 @@
             match step {
                 Step::HandOver => {
                     tracing::info!("the end: connections are handed over to the other process");
-                    node.connections.tell(Event::Passing);
+                    node.connections.handle_event(Event::HandoverStarted);
                 }
                 Step::Close => {
                     tracing::info!("the end: no other process takes over, so answers end their connections");
-                    node.connections.tell(Event::NotPassing);
-                    node.connections.tell(Event::Ending);
+                    node.connections.handle_event(Event::HandoverEnded);
+                    node.connections.handle_event(Event::ShutdownStarted);
                 }
                 Step::CloseIdle => {
-                    node.connections.tell(Event::NoneComes);
+                    node.connections.handle_event(Event::AcceptingStopped);
                 }
                 Step::BeginNothing => front.begin_nothing(),
                 Step::LastCall => {
-                    handled(|| node.held()).await;
-                    tracing::info!("the end: last answers for {} requests", node.held());
+                    handled(|| node.pending_requests()).await;
+                    tracing::info!("the end: last answers for {} requests", node.pending_requests());
                     front.call_last();
                 }
                 Step::End => return,
@@ -112,13 +116,13 @@
     let none_is_passed_here = passed.is_closed() && passed.is_empty();
     Remaining {
         succession: front.succession(),
-        idle: front.node.connections.open() == 0 && front.node.held() == 0,
+        idle: front.node.connections.open_connections() == 0 && front.node.pending_requests() == 0,
         handed_over: none_is_passed_here && front.successor.iter().all(|successor| successor.has_all()),
     }
 }
 
 /// A connection that the process before this one has passed on goes straight to the next, where there is one by now.
-fn pass_on(front: &Rc<Front>, connection: PassedConnection) {
+fn pass_on(front: &Rc<Front>, connection: HandedOverConnection) {
     let rest = match &front.successor {
         Some(successor) if front.is_succeeded() => successor.take(connection),
         _ => Err(connection),
@@ -140,11 +144,11 @@
             front.backoff.set(BACKOFF.0);
             admit(front, stream, peer.ip(), Vec::new());
             // Guards against a burst that finds no place because those who make room have had no turn.
-            if front.node.connections.is_closing() {
+            if front.node.connections.has_closing() {
                 yield_now().await;
             }
         }
-        Err(error) if is_starved(&error) => {
+        Err(error) if is_resource_exhausted(&error) => {
             turn_away_some(front, listener).await;
             // Guards against a busy loop: the listener stays readable while nothing can be accepted.
             sleep(front.backoff.get()).await;
@@ -155,8 +159,8 @@
     }
 }
 
-fn admit_passed(front: &Rc<Front>, connection: PassedConnection) {
-    let PassedConnection { stream, read } = connection;
+fn admit_passed(front: &Rc<Front>, connection: HandedOverConnection) {
+    let HandedOverConnection { stream, read } = connection;
     let peer = stream.peer_addr().map(|peer| peer.ip());
     // It fails where the client has left meanwhile.
     if let (Ok(peer), Ok(())) = (peer, stream.set_nonblocking(true)) {
@@ -180,7 +184,7 @@
 
 /// With no descriptor left, room is made, and those that wait are answered one by one on the reserve's place.
 async fn turn_away_some(front: &Rc<Front>, listener: &TcpListener) {
-    front.node.connections.tell(Event::Starved);
+    front.node.connections.handle_event(Event::ResourcesExhausted);
     for _ in 0..TURN_AWAY_MOST {
         drop(front.reserve.borrow_mut().take());
         let next = poll_fn(|cx| Poll::Ready(listener.poll_accept(cx))).await;
@@ -219,7 +223,7 @@
         let _ = stream.write(refusal_text(front.node.connections.retry_after_ms()).as_bytes());
         let _ = stream.shutdown(Shutdown::Write);
         if let Some(class) = class {
-            front.node.figures.ended(&class, Fate::Busy);
+            front.node.metrics.record_result(&class, RequestResult::Busy);
         }
     }
 }
--- a/crates/spurdrum-http/src/request.rs
+++ b/crates/spurdrum-http/src/request.rs
@@ -11,7 +11,7 @@
 use hyper::header::{HeaderMap, HeaderValue, HOST, RETRY_AFTER};
 use hyper::{Method, Request, Response, StatusCode, Uri};
 use spurdrum_admission::{Event, Reason, Verdict};
-use spurdrum_core::{Answer, Fate, NotTaken, Open, Seat};
+use spurdrum_core::{Answer, ConnectionPermit, InflightRequest, NotAccepted, RequestResult};
 use spurdrum_policy::{Effect, RequestId};
 use tokio::sync::oneshot;
 use tokio::time::Instant;
@@ -46,7 +46,7 @@
     /// The answer is its last: where the next request begins is not known.
     pub(crate) closes: bool,
     /// The request is counted as open until the answer has gone out; none: its client never finished it.
-    pub(crate) open: Option<Open>,
+    pub(crate) open: Option<InflightRequest>,
 }
 
 /// The answer to a request whose head has come.
@@ -59,7 +59,7 @@
 ) -> Response<Answered> {
     let seat = &socket.seat;
     let body = length.map_or(BODY_MOST as u64, |length| length.min(LONG_HOLDS));
-    let place = seat.tell(Event::Head { id: seat.id, body });
+    let place = seat.handle_event(Event::HeadComplete { id: seat.id, body });
     match request.uri().path() {
         "/_health" if front.ending.get() => plain(StatusCode::SERVICE_UNAVAILABLE, "ending\n"),
         "/_health" if front.node.is_starting() => {
@@ -67,7 +67,7 @@
         }
         "/_health" => plain(StatusCode::OK, format!("ready\n{}\n", (front.status)())),
         _ if place == Verdict::Refuse || front.has_called_last() => {
-            *disposition = Disposition { closes: true, open: Some(front.node.figures.open()) };
+            *disposition = Disposition { closes: true, open: Some(front.node.metrics.start_request()) };
             refusal(front.node.connections.retry_after_ms())
         }
         "/api" => api(front, socket, request, length, disposition).await,
@@ -91,11 +91,11 @@
 }
 
 /// What a final answer tells its client.
-pub(crate) fn fate(status: StatusCode) -> Fate {
+pub(crate) fn fate(status: StatusCode) -> RequestResult {
     match status {
-        StatusCode::OK => Fate::Success,
-        StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => Fate::Busy,
-        _ => Fate::Failure,
+        StatusCode::OK => RequestResult::Success,
+        StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => RequestResult::Busy,
+        _ => RequestResult::Failure,
     }
 }
 
@@ -115,7 +115,7 @@
 
 /// Hears of a long body that is passing through.
 struct Coming {
-    seat: Rc<Seat>,
+    seat: Rc<ConnectionPermit>,
     node: Rc<Node>,
     id: RequestId,
     deadline: Rc<Deadline>,
@@ -123,19 +123,19 @@
 }
 
 impl Listener for Rc<Coming> {
-    fn waits(&self, waits: bool) {
-        self.seat.tell(Event::Waits { id: self.seat.id, waits });
+    fn waits(&self, suspended: bool) {
+        self.seat.handle_event(Event::TransferSuspended { id: self.seat.id, suspended });
     }
 
     fn spent(&self) {
-        self.node.spent(self.id);
+        self.node.mark_not_replayable(self.id);
     }
 
     fn whole(&self) {
         self.deadline.begin();
         self.whole.set(true);
         self.seat.reading_body.set(false);
-        self.seat.tell(Event::Taken { id: self.seat.id });
+        self.seat.handle_event(Event::RequestComplete { id: self.seat.id });
     }
 }
 
@@ -157,7 +157,7 @@
             return response;
         }
     };
-    disposition.open = Some(node.figures.open());
+    disposition.open = Some(node.metrics.start_request());
     if !Rc::ptr_eq(&names, &front.names.borrow()) {
         // Other settings hold by now: a request has those under which it is taken.
         asked = read_head(front, &head.method, &head.headers);
@@ -199,11 +199,11 @@
         Forward { method: head.method, uri, headers, body, deadline: Rc::clone(&deadline), ask, naming };
     let handed = HandedRequest::new(head.version, &head.headers, &asked);
     let (answer, answered) = oneshot::channel();
-    let id = match node.take(forward, asked, answer) {
+    let id = match node.accept(forward, asked, answer) {
         Ok(id) => id,
         // The settings' bound, not a decision: how long it lasts is not known.
-        Err(NotTaken::Full) => return refusal(node.settings().retry_after_most_ms),
-        Err(NotTaken::Known) => return plain(StatusCode::CONFLICT, "X-Request-Id is in use\n"),
+        Err(NotAccepted::Full) => return refusal(node.settings().retry_after_most_ms),
+        Err(NotAccepted::DuplicateId) => return plain(StatusCode::CONFLICT, "X-Request-Id is in use\n"),
     };
     socket.owes.set(true);
     let _waiting = Waiting { node: Rc::clone(node), id, owes: &socket.owes };
@@ -221,7 +221,7 @@
 /// that does not come.
 async fn take_body(
     node: &Node,
-    seat: &Seat,
+    seat: &ConnectionPermit,
     body: Incoming,
     length: Option<u64>,
 ) -> Result<ReceivedBody, Response<Answered>> {
@@ -232,14 +232,14 @@
         reason = seat.body_expired() => Err(expired(node, reason)),
     };
     if matches!(body, Ok(ReceivedBody::Long(..))) {
-        seat.tell(Event::Long { id: seat.id });
+        seat.handle_event(Event::Streaming { id: seat.id });
         return body;
     }
     seat.reading_body.set(false);
     if body.is_ok() {
         // It may have had its time just as it was whole: that counts.
-        seat.take_order();
-        seat.tell(Event::Taken { id: seat.id });
+        seat.take_command();
+        seat.handle_event(Event::RequestComplete { id: seat.id });
     }
     body
 }
--- a/crates/spurdrum-http/src/stream.rs
+++ b/crates/spurdrum-http/src/stream.rs
@@ -12,7 +12,7 @@
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
-use spurdrum_core::look_again;
+use spurdrum_core::catch_up_deadline;
 use spurdrum_policy::Ending;
 use tokio::sync::{oneshot, Notify};
 use tokio::time::{sleep, sleep_until, Instant, Sleep};
@@ -381,7 +381,7 @@
             match Pin::new(&mut self.body).poll_frame(cx) {
                 Poll::Pending => {
                     ready!(self.stall.as_mut().poll(cx));
-                    if let Some(again) = look_again(self.stall.deadline()) {
+                    if let Some(again) = catch_up_deadline(self.stall.deadline()) {
                         self.stall.as_mut().reset(again);
                         continue;
                     }
--- a/crates/spurdrum-http/src/upstream.rs
+++ b/crates/spurdrum-http/src/upstream.rs
@@ -20,8 +20,8 @@
 use spurdrum_admission::Event as ConnectionEvent;
 use spurdrum_affinity::Ask;
 use spurdrum_core::{
-    attentive_timeout, is_starved, sleep_and_read_first, Asked, Cancellation, Connections, Figures, Reply,
-    ServerSlot, Transport,
+    is_resource_exhausted, pause_adjusted_timeout, sleep_and_catch_up, Cancellation, Connections,
+    NodeMetrics, Reply, ServerConnectionPermit, Transport, TransportRequest,
 };
 use spurdrum_policy::{Ending, Report, ServerId};
 use tokio::net::TcpStream;
@@ -86,10 +86,10 @@
     pub given: Option<HeaderValue>,
 }
 
-impl Asked for Forward {
-    type Name = HeaderValue;
+impl TransportRequest for Forward {
+    type ClientRequestId = HeaderValue;
 
-    fn name(&self) -> &HeaderValue {
+    fn client_request_id(&self) -> &HeaderValue {
         &self.headers["x-request-id"]
     }
 
@@ -102,13 +102,13 @@
 
 struct Socket {
     stream: TcpStream,
-    _slot: ServerSlot,
+    _slot: ServerConnectionPermit,
     /// An attempt is being written, and hyper has all of it; and when the last one had been written.
     writing: Cell<bool>,
     written_at: Cell<Option<Instant>>,
     /// When a byte went last.
     moved: Cell<Instant>,
-    figures: Rc<Figures>,
+    figures: Rc<NodeMetrics>,
 }
 
 impl socket::Socket for Socket {
@@ -123,7 +123,7 @@
     fn flushed(&self) {
         if self.writing.take() {
             self.written_at.set(Some(Instant::now()));
-            self.figures.attempt_written();
+            self.figures.record_attempt();
         }
     }
 }
@@ -202,7 +202,7 @@
 pub struct Upstream {
     servers: RefCell<HashMap<ServerId, Rc<Server>>>,
     connections: Rc<Connections>,
-    figures: Rc<Figures>,
+    figures: Rc<NodeMetrics>,
     keep: Cell<Duration>,
     dial_timeout: Cell<Duration>,
     /// How keys are made, where that is on.
@@ -214,7 +214,7 @@
     /// `dial_timeout` has failed.
     pub fn new(
         connections: Rc<Connections>,
-        figures: Rc<Figures>,
+        figures: Rc<NodeMetrics>,
         conn_idle: Duration,
         dial_timeout: Duration,
     ) -> Self {
@@ -236,9 +236,10 @@
     }
 
     /// A place for one more socket, for which the one that stood idle longest is closed if need be.
-    fn slot(&self) -> Option<ServerSlot> {
-        ServerSlot::take(&self.connections)
-            .or_else(|| self.close_oldest().then(|| ServerSlot::take(&self.connections)).flatten())
+    fn slot(&self) -> Option<ServerConnectionPermit> {
+        ServerConnectionPermit::acquire(&self.connections).or_else(|| {
+            self.close_longest_idle().then(|| ServerConnectionPermit::acquire(&self.connections)).flatten()
+        })
     }
 
     async fn connect(&self, server: &Server, dial_timeout: Duration) -> Result<Connection, Ending> {
@@ -247,12 +248,12 @@
         let address = server.address.get();
         let begun = Instant::now();
         // Guards against a connection that came up while this process stood still, and counts as one that did not.
-        let stream = match attentive_timeout(dial_timeout, TcpStream::connect(address)).await {
+        let stream = match pause_adjusted_timeout(dial_timeout, TcpStream::connect(address)).await {
             Some(Ok(stream)) => stream,
-            Some(Err(error)) if is_starved(&error) => {
+            Some(Err(error)) if is_resource_exhausted(&error) => {
                 // The node's own want, not the server's fault.
                 drop(slot);
-                self.connections.tell(ConnectionEvent::Starved);
+                self.connections.handle_event(ConnectionEvent::ResourcesExhausted);
                 return Err(Ending::NotSent);
             }
             Some(Err(_)) | None => return Err(Ending::Unreachable),
@@ -309,44 +310,44 @@
         let forward = attempt.map(|(forward, _)| forward);
         // It may have gone since the decision.
         let Some(server) = self.servers.borrow().get(&server).cloned() else {
-            return Reply::none(Ending::NotSent);
+            return Reply::without_body(Ending::NotSent);
         };
         loop {
             let (mut connection, kept) = match server.idle(self.keep.get()) {
                 Some(connection) => (connection, true),
                 None => match self.connect(&server, self.dial_most(forward)).await {
                     Ok(connection) => (connection, false),
-                    Err(ending) => return Reply::none(ending),
+                    Err(ending) => return Reply::without_body(ending),
                 },
             };
             if kept {
                 sleep_until(connection.idle_since + REST).await;
             }
             // Guards against a send to a server that drains, where the news of that came during a pause and lies unread.
-            self.connections.attention().caught_up().await;
+            self.connections.clock().caught_up().await;
             if connection.sender.ready().await.is_err() || kept && !connection.is_sound() {
                 if kept {
                     continue;
                 }
-                return Reply::none(Ending::Unreachable);
+                return Reply::without_body(Ending::Unreachable);
             }
             // Time has passed since the decision: a server that drains by now gets nothing new, and nothing begins for a client
             // that has left.
-            if attempt.is_some_and(|(_, cancellation)| !server.ready.get() || !cancellation.begin()) {
-                return Reply::none(Ending::NotSent);
+            if attempt.is_some_and(|(_, cancellation)| !server.ready.get() || !cancellation.try_begin()) {
+                return Reply::without_body(Ending::NotSent);
             }
             let request = match forward {
                 None => Some(probe_request(connection.address)),
                 Some(forward) => forward_request(forward, &connection.socket, sent),
             };
             // It came to its end meanwhile, or more of it is gone than is held.
-            let Some(request) = request else { return Reply::none(Ending::NotSent) };
+            let Some(request) = request else { return Reply::without_body(Ending::NotSent) };
             progress.unheard.set(Some(server.end_arrives()));
             let through = forward.and_then(Forward::through);
             let sending = connection.sender.try_send_request(request);
             let response = tokio::select! {
                 response = sending => response,
-                () = stalled(&connection.socket, through) => return Reply::none(Ending::Unreachable),
+                () = stalled(&connection.socket, through) => return Reply::without_body(Ending::Unreachable),
             };
             let response = match response {
                 Ok(response) => response,
@@ -360,13 +361,13 @@
                         progress.unheard.set(None);
                     }
                     return match (sent.get(), kept && returned) {
-                        (true, _) => Reply::none(Ending::Reset),
+                        (true, _) => Reply::without_body(Ending::Reset),
                         (false, true) => continue,
                         // Its client's end is not the server's fault.
                         (false, false) if through.is_some_and(|source| source.is_broken()) => {
-                            Reply::none(Ending::NotSent)
+                            Reply::without_body(Ending::NotSent)
                         }
-                        (false, false) => Reply::none(Ending::Unreachable),
+                        (false, false) => Reply::without_body(Ending::Unreachable),
                     };
                 }
             };
@@ -377,10 +378,10 @@
             if reply.ending != Ending::Reset {
                 progress.unheard.set(None);
             }
-            reply.took = took;
+            reply.server_time = took;
             let naming = forward.and_then(|forward| forward.naming.as_ref());
             if let (Some(given), Some(naming), Some(body)) = (given, naming, &mut reply.body) {
-                reply.names = self.keys.as_ref().and_then(|keys| keys.given(naming, &given));
+                reply.affinity = self.keys.as_ref().and_then(|keys| keys.given(naming, &given));
                 body.given = Some(given);
             }
             return reply;
@@ -398,7 +399,7 @@
     type Request = Forward;
     type Body = Served;
 
-    fn list(&self, server: ServerId, address: SocketAddr, ready: bool) {
+    fn set_server(&self, server: ServerId, address: SocketAddr, ready: bool) {
         let mut servers = self.servers.borrow_mut();
         let known = servers.entry(server).or_insert_with(|| {
             let (address, ready) = (Cell::new(address), Cell::new(ready));
@@ -412,7 +413,7 @@
         }
     }
 
-    fn forget(&self, server: ServerId) {
+    fn remove_server(&self, server: ServerId) {
         if let Some(gone) = self.servers.borrow_mut().remove(&server) {
             gone.ready.set(false);
             gone.idle.borrow_mut().clear();
@@ -423,7 +424,7 @@
         self.servers.borrow().values().for_each(|server| server.close_idle(self.keep.get()));
     }
 
-    fn close_oldest(&self) -> bool {
+    fn close_longest_idle(&self) -> bool {
         let servers = self.servers.borrow();
         let since = |server: &&Rc<Server>| server.idle.borrow().front().map(|c| c.idle_since);
         let idle = servers.values().filter(|server| since(server).is_some());
@@ -435,7 +436,7 @@
     async fn attempt(&self, server: ServerId, forward: &Forward, cancellation: &Cancellation) -> Ended {
         let progress = Progress::default();
         let sent = Rc::clone(&progress.sent);
-        let unless_sent = |ending| Reply::none(if sent.get() { ending } else { Ending::NotSent });
+        let unless_sent = |ending| Reply::without_body(if sent.get() { ending } else { Ending::NotSent });
         // The exchange holds the connection; it is dropped, and that closed, before this returns.
         let reply = tokio::select! {
             biased;
@@ -456,8 +457,8 @@
     async fn probe(&self, server: ServerId) -> Ended {
         let progress = Progress::default();
         let exchange = self.exchange(server, None, &progress);
-        let reply = attentive_timeout(self.dial_timeout.get(), exchange).await;
-        let mut reply = reply.unwrap_or_else(|| Reply::none(Ending::TimedOut));
+        let reply = pause_adjusted_timeout(self.dial_timeout.get(), exchange).await;
+        let mut reply = reply.unwrap_or_else(|| Reply::without_body(Ending::TimedOut));
         if let Some(Served { body: Answered::Whole(body), .. }) = reply.body.take() {
             let text = body.collect().await.map_or_else(|never| match never {}, |body| body.to_bytes());
             reply.report = std::str::from_utf8(&text).ok().and_then(load_report).or(reply.report);
@@ -516,7 +517,7 @@
 async fn stalled(socket: &Socket, through: Option<&Rc<Source>>) {
     let Some(source) = through else { return pending().await };
     loop {
-        sleep_and_read_first(STALLED / 4).await;
+        sleep_and_catch_up(STALLED / 4).await;
         if source.waits() && socket.moved.get().elapsed() >= STALLED {
             return;
         }
@@ -536,7 +537,7 @@
     let report = text("x-load").and_then(load_report);
     let not_run = text("x-not-run") == Some("1");
     let started_at = text("x-up-since").and_then(|text| text.parse().ok()).filter(|at: &f64| at.is_finite());
-    let reply = |ending| Reply { report, started_at, ..Reply::none(ending) };
+    let reply = |ending| Reply { report, started_at, ..Reply::without_body(ending) };
     let served = head.status == StatusCode::OK;
     let ending = match head.status {
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_run => Ending::Full,
@@ -588,7 +589,7 @@
     let home = Rc::clone(server);
     let download = Download::new(body, came, length, move || home.keep(connection), end);
     let body = Served { body: Answered::Through(download), given: None };
-    Reply { body: Some(body), rest: Some(rest), ..reply(Ending::Served) }
+    Reply { body: Some(body), body_end: Some(rest), ..reply(Ending::Served) }
 }
 
 fn says_close(head: &response::Parts) -> bool {
--- a/crates/spurdrum-ops/src/figures.rs
+++ b/crates/spurdrum-ops/src/figures.rs
@@ -1,7 +1,7 @@
 //! The figures as operators' tools read them.
 
 use serde_json::{json, Map, Value};
-use spurdrum_core::Figures;
+use spurdrum_core::NodeMetrics;
 
 /// What is shown of the servers beside the figures that are counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -14,7 +14,7 @@
 
 /// The figures in one line, then a line `END`.
 #[must_use]
-pub fn telemetry(figures: &Figures, servers: Servers) -> String {
+pub fn telemetry(figures: &NodeMetrics, servers: Servers) -> String {
     let calls: Map<String, Value> = figures
         .classes()
         .into_iter()
@@ -35,7 +35,7 @@
 /// How long answers took, by class, in one line, then a line `END`; none where that is not kept. Of each class pairs of an upper
 /// bound in microseconds and how many were at most that long and longer than the bound before.
 #[must_use]
-pub fn latencies(figures: &Figures) -> Option<String> {
+pub fn latencies(figures: &NodeMetrics) -> Option<String> {
     let shown = figures.latencies()?;
     Some(format!("{}\nEND\n", json!(shown.into_iter().collect::<std::collections::BTreeMap<_, _>>())))
 }
--- a/crates/spurdrum/src/file.rs
+++ b/crates/spurdrum/src/file.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use serde::Deserialize;
-use spurdrum_admission::{Limits, Pace, Settings};
+use spurdrum_admission::{Limits, Settings, TransferTimeout};
 use spurdrum_facts::file;
 use spurdrum_http::Names;
 use spurdrum_policy::{Class, Effect, Group, Weights};
@@ -255,11 +255,11 @@
         let mut settings = Settings { adaptive: self.connections.is_some(), ..Settings::default() };
         let Some(table) = &self.connections else { return settings };
         let time = set_time;
-        let pace = |to: &mut Pace, from: &Option<PaceTable>| {
+        let pace = |to: &mut TransferTimeout, from: &Option<PaceTable>| {
             if let Some(from) = from {
-                time(&mut to.first, from.first_ms);
-                set(&mut to.rate, from.rate);
-                time(&mut to.most, from.most_ms);
+                time(&mut to.initial, from.first_ms);
+                set(&mut to.min_rate, from.rate);
+                time(&mut to.max, from.most_ms);
             }
         };
         set(&mut settings.clients_hold, table.clients_hold);
--- a/crates/spurdrum/src/following.rs
+++ b/crates/spurdrum/src/following.rs
@@ -35,7 +35,7 @@
 impl Sink {
     /// What the log says of attempts as the view changes: how many went out while nothing confirmed the list.
     fn attempts_on_trust(&self, from: View, to: View) -> String {
-        let attempts = self.node.figures.attempts();
+        let attempts = self.node.metrics.attempts();
         if from == View::Fresh {
             self.attempts_when_confirmed.set(attempts);
         }
@@ -54,7 +54,7 @@
         self.told.borrow_mut().merge(&list);
         match &self.merged {
             Some(merged) => merged.listed(source, list),
-            None => self.node.listed(list.complete, self.places.listed(&list)),
+            None => self.node.update_servers(list.complete, self.places.listed(&list)),
         }
     }
 }
@@ -83,7 +83,7 @@
             );
         }
         News::Started { end, after } => {
-            sink.node.serve();
+            sink.node.start_serving();
             tracing::info!("ready {:.3} s after the start: {end}", after.as_secs_f64());
         }
         News::Shorter(before, now) => {
--- a/crates/spurdrum/src/list.rs
+++ b/crates/spurdrum/src/list.rs
@@ -1,6 +1,6 @@
 //! Between sources and the core: what a source says of servers, in the terms of the decisions.
 
-use spurdrum_core::{Listed, Sign};
+use spurdrum_core::{ListEvidence, ListedServer};
 use spurdrum_policy::{Availability, ServerEntry, ServerId};
 use spurdrum_sources::follower::{Counts, Evidence, View};
 use spurdrum_sources::{List, Member, Phase};
@@ -16,11 +16,11 @@
 
 impl Places {
     /// The servers of a list.
-    pub fn listed(&self, list: &List) -> Vec<Listed> {
+    pub fn listed(&self, list: &List) -> Vec<ListedServer> {
         list.members.iter().map(|member| self.entry(member)).collect()
     }
 
-    fn entry(&self, member: &Member) -> Listed {
+    fn entry(&self, member: &Member) -> ListedServer {
         let place = |names: &[String], name| names.iter().position(|n| n == name).unwrap_or(names.len());
         let entry = ServerEntry {
             server: ServerId(0),
@@ -36,17 +36,17 @@
             weight: member.size,
             key: spurdrum_facts::key(&member.id),
         };
-        Listed { id: member.id.clone(), address: member.host_port, entry }
+        ListedServer { id: member.id.clone(), address: member.host_port, entry }
     }
 }
 
 /// What servers show, as a follower takes it.
-pub fn evidence(sign: Sign) -> Evidence {
+pub fn evidence(sign: ListEvidence) -> Evidence {
     match sign {
-        Sign::Unreachable(server) => Evidence::Unreachable(server.0 as u64),
-        Sign::Refused { idle } => Evidence::Refused { idle },
-        Sign::TakenOut => Evidence::TakenOut,
-        Sign::Restarted => Evidence::Restarted,
+        ListEvidence::Unreachable(server) => Evidence::Unreachable(server.0 as u64),
+        ListEvidence::Refused { idle } => Evidence::Refused { idle },
+        ListEvidence::Ejected => Evidence::TakenOut,
+        ListEvidence::Restarted => Evidence::Restarted,
     }
 }
 
--- a/crates/spurdrum/src/main.rs
+++ b/crates/spurdrum/src/main.rs
@@ -12,7 +12,7 @@
 use clap::{Parser, Subcommand};
 use serde_json::Value;
 use spurdrum_affinity::{Affinity, Keyer};
-use spurdrum_core::{unix_ms, Connections, Figures, Node};
+use spurdrum_core::{unix_ms, Connections, Node, NodeMetrics};
 use spurdrum_http::{Front, Keys, Successor, Upstream};
 use spurdrum_sources::catalog::Catalog;
 use spurdrum_trace::Trace;
@@ -216,10 +216,10 @@
     let affinity = bindings.as_ref().map(|(affinity, ..)| Rc::clone(affinity));
     let keys = bindings.as_ref().map(|(_, keys, _)| Rc::clone(keys));
     let figures = Rc::new(match config.latencies {
-        true => Figures::with_latencies(),
-        false => Figures::default(),
+        true => NodeMetrics::with_latencies(),
+        false => NodeMetrics::default(),
     });
-    figures.know(&config.names.classes);
+    figures.add_classes(&config.names.classes);
     let upstream =
         Upstream::new(Rc::clone(&connections), Rc::clone(&figures), config.conn_idle, config.dial_timeout);
     let upstream = upstream.with_keys(keys.clone());
@@ -236,8 +236,8 @@
     let core = spurdrum_core::Config {
         seed: config.seed,
         settings: config.settings,
-        most_held: config.most_held,
-        tidy_every: config.conn_idle / 20,
+        max_pending: config.most_held,
+        idle_check_interval: config.conn_idle / 20,
     };
     let node = Node::new(
         core,
@@ -285,12 +285,12 @@
     match &merged {
         Some(merged) if config.source == Source::Static => merged.listed(merge::STATIC, config.known),
         Some(_) => {}
-        None => node.known(places.listed(&config.known)),
+        None => node.load_cached_servers(places.listed(&config.known)),
     }
     // A list that the process before has not had confirmed may be of any age: what discovery removed since counts as told 6 s after,
     // however young this process is.
     if catalog.is_some() && handed_state.as_ref().is_none_or(|handed_state| handed_state.starting) {
-        node.wait_to_serve();
+        node.queue_until_serving();
     }
     if let Some(handed_state) = handed_state {
         handed_state.apply(&node, &names.borrow());
@@ -306,10 +306,10 @@
     if let Some(catalog) = &catalog {
         tokio::task::spawn_local(follow(Rc::clone(catalog), Rc::clone(&sink)));
     }
-    tokio::task::spawn_local(Rc::clone(connections.attention()).keep());
-    tokio::task::spawn_local(Rc::clone(&node).reap());
-    tokio::task::spawn_local(Rc::clone(&node).lend());
-    tokio::task::spawn_local(Rc::clone(&connections).keep_time());
+    tokio::task::spawn_local(Rc::clone(connections.clock()).run());
+    tokio::task::spawn_local(Rc::clone(&node).close_idle_connections());
+    tokio::task::spawn_local(Rc::clone(&node).release_server_connections());
+    tokio::task::spawn_local(Rc::clone(&connections).run_timer());
     let (reloaded, followed, mut told) = (Rc::clone(&sink), catalog.clone(), config.told);
     tokio::task::spawn_local(async move {
         while reload.recv().await.is_some() {
@@ -442,7 +442,7 @@
         platform::lacks_nothing(&accepted, &config.told).map(|()| config)
     });
     let read = read.await;
-    sink.node.figures.reconfigured(matches!(read, Ok(Ok(_))));
+    sink.node.metrics.record_reload(matches!(read, Ok(Ok(_))));
     if let Ok(Ok(config)) = &read {
         *told = Arc::clone(&config.told);
         retuner.apply(config);
--- a/crates/spurdrum/src/merge.rs
+++ b/crates/spurdrum/src/merge.rs
@@ -66,7 +66,7 @@
                 ),
                 Action::Apply(members) => {
                     let list = List { revision: 0, complete: false, members };
-                    self.node.listed(list.complete, self.places.listed(&list));
+                    self.node.update_servers(list.complete, self.places.listed(&list));
                 }
             }
         }
--- a/crates/spurdrum/src/operated.rs
+++ b/crates/spurdrum/src/operated.rs
@@ -20,7 +20,7 @@
         if self.ending.get() {
             return Err("ending".into());
         }
-        if self.node.servers().0 == 0 {
+        if self.node.server_counts().0 == 0 {
             return Err("no server is known yet".into());
         }
         if self.node.is_starting() {
@@ -30,11 +30,11 @@
     }
 
     fn telemetry(&self) -> String {
-        let (listed, down) = self.node.servers();
-        spurdrum_ops::telemetry(&self.node.figures, Servers { listed, down })
+        let (listed, down) = self.node.server_counts();
+        spurdrum_ops::telemetry(&self.node.metrics, Servers { listed, down })
     }
 
     fn latencies(&self) -> Option<String> {
-        spurdrum_ops::latencies(&self.node.figures)
+        spurdrum_ops::latencies(&self.node.metrics)
     }
 }
--- a/crates/spurdrum/src/replace.rs
+++ b/crates/spurdrum/src/replace.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 use spurdrum_admission::Event;
-use spurdrum_core::{Connections, Node, PassedConnection};
+use spurdrum_core::{Connections, HandedOverConnection, Node};
 use spurdrum_handover::{path, BudgetOwner, Identity, Offer, Takeover, TakeoverEvent, FORMAT};
 use spurdrum_http::{Names, Passed, SharedNames, Succession, Successor, Upstream};
 use spurdrum_policy::Learned;
@@ -45,7 +45,7 @@
         if self.tenants != names.tenants {
             self.learned.quotas.clear();
         }
-        node.learn(&self.ids, self.learned);
+        node.import_learned_state(&self.ids, self.learned);
     }
 }
 
@@ -61,7 +61,7 @@
 
 impl StateSource {
     fn snapshot(&self) -> serde_json::Value {
-        let (ids, learned) = self.node.learned();
+        let (ids, learned) = self.node.learned_state();
         let names = self.names.borrow();
         let (classes, tenants) = (names.classes.clone(), names.tenants.clone());
         let list = self.list.borrow().clone();
@@ -87,10 +87,10 @@
 pub fn follow(takeover: Option<Takeover>, connections: &Rc<Connections>) -> Passed {
     let (pass, passed) = mpsc::unbounded_channel();
     let Some(takeover) = takeover else { return passed };
-    let (all, connections) = (connections.used().1, Rc::clone(connections));
+    let (all, connections) = (connections.descriptor_usage().1, Rc::clone(connections));
     let mut share = takeover.share;
     let keep = move |share: usize| {
-        connections.tell(Event::Part { most: all.saturating_sub(share) });
+        connections.handle_event(Event::DescriptorShare { max: all.saturating_sub(share) });
     };
     keep(share);
     tokio::task::spawn_local(takeover.follow(move |event| match event {
@@ -124,7 +124,7 @@
     use std::os::fd::AsFd;
     let path = path(listen)?;
     let listener = listener.as_fd().try_clone_to_owned().map(Into::into);
-    let all = connections.used().1;
+    let all = connections.descriptor_usage().1;
     let budget =
         SharedBudget { connections: Rc::clone(connections), all, kept: Cell::new(all), state_source };
     let offer = listener.and_then(|listener| Offer::new(path, identity(name, listen), listener, budget));
@@ -140,23 +140,23 @@
 }
 
 impl SharedBudget {
-    fn keep(&self, most: usize) -> usize {
-        self.kept.set(most);
-        self.connections.tell(Event::Part { most });
-        most
+    fn keep(&self, max: usize) -> usize {
+        self.kept.set(max);
+        self.connections.handle_event(Event::DescriptorShare { max });
+        max
     }
 }
 
 impl BudgetOwner for SharedBudget {
     fn split(&self) -> (usize, serde_json::Value) {
         // Half of the budget, or what is already in use.
-        let used = self.connections.used().0;
+        let used = self.connections.descriptor_usage().0;
         (self.keep(used.max(self.all / 2)), self.state_source.snapshot())
     }
 
     fn shrink_to_use(&self) -> usize {
         // Each open client connection may have a request on its way, which needs a connection to a server.
-        let needed = self.connections.used().0 + self.connections.open();
+        let needed = self.connections.descriptor_usage().0 + self.connections.open_connections();
         self.keep(needed.min(self.kept.get()))
     }
 
@@ -183,7 +183,7 @@
         self.0.passes_requests()
     }
 
-    fn take(&self, connection: PassedConnection) -> Result<(), PassedConnection> {
+    fn take(&self, connection: HandedOverConnection) -> Result<(), HandedOverConnection> {
         self.0.pass(connection)
     }
 
--- a/crates/spurdrum/src/retune.rs
+++ b/crates/spurdrum/src/retune.rs
@@ -127,7 +127,7 @@
             (settings.kinds, settings.discovery) = (old.kinds, old.discovery);
         }
         self.node.transport().set_times(config.conn_idle, config.dial_timeout);
-        self.node.connections.set_retry_after_most(settings.retry_after_most_ms);
+        self.node.connections.set_max_retry_after(settings.retry_after_most_ms);
         self.most_held.set(config.most_held);
         let changed =
             (&settings.classes, &config.names.classes) != (&old.classes, &self.names.borrow().classes);
@@ -154,8 +154,8 @@
 
     fn hold(&self, new: NewSettings) {
         let names = self.rules.borrow().names.clone();
-        self.node.figures.know(&names.classes);
-        self.node.retune(new, self.most_held.get());
+        self.node.metrics.add_classes(&names.classes);
+        self.node.reload(new, self.most_held.get());
         self.names.replace(Rc::new(names));
     }
 }
