--- a/crates/spurdrum-admission/src/lib.rs
+++ b/crates/spurdrum-admission/src/lib.rs
@@ -22,11 +22,11 @@
 //! let peer = "127.0.0.1".parse().expect("an address");
 //! assert_eq!(admission.handle(now, Event::Accepted { id, peer }, &mut actions), Verdict::Serve);
 //! admission.handle(now, Event::Received { id, bytes: 120 }, &mut actions);
-//! assert_eq!(admission.handle(now, Event::Head { id, body: 0 }, &mut actions), Verdict::Serve);
-//! admission.handle(now, Event::Taken { id }, &mut actions);
-//! let answer = Event::Answer { id, bytes: 512, more: false };
-//! assert_eq!(admission.handle(now, answer, &mut actions), Verdict::Keep);
-//! admission.handle(now, Event::Written { id }, &mut actions);
+//! assert_eq!(admission.handle(now, Event::HeadComplete { id, body: 0 }, &mut actions), Verdict::Serve);
+//! admission.handle(now, Event::RequestComplete { id }, &mut actions);
+//! let answer = Event::ResponseReady { id, bytes: 512, pipelined: false };
+//! assert_eq!(admission.handle(now, answer, &mut actions), Verdict::KeepAlive);
+//! admission.handle(now, Event::ResponseWritten { id }, &mut actions);
 //! assert!(actions.is_empty());
 //! ```
 
--- a/crates/spurdrum/src/replace.rs
+++ b/crates/spurdrum/src/replace.rs
@@ -9,7 +9,7 @@
 use spurdrum_core::{Connections, HandedOverConnection, Node};
 use spurdrum_handover::{path, BudgetOwner, Identity, Offer, Takeover, TakeoverEvent, FORMAT};
 use spurdrum_http::{Names, Passed, SharedNames, Succession, Successor, Upstream};
-use spurdrum_policy::Learned;
+use spurdrum_policy::LearnedState;
 use spurdrum_sources::List;
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
@@ -24,7 +24,7 @@
     pub starting: bool,
     /// The ids of the servers in `learned`.
     ids: Vec<String>,
-    learned: Learned,
+    learned: LearnedState,
     /// The classes and tenants whose positions `learned` refers to.
     classes: Vec<String>,
     tenants: Vec<String>,
@@ -45,7 +45,7 @@
         if self.tenants != names.tenants {
             self.learned.quotas.clear();
         }
-        node.import_learned_state(&self.ids, self.learned);
+        node.import_learned(&self.ids, self.learned);
     }
 }
 
@@ -61,7 +61,7 @@
 
 impl StateSource {
     fn snapshot(&self) -> serde_json::Value {
-        let (ids, learned) = self.node.learned_state();
+        let (ids, learned) = self.node.export_learned();
         let names = self.names.borrow();
         let (classes, tenants) = (names.classes.clone(), names.tenants.clone());
         let list = self.list.borrow().clone();
