--- a/crates/spurdrum/src/following.rs
+++ b/crates/spurdrum/src/following.rs
@@ -35,7 +35,7 @@
 impl Sink {
     /// What the log says of attempts as the view changes: how many went out while nothing confirmed the list.
     fn attempts_on_trust(&self, from: Freshness, to: Freshness) -> String {
-        let attempts = self.node.figures.attempts();
+        let attempts = self.node.metrics.attempts();
         if from == Freshness::Fresh {
             self.attempts_when_confirmed.set(attempts);
         }
@@ -56,7 +56,7 @@
         self.told.borrow_mut().merge(&list);
         match &self.merged {
             Some(merged) => merged.listed(source, list),
-            None => self.node.listed(list.complete, self.places.listed(&list)),
+            None => self.node.update_servers(list.complete, self.places.listed(&list)),
         }
     }
 }
@@ -85,7 +85,7 @@
             );
         }
         CatalogEvent::Ready { end, after } => {
-            sink.node.serve();
+            sink.node.start_serving();
             tracing::info!("ready {:.3} s after the start: {end}", after.as_secs_f64());
         }
         CatalogEvent::ListShrunk(before, now) => {
