--- a/crates/spurdrum-sources/src/follower/call.rs
+++ b/crates/spurdrum-sources/src/follower/call.rs
@@ -1,40 +1,42 @@
-//! A call that is out.
+//! A call to discovery that has not ended yet.
 
 use std::time::Duration;
 
 use super::{CallId, Query};
 
-/// How far a call that is out can still be counted on.
+/// What the follower still expects of an open call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Standing {
-    /// The node waits for its answer.
+pub(super) enum CallState {
+    /// The follower waits for the answer.
     Awaited,
-    /// It has been silent for so long that others are made. It keeps its place at discovery: closed and made anew it would
-    /// wait from the end of the queue.
+    /// The call has been silent for longer than its time-out, so other calls are made. It stays open to keep
+    /// its place in discovery's queue: if it were closed and made again, it would wait from the end of the
+    /// queue.
     TimedOut,
-    /// A later answer has told what it would. Its own may be on its way all the same, and newer.
+    /// A later answer has already delivered what this call asked for. Its own answer may still be on its way,
+    /// and be newer.
     Superseded,
 }
 
-/// A call that is out.
+/// An open call.
 #[derive(Clone)]
 pub(super) struct Call {
     pub(super) id: CallId,
     pub(super) query: Query,
-    /// The discovery that it went to, counted by moves.
-    pub(super) origin: u64,
-    pub(super) started: Duration,
-    /// When its answer should have come, and whether that has been acted on.
+    /// Which address of discovery the call went to, as the number of address changes before it.
+    pub(super) address_epoch: u64,
+    pub(super) started_at: Duration,
+    /// When the answer is overdue, and whether the follower has already acted on that.
     pub(super) overdue_at: Duration,
     pub(super) overdue: bool,
-    /// From when on others are made, and until when it is kept.
-    pub(super) silent_at: Duration,
+    /// When the follower stops waiting for the call and makes others, and when it closes the call.
+    pub(super) timeout_at: Duration,
     pub(super) close_at: Duration,
-    pub(super) standing: Standing,
-    /// Begun on evidence from the servers.
+    pub(super) state: CallState,
+    /// Whether evidence from the servers caused the call.
     pub(super) by_evidence: bool,
-    /// Whether its time says something of discovery.
-    pub(super) timed: bool,
+    /// Whether the duration of the call is a valid sample of how long discovery takes.
+    pub(super) timing_valid: bool,
 }
 
 impl Call {
@@ -42,21 +44,21 @@
         matches!(self.query, Query::Watch { .. })
     }
 
-    /// How long after its wait it still is out, or ended; none where that is not over.
-    pub(super) fn late(&self, now: Duration) -> Option<Duration> {
-        now.checked_sub(self.started + self.query.wait())
+    /// Returns the time since the end of the wait that the call asked for; none if the wait is not over.
+    pub(super) fn time_past_wait(&self, now: Duration) -> Option<Duration> {
+        now.checked_sub(self.started_at + self.query.wait())
     }
 
     pub(super) fn is_awaited(&self) -> bool {
-        self.standing == Standing::Awaited
+        self.state == CallState::Awaited
     }
 
-    /// When something is to be done about it next.
+    /// Returns when the follower next has to act on the call.
     pub(super) fn next_wake(&self) -> Duration {
-        match self.standing {
-            Standing::Awaited if !self.overdue => self.overdue_at.min(self.silent_at),
-            Standing::Awaited => self.silent_at,
-            Standing::TimedOut | Standing::Superseded => self.close_at,
+        match self.state {
+            CallState::Awaited if !self.overdue => self.overdue_at.min(self.timeout_at),
+            CallState::Awaited => self.timeout_at,
+            CallState::TimedOut | CallState::Superseded => self.close_at,
         }
     }
 }
--- a/crates/spurdrum-sources/src/follower/messages.rs
+++ b/crates/spurdrum-sources/src/follower/messages.rs
@@ -1,4 +1,4 @@
-//! What a follower is told, what it wants done, and what it shows.
+//! The events and actions of a follower, and the state and counters that it reports.
 
 use std::fmt;
 use std::time::Duration;
@@ -6,23 +6,24 @@
 use super::StartupResult;
 use crate::List;
 
-/// A call, by its number.
+/// Identifies a call by its number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// What is asked.
+/// What a call asks discovery for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Query {
-    /// What is newer than a version, as soon as there is something, or nothing after the wait.
+    /// Changes newer than a revision, as soon as there are any, or an empty answer after the wait (a long
+    /// poll).
     Watch {
-        /// The version held.
+        /// The revision that the follower holds.
         since: u64,
-        /// The longest that discovery may wait.
+        /// The longest time that discovery may hold the call open.
         wait: Duration,
     },
-    /// What is newer than a version, at once.
+    /// Changes newer than a revision, answered at once.
     Poll {
-        /// The version held.
+        /// The revision that the follower holds.
         since: u64,
     },
     /// The whole list.
@@ -30,7 +31,7 @@
 }
 
 impl Query {
-    /// How long discovery may let it wait for news.
+    /// Returns how long discovery may hold the call open while there are no changes.
     #[must_use]
     pub fn wait(self) -> Duration {
         match self {
@@ -39,8 +40,8 @@
         }
     }
 
-    /// Its place among the counts of calls.
-    pub(super) fn kind(self) -> usize {
+    /// Returns the index of this type of call in [`Counts::calls`].
+    pub(super) fn count_index(self) -> usize {
         match self {
             Self::Watch { .. } => 0,
             Self::Poll { .. } => 1,
@@ -59,111 +60,113 @@
     }
 }
 
-/// How a call failed.
+/// Why a call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// No connection.
+    /// No connection could be established.
     Unreachable,
-    /// The connection broke, or its answer did.
+    /// The connection was lost before the answer was complete.
     ConnectionLost,
-    /// A kept connection was dead: discovery may be well.
+    /// A connection kept from an earlier call was already closed; this says nothing about the health of
+    /// discovery.
     ReusedConnectionClosed,
-    /// An answer that is no list, by its status or its text.
+    /// The answer is not a list, by its status or its body.
     InvalidList,
 }
 
-/// What the servers of the list do that the list does not explain.
+/// Behaviour of listed servers that the list does not explain, which suggests that the list is out of date.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Evidence {
-    /// A listed server cannot be reached.
+    /// A listed server, identified by a number, cannot be reached.
     Unreachable(u64),
-    /// A listed server turns work away; idle where it says itself that nothing waits there.
+    /// A listed server refuses requests.
     Refused {
-        /// Whether it told that nothing waits.
+        /// Whether the server itself reports that no requests wait there.
         idle: bool,
     },
-    /// The decisions took a server out.
+    /// The load-balancing policy ejected a server.
     Ejected,
-    /// A server says that it was started at another time than the list has.
+    /// A server reports another start time than the list has.
     Restarted,
 }
 
-/// What happens.
+/// An input of the follower.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time has passed; the first one begins.
+    /// Time has passed. The first tick starts the follower.
     Tick,
-    /// The head of an answer has come, which announces so many bytes.
+    /// The head of an answer has arrived.
     AnswerStarted {
         /// The call.
         call: CallId,
-        /// Bytes of the body, where they are told.
+        /// The length of the body in bytes as the head announces it; 0 if it does not.
         length: u64,
     },
-    /// A whole answer has come.
+    /// A whole answer has arrived.
     Answered {
         /// The call.
         call: CallId,
-        /// What it says.
+        /// The list in the answer.
         list: List,
     },
     /// A call has failed.
     Failed {
         /// The call.
         call: CallId,
-        /// How.
+        /// Why.
         failure: Failure,
     },
-    /// Discovery is to be found elsewhere; its versions are its own.
+    /// Discovery has a new address. The revisions there are unrelated to those before.
     AddressChanged,
-    /// The servers show something.
+    /// The node has seen servers behave in a way that the list does not explain.
     Evidence(Evidence),
 }
 
-/// What is to be done.
+/// An output of the follower, for the shell to carry out.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Ask.
+    /// Make a call.
     Call {
-        /// Its number from now on.
+        /// The number of the new call.
         call: CallId,
-        /// What.
+        /// What to ask for.
         query: Query,
     },
-    /// Close a call that has not ended; nothing more is heard of it.
+    /// Close a call that has not ended; the follower expects no event of it any more.
     Close {
-        /// Which.
+        /// The call.
         call: CallId,
         /// Why.
         reason: CloseReason,
     },
-    /// This is the list now, or what changed in it.
+    /// Apply this list: the whole list, or the changes to it.
     Apply(List),
-    /// The view is trusted otherwise than before.
+    /// The freshness of the list has changed.
     FreshnessChanged {
-        /// Before.
+        /// The freshness before.
         from: Freshness,
-        /// Now.
+        /// The freshness now.
         to: Freshness,
         /// Why.
         cause: Cause,
     },
-    /// A whole list is shorter by much: entries before and now.
+    /// A whole list is much shorter than the one before: the number of entries before and now.
     ListShrunk(usize, usize),
-    /// The process may serve from now on; once, after the list that came with this answer has been applied.
+    /// The process may serve requests from now on. Comes once, after the action that applies the list of the
+    /// same answer.
     Ready(StartupResult),
 }
 
 /// Why a call is closed before it has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// It has been silent for too long.
+    /// The call has been silent for too long.
     TimedOut,
     /// Another call has been answered.
     Superseded,
-    /// There are too many others.
+    /// Too many calls are open.
     TooManyCalls,
-    /// Discovery is to be found elsewhere.
+    /// Discovery has a new address.
     AddressChanged,
 }
 
@@ -173,19 +176,19 @@
             Self::TimedOut => "silent for too long",
             Self::Superseded => "another call was answered",
             Self::TooManyCalls => "too many calls",
-            Self::AddressChanged => "discovery has moved",
+            Self::AddressChanged => "discovery has a new address",
         })
     }
 }
 
-/// How far the view can be trusted.
+/// How far the list of servers can be trusted to be up to date.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Freshness {
-    /// Discovery answers.
+    /// Discovery answers calls in time.
     Fresh,
-    /// Something speaks against it.
+    /// A call is overdue or has failed, or servers behave in a way that the list does not explain.
     Doubtful,
-    /// It has not been confirmed for a while.
+    /// No answer has confirmed the list for [`Settings::stale_after`](super::Settings::stale_after).
     Stale,
 }
 
@@ -199,77 +202,77 @@
     }
 }
 
-/// Why the view changed.
+/// Why the freshness of the list changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// The list of an earlier run.
+    /// The list was restored from an earlier run.
     RestoredList,
-    /// Discovery has moved.
+    /// Discovery has a new address.
     AddressChanged,
     /// A call is overdue.
     Overdue,
-    /// A call was silent and has been given up.
+    /// A call was silent and has timed out.
     TimedOut,
     /// A call failed.
     Failed(Failure),
-    /// The servers speak against the list.
+    /// Servers behave in a way that the list does not explain.
     Evidence(Evidence),
-    /// A version older than the one held came from a call begun later.
+    /// A call that began after the held revision was received got an older revision.
     RevisionWentBack,
-    /// A change came that does not follow on the list held.
+    /// Changes arrived, but the follower holds no list that they apply to.
     MissedChanges,
-    /// The machine stood still.
+    /// The process was paused.
     ProcessPaused,
-    /// Nothing has confirmed it for too long.
+    /// No answer has confirmed the list for too long.
     Unconfirmed,
-    /// An answer has come.
+    /// An answer has arrived.
     Answered,
 }
 
 impl fmt::Display for Cause {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::RestoredList => "the list is that of an earlier run",
-            Self::AddressChanged => "discovery has moved",
+            Self::RestoredList => "the list was restored from an earlier run",
+            Self::AddressChanged => "discovery has a new address",
             Self::Overdue => "a call is overdue",
-            Self::TimedOut => "a call was silent",
+            Self::TimedOut => "a call timed out",
             Self::Failed(Failure::Unreachable) => "discovery cannot be reached",
-            Self::Failed(Failure::ConnectionLost) => "a call broke",
-            Self::Failed(Failure::ReusedConnectionClosed) => "a kept connection was dead",
-            Self::Failed(Failure::InvalidList) => "an answer is no list",
+            Self::Failed(Failure::ConnectionLost) => "the connection of a call was lost",
+            Self::Failed(Failure::ReusedConnectionClosed) => "a reused connection was already closed",
+            Self::Failed(Failure::InvalidList) => "an answer is not a list",
             Self::Evidence(Evidence::Unreachable(_)) => "listed servers cannot be reached",
-            Self::Evidence(Evidence::Refused { .. }) => "listed servers turn work away",
-            Self::Evidence(Evidence::Ejected) => "servers are taken out",
-            Self::Evidence(Evidence::Restarted) => "a server has another start than the list says",
-            Self::RevisionWentBack => "the version runs backwards",
-            Self::MissedChanges => "a change does not follow on the list held",
-            Self::ProcessPaused => "this machine stood still",
-            Self::Unconfirmed => "nothing has confirmed it",
-            Self::Answered => "the list comes",
+            Self::Evidence(Evidence::Refused { .. }) => "listed servers refuse requests",
+            Self::Evidence(Evidence::Ejected) => "servers were ejected",
+            Self::Evidence(Evidence::Restarted) => "a server reports another start time than the list",
+            Self::RevisionWentBack => "the version went back",
+            Self::MissedChanges => "changes arrived that do not apply to the list held",
+            Self::ProcessPaused => "this process was paused",
+            Self::Unconfirmed => "no answer has confirmed the list in time",
+            Self::Answered => "discovery answered",
         })
     }
 }
 
-/// What was done, since the start.
+/// Counters since the start of the process.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Calls begun: watches, polls, reads.
+    /// Calls made: watches, polls, reads.
     pub calls: [u64; 3],
-    /// Answers that were taken, and of them with news.
+    /// Answers accepted, and how many of them contained changes.
     pub answers: u64,
     /// See `answers`.
     pub with_changes: u64,
-    /// Answers older than what was held.
+    /// Answers with an older revision than the one held.
     pub outdated: u64,
-    /// Calls given up as silent.
+    /// Calls that timed out.
     pub timed_out: u64,
-    /// Calls that failed otherwise.
+    /// Calls that failed in another way.
     pub failed: u64,
-    /// Pieces of evidence from servers, and calls that they led to.
+    /// Pieces of evidence from servers, and calls made because of them.
     pub evidence: u64,
     /// See `evidence`.
     pub calls_on_evidence: u64,
-    /// Calls that were wanted, for which the budget had nothing left.
+    /// Calls that were not made because the budget was used up.
     pub over_budget: u64,
 }
 
--- a/crates/spurdrum-sources/src/follower/mod.rs
+++ b/crates/spurdrum-sources/src/follower/mod.rs
@@ -1,4 +1,5 @@
-//! When a list of servers is asked for, which answers count, and how far the view can be trusted.
+//! The follower: a pure state machine that keeps one list of servers up to date by calls to discovery. It
+//! decides when a call is made, which answers count, and how far the list can be trusted ([`Freshness`]).
 //!
 //! ```
 //! use std::time::Duration;
@@ -9,15 +10,28 @@
 //! follower.handle(Duration::ZERO, Event::Tick, &mut actions);
 //! let due = follower.next_wake().expect("a first call is due");
 //! follower.handle(due, Event::Tick, &mut actions);
-//! // The list of the last run may be old: the first call asks for what is newer at once.
+//! // The list of the last run may be out of date: the first call is a poll for the changes since then.
 //! assert!(matches!(actions[0], Action::Call { .. }));
 //! ```
 //!
-//! A watch that says nothing and one that hangs look alike until the wait that was asked for is over, so that wait is
-//! how long a hang stays unseen. It begins short, doubles with each sound answer, and is short again where calls hang
-//! here, or where news is frequent. A call that is overdue gets a second one beside it at once; what the servers do
-//! (dials refused, work turned away by an idle server, ejections) makes a poll due. Both come out of one budget, whose
-//! pace follows how long answers take: where many nodes queue for one discovery, all of them see it and ask less.
+//! A watch (a long poll) without changes and a watch that hangs look alike until the wait that the watch
+//! asked for is over, so the wait is how long a hang goes unnoticed. It starts short, doubles with each good
+//! answer, and is short again while calls time out or the list changes often. When a call is overdue, a
+//! second one is made beside it at once. Evidence from the servers (refused connections, requests rejected by
+//! an idle server, ejections) triggers a poll. Both kinds of extra calls come out of one budget, which is
+//! refilled the more slowly the longer answers take: if many nodes queue at one discovery, all of them see
+//! that and make fewer calls.
+//!
+//! The life of a call: it is *awaited* at first. It becomes *overdue* when its answer should have arrived,
+//! and *times out* when the follower no longer waits for it. A call that has timed out, or that is
+//! *superseded* by the answer of another call, may stay open for a while, since its answer may still come.
+//!
+//! A change *counts as notified* to a node at a bounded time after discovery has it, whether or not the node
+//! has received it: from then on the node is expected to send no new requests to a server that is draining or
+//! gone. The bound is 6 s (`NOTIFIED_AFTER`) if a call of the node is silent, and
+//! [`Settings::max_call_interval`] if the node makes none. The pacing of calls is designed around these
+//! bounds. Discovery is *contended* if so many nodes call it that their calls queue for longer than the usual
+//! time-out; it is *slow* if answers take long for any reason.
 
 mod call;
 mod messages;
@@ -30,842 +44,923 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
 
-use crate::leaving::Leaving;
+use crate::leaving::LeavingServers;
 use crate::{List, Phase};
 
-use call::{Call, Standing};
+use call::{Call, CallState};
 pub use messages::{Action, CallId, Cause, CloseReason, Counts, Event, Evidence, Failure, Freshness, Query};
 pub use settings::Settings;
-use start::Start;
+use start::Startup;
 pub use start::StartupResult;
 use timing::Timing;
 
-/// Calls out at once, at most.
+/// The largest number of calls open at once.
 pub const MAX_OPEN_CALLS: usize = 4;
-/// Calls whose answers are waited for at once, at most: one that is overdue or deaf, and one beside it. All others were silent for so long
-/// that more were made, or have been superseded.
+/// The largest number of calls awaited at once: one that is overdue or hangs, and one beside it. All other
+/// open calls have timed out or been superseded.
 pub const MAX_AWAITED_CALLS: usize = 2;
-/// However many nodes ask, a call follows after this at the latest on one that failed, or that was answered early without news:
-/// what is not asked for may count as told after 6 s, of which an answer may wait its turn for two and more.
-const PAUSE_MOST: Duration = Duration::from_millis(3_500);
-/// What a call that says nothing would have told counts as told so long after it fell silent, or so long after the wait that it
-/// asked for, if that is later. By then the next call must have answered.
-const TOLD_AFTER: Duration = Duration::from_secs(6);
-const TOLD_AFTER_WAIT: Duration = Duration::from_secs(2);
-/// Where answers take longer than this, in seconds, calls queue at discovery: one more beside another makes the queue longer.
-const SLOW_ANSWER: f64 = 0.2;
-/// What is left of what was learned of turns with each watch that ends quietly: half after some 14 of them, half a minute where watches wait
-/// for 2 s.
-const TURN_FADES: f64 = 0.95;
-/// The time that is left for an answer, in usual turns.
-const SPARE_TURNS: f64 = 2.0;
-/// A silent call is closed this long after its wait, unless its place is needed before: a discovery that takes longer for an answer is of no
-/// use to a list, and a dead connection is held for no longer.
-const KEPT: Duration = Duration::from_secs(10);
-/// Where discovery moves again before it has answered, the newest one is asked this long after the one before at the soonest, or as
-/// long as its answer may take: each call to a slow discovery makes the next one later.
-const MOVES_APART: Duration = Duration::from_secs(1);
-/// Two calls begin at least this far apart.
-const APART: Duration = Duration::from_millis(10);
-/// Weight of one more call in the part of calls that hang.
-const HANG_WEIGHT: f64 = 1.0 / 16.0;
-/// Before any answer was timed, one that need not wait, and the end of a wait, are thought to take this long.
-const SERVICE_GUESS: f64 = 0.05;
-const LATENESS_GUESS: f64 = 0.01;
-/// An answer is overdue no sooner than this after its time.
-const OVERDUE_LEAST: Duration = Duration::from_millis(50);
-/// Failures in a row after which no second call is begun beside a silent one: nobody is there to answer.
-const BESIDE_UNTIL: u32 = 3;
-/// The first calls of processes that start together are spread over this time at the most: until it is answered a process serves nobody, and
-/// the watches that follow had better queue behind all of them.
-const FIRST_CALL_MOST: Duration = Duration::from_millis(200);
-/// The next calls of those whose first one failed at once are spread over this time at the most.
-const SECOND_CALL_MOST: Duration = Duration::from_secs(1);
-/// Points of evidence that make a call due; doubled with each such call that brings nothing, up to the most.
-const EVIDENCE: f64 = 2.0;
-const EVIDENCE_MOST: f64 = 32.0;
-/// Points lose half their weight in this time, and the points that are needed fall by half in that.
-const EVIDENCE_HALF_LIFE: f64 = 1.0;
-const NEED_HALF_LIFE: f64 = 10.0;
-/// A tick that comes later than this after its time means that this machine stood still, not that discovery did.
-const JUMP: Duration = Duration::from_secs(3);
-/// A whole list that is shorter than this part of the last one is told to the operators.
-const SHORTER: f64 = 0.5;
-/// Where more than this part of the calls hang, two watches stand side by side while there is news.
-const HANGS_HERE: f64 = 0.04;
-/// A body may take this much longer for each so many bytes that are announced.
-const BODY_PER_S: f64 = 1_048_576.0;
-
-/// How long after its wait a call that was silent from the start counts as having told its news.
-fn told_after(wait: Duration) -> Duration {
-    TOLD_AFTER.saturating_sub(wait).max(TOLD_AFTER_WAIT)
+/// The longest pause after a call that failed or that was answered early without changes, however many nodes
+/// there are: a change may count as notified after 6 s, and the answer that brings it may queue at discovery
+/// for 2 s and more of these.
+const MAX_PAUSE: Duration = Duration::from_millis(3_500);
+/// The changes that a silent call would have delivered count as notified [`NOTIFIED_AFTER`] after it fell
+/// silent, or
+/// [`NOTIFIED_AFTER_WAIT`] after the end of the wait that it asked for, whichever is later. The next call must be answered by
+/// then.
+const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
+const NOTIFIED_AFTER_WAIT: Duration = Duration::from_secs(2);
+/// Discovery is slow if answers take longer than this, in seconds: calls queue there, and a second call
+/// beside another makes the queue longer.
+const SLOW_RESPONSE_S: f64 = 0.2;
+/// The factor by which the estimate of the response time decays with each watch that ends without changes. It
+/// halves after some 14 of them, which is half a minute with watches that wait for 2 s.
+const RESPONSE_TIME_DECAY: f64 = 0.95;
+/// The time that must remain for an answer, in usual response times.
+const ANSWER_MARGIN_FACTOR: f64 = 2.0;
+/// A silent call is closed this long after its wait, or earlier if too many calls are open. An answer that
+/// takes longer is of no use to the list, and a dead connection must not be held for longer.
+const OPEN_AFTER_WAIT: Duration = Duration::from_secs(10);
+/// If the address of discovery changes again before the last address has answered, the newest address is
+/// called no sooner than this after the one before, or than its answer may take: each call to a slow
+/// discovery delays the next one.
+const ADDRESS_CHANGE_INTERVAL: Duration = Duration::from_secs(1);
+/// The least time between the starts of two regular calls.
+const CALL_INTERVAL: Duration = Duration::from_millis(10);
+/// The weight of the newest call in the running share of calls that time out.
+const TIMEOUT_RATE_WEIGHT: f64 = 1.0 / 16.0;
+/// Initial estimates, in seconds, until answers have been timed: how long a poll or read takes, and how long
+/// after the end of its wait a watch is answered.
+const INITIAL_SERVICE_S: f64 = 0.05;
+const INITIAL_LATENESS_S: f64 = 0.01;
+/// A call is overdue no sooner than this after the end of its wait.
+const MIN_OVERDUE: Duration = Duration::from_millis(50);
+/// After this many consecutive failures no second call is made beside a silent one: discovery is not there to
+/// answer it.
+const MAX_FAILURES_FOR_SECOND_CALL: u32 = 3;
+/// Upper bound on the time over which the first calls of processes that start together are spread. It is
+/// short, since a process serves no requests until its first call is answered, and the watches that follow
+/// should queue behind all first calls.
+const MAX_FIRST_CALL_SPREAD: Duration = Duration::from_millis(200);
+/// Upper bound on the time over which the next calls are spread of processes whose first call failed at once.
+const MAX_SECOND_CALL_SPREAD: Duration = Duration::from_secs(1);
+/// The score of evidence that triggers a poll. It doubles with each such poll that brings no changes, up to
+/// the maximum.
+const EVIDENCE_THRESHOLD: f64 = 2.0;
+const MAX_EVIDENCE_THRESHOLD: f64 = 32.0;
+/// The times, in seconds, in which the score of evidence and its threshold fall by half.
+const EVIDENCE_HALF_LIFE_S: f64 = 1.0;
+const THRESHOLD_HALF_LIFE_S: f64 = 10.0;
+/// A tick that comes later than this after its time means that this process was paused, not that discovery is
+/// silent.
+const PROCESS_PAUSE: Duration = Duration::from_secs(3);
+/// A whole list shorter than this share of the last one is reported to the operators.
+const SHRUNK_BELOW: f64 = 0.5;
+/// If more than this share of the calls times out, two watches are kept open side by side while the list
+/// changes often.
+const HIGH_TIMEOUT_RATE: f64 = 0.04;
+/// The slowest acceptable rate of an answer's body: the silence time-out is extended by the announced length
+/// over this rate.
+const BODY_BYTES_PER_S: f64 = 1_048_576.0;
+
+/// Returns how long after its wait the changes of a call that was silent from the start count as notified.
+fn notified_after_wait(wait: Duration) -> Duration {
+    NOTIFIED_AFTER.saturating_sub(wait).max(NOTIFIED_AFTER_WAIT)
 }
 
-/// The version held of a discovery that has been moved away from.
+/// The revision that was received from an earlier address of discovery.
 #[derive(Clone, Copy)]
-struct FormerVersion {
-    origin: u64,
+struct PreviousRevision {
+    address_epoch: u64,
     revision: u64,
 }
 
-/// Follows one list. See the [module](self) page.
+/// Follows one list of servers. See the [module documentation](self).
 pub struct Follower {
     settings: Settings,
-    random: fastrand::Rng,
-    /// How often discovery has moved.
-    origin: u64,
-    /// The version held, once the present discovery has told one...
+    rng: fastrand::Rng,
+    /// How often the address of discovery has changed.
+    address_epoch: u64,
+    /// The revision held, once the present address of discovery has sent one...
     revision: Option<u64>,
-    /// ...and until then what is held of those before it.
-    former: Option<FormerVersion>,
-    /// When the version held was learned.
-    learned_at: Duration,
-    /// A call begun later has already answered with an older version.
-    backwards: bool,
-    members: HashSet<u64>,
-    leaving: Leaving,
+    /// ...and until then the revision received from an earlier address.
+    previous: Option<PreviousRevision>,
+    /// When the revision held was received.
+    revision_received_at: Duration,
+    /// Whether a call made after that has already been answered with an older revision.
+    revision_went_back: bool,
+    /// Hashes of the ids of the listed servers.
+    member_hashes: HashSet<u64>,
+    leaving: LeavingServers,
     calls: Vec<Call>,
-    last_call: u64,
-    begun_at: Option<Duration>,
-    /// When the next call is due, where one is.
-    due: Option<Duration>,
-    /// A poll is due, perhaps for what the servers show.
-    poll: bool,
-    by_evidence: bool,
-    /// Sound answers in a row, and failures.
-    good: u32,
-    failures: u32,
-    /// What the last silent call asked, where none has answered since: the next one asks otherwise.
-    silent: Option<Query>,
-    /// Part of the calls that hang.
-    hangs: f64,
-    /// How late the answer of a quiet watch is, and how long discovery takes for one that need not wait.
+    last_call_id: u64,
+    last_call_at: Option<Duration>,
+    /// When the next regular call is due, if one is.
+    next_call_at: Option<Duration>,
+    /// Whether a poll beside the regular calls is due, and whether evidence from the servers caused it.
+    poll_due: bool,
+    poll_by_evidence: bool,
+    /// Consecutive good answers, and consecutive failures.
+    consecutive_answers: u32,
+    consecutive_failures: u32,
+    /// The query of the last call that timed out, if none has been answered since: the next call uses another
+    /// type of query.
+    timed_out_query: Option<Query>,
+    /// The running share of calls that time out.
+    timeout_rate: f64,
+    /// How long after the end of its wait a watch is answered, and how long a poll or read takes.
     lateness: Timing,
     service: Timing,
-    /// How long calls lately waited for their turn, in seconds: those that were answered at once or with news, not quiet watches.
-    turn: Option<f64>,
-    /// Usual time between news, in seconds, and when it came last.
-    gap: f64,
-    news_at: Option<Duration>,
-    tokens: (f64, Duration),
-    points: (f64, Duration),
-    need: (f64, Duration),
+    /// The recent response time of discovery, in seconds, from polls, reads and watches with changes. A watch
+    /// that ends without changes does not queue at discovery and is not counted.
+    response_time: Option<f64>,
+    /// The usual interval between changes, in seconds, and when the last change came.
+    change_interval: f64,
+    last_change_at: Option<Duration>,
+    /// Calls left in the budget, the score of the evidence, and its threshold, each with the time when it was
+    /// last computed.
+    call_budget: (f64, Duration),
+    evidence_score: (f64, Duration),
+    evidence_threshold: (f64, Duration),
+    /// The server that evidence last reported as unreachable.
     last_unreachable: Option<u64>,
-    /// Since when the view has not been confirmed as it should.
-    trouble_since: Option<Duration>,
-    proved_at: Option<Duration>,
+    /// Since when the list has not been confirmed as it should be.
+    doubtful_since: Option<Duration>,
+    confirmed_at: Option<Duration>,
     freshness: Freshness,
-    cause: Cause,
+    doubt_cause: Cause,
     counts: Counts,
-    started: bool,
-    /// Until the list is confirmed for the first time, or has to do without.
-    start: Option<Start>,
+    has_started: bool,
+    /// Set until discovery has confirmed the list for the first time, or the startup time-out is over.
+    startup: Option<Startup>,
 }
 
 impl Follower {
-    /// Follows on from the version of an earlier run, where there is one.
+    /// Creates a follower that continues from `known_revision`, that of an earlier run, if there is one.
     ///
     /// # Errors
     ///
-    /// The first setting that makes no sense, and why.
+    /// Returns the key of the first setting that is not valid, and why.
     pub fn new(
         settings: Settings,
         seed: u64,
-        known: Option<u64>,
+        known_revision: Option<u64>,
     ) -> Result<Self, (&'static str, &'static str)> {
         settings.validate()?;
         Ok(Self {
-            random: fastrand::Rng::with_seed(seed),
-            origin: 0,
-            revision: known,
-            former: None,
-            learned_at: Duration::ZERO,
-            backwards: false,
-            members: HashSet::new(),
-            leaving: Leaving::default(),
+            rng: fastrand::Rng::with_seed(seed),
+            address_epoch: 0,
+            revision: known_revision,
+            previous: None,
+            revision_received_at: Duration::ZERO,
+            revision_went_back: false,
+            member_hashes: HashSet::new(),
+            leaving: LeavingServers::default(),
             calls: Vec::new(),
-            last_call: 0,
-            begun_at: None,
-            due: None,
-            poll: false,
-            by_evidence: false,
-            good: 0,
-            failures: 0,
-            silent: None,
-            hangs: 0.0,
-            lateness: Timing::new(LATENESS_GUESS),
-            service: Timing::new(SERVICE_GUESS),
-            turn: None,
-            gap: f64::INFINITY,
-            news_at: None,
-            tokens: (settings.burst_calls, Duration::ZERO),
-            points: (0.0, Duration::ZERO),
-            need: (EVIDENCE, Duration::ZERO),
+            last_call_id: 0,
+            last_call_at: None,
+            next_call_at: None,
+            poll_due: false,
+            poll_by_evidence: false,
+            consecutive_answers: 0,
+            consecutive_failures: 0,
+            timed_out_query: None,
+            timeout_rate: 0.0,
+            lateness: Timing::new(INITIAL_LATENESS_S),
+            service: Timing::new(INITIAL_SERVICE_S),
+            response_time: None,
+            change_interval: f64::INFINITY,
+            last_change_at: None,
+            call_budget: (settings.burst_calls, Duration::ZERO),
+            evidence_score: (0.0, Duration::ZERO),
+            evidence_threshold: (EVIDENCE_THRESHOLD, Duration::ZERO),
             last_unreachable: None,
-            trouble_since: None,
-            proved_at: None,
+            doubtful_since: None,
+            confirmed_at: None,
             freshness: Freshness::Doubtful,
-            cause: Cause::RestoredList,
+            doubt_cause: Cause::RestoredList,
             counts: Counts::default(),
-            started: false,
-            start: None,
+            has_started: false,
+            startup: None,
             settings,
         })
     }
 
-    /// Servers that leave by the list of an earlier run.
-    pub fn restore_leaving(&mut self, mut known: List) {
-        self.leaving.heed(Duration::ZERO, &mut known);
+    /// Restores which servers were leaving, from the list of an earlier run.
+    pub fn restore_leaving(&mut self, mut list: List) {
+        self.leaving.filter(Duration::ZERO, &mut list);
     }
 
-    /// Takes one event that happened at `now`, which never runs backwards, and appends what is to be done.
+    /// Handles one event that happened at `now`, which never goes back, and appends the actions to carry out.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
-        if !self.started {
-            self.started = true;
-            self.trouble_since = Some(now);
-            self.start = Some(Start { until: now + self.settings.startup_timeout, confirmed: false });
-            // Nodes that start together do not ask together.
-            self.due = Some(now + self.spread().min(FIRST_CALL_MOST).mul_f64(self.part()));
-        }
-        self.allow_for_standstill(now);
+        if !self.has_started {
+            self.has_started = true;
+            self.doubtful_since = Some(now);
+            self.startup = Some(Startup { deadline: now + self.settings.startup_timeout, confirmed: false });
+            // Nodes that start together must not call together.
+            self.next_call_at = Some(
+                now + self.first_call_spread().min(MAX_FIRST_CALL_SPREAD).mul_f64(self.spread_position()),
+            );
+        }
+        self.allow_for_pause(now);
         match event {
             Event::Tick => {}
-            Event::AnswerStarted { call, length } => self.begun(now, call, length),
-            Event::Answered { call, list } => self.answered(now, call, list, actions),
-            Event::Failed { call, failure } => self.failed(now, call, failure),
-            Event::AddressChanged => self.moved(now),
-            Event::Evidence(evidence) => self.evidence(now, evidence),
+            Event::AnswerStarted { call, length } => self.answer_started(now, call, length),
+            Event::Answered { call, list } => self.on_answer(now, call, list, actions),
+            Event::Failed { call, failure } => self.on_failure(now, call, failure),
+            Event::AddressChanged => self.address_changed(now),
+            Event::Evidence(evidence) => self.add_evidence(now, evidence),
         }
-        self.settle(now, actions);
+        self.update(now, actions);
     }
 
-    /// When the next [`Event::Tick`] is wanted.
+    /// Returns when the next [`Event::Tick`] is due.
     pub fn next_wake(&self) -> Option<Duration> {
-        let blind = self.trouble_since.filter(|_| self.freshness != Freshness::Stale);
-        let times = self.calls.iter().map(Call::next_wake).chain(self.due).chain(self.leaving.due());
-        let times = times.chain(self.start.map(|start| start.until));
-        times.chain(blind.map(|since| since + self.settings.stale_after)).min()
-    }
-
-    /// When the next call goes out, where one is due.
+        let doubtful_since = self.doubtful_since.filter(|_| self.freshness != Freshness::Stale);
+        let times = self
+            .calls
+            .iter()
+            .map(Call::next_wake)
+            .chain(self.next_call_at)
+            .chain(self.leaving.next_release());
+        let times = times.chain(self.startup.map(|startup| startup.deadline));
+        times.chain(doubtful_since.map(|since| since + self.settings.stale_after)).min()
+    }
+
+    /// Returns when the next regular call is due, if one is.
     pub fn next_call(&self) -> Option<Duration> {
-        self.due
+        self.next_call_at
     }
 
-    /// How far the view can be trusted.
+    /// Returns how far the list can be trusted.
     pub fn freshness(&self) -> Freshness {
         self.freshness
     }
 
-    /// Time since an answer last confirmed the view; none where none has yet.
+    /// Returns the time since an answer last confirmed the list; none if no answer has.
     pub fn age(&self, now: Duration) -> Option<Duration> {
-        self.proved_at.map(|at| now.saturating_sub(at))
+        self.confirmed_at.map(|at| now.saturating_sub(at))
     }
 
-    /// The version held, where the present discovery gave it.
+    /// Returns the revision held, if the present address of discovery sent it.
     pub fn revision(&self) -> Option<u64> {
         self.revision
     }
 
-    /// What was done since the start.
+    /// Returns the counters since the start.
     pub fn counts(&self) -> &Counts {
         &self.counts
     }
 
-    /// Calls that are out.
+    /// Returns the number of open calls.
     pub fn open_calls(&self) -> usize {
         self.calls.len()
     }
 
-    /// Calls that are out and whose answers are waited for.
+    /// Returns the number of open calls whose answers are awaited.
     pub fn awaited_calls(&self) -> usize {
         self.calls.iter().filter(|call| call.is_awaited()).count()
     }
 
     // ---- Calls
 
-    fn begin(&mut self, now: Duration, query: Query, by_evidence: bool, actions: &mut Vec<Action>) {
+    fn make_call(&mut self, now: Duration, query: Query, by_evidence: bool, actions: &mut Vec<Action>) {
         self.make_room(actions);
-        self.last_call += 1;
-        let id = CallId(self.last_call);
+        self.last_call_id += 1;
+        let id = CallId(self.last_call_id);
         let timing = self.timing(query);
-        let most =
-            told_after(query.wait()).saturating_sub(self.answer_spare()).max(self.settings.silence_timeout);
-        let patience = self.patience(timing).min(most);
-        let ends = now + query.wait();
-        let bound = match self.agent_time() {
-            Some(time) => time,
-            None if self.is_alone() => patience,
-            None => timing.bound(OVERDUE_LEAST, patience / 2),
+        let max_timeout = notified_after_wait(query.wait())
+            .saturating_sub(self.answer_margin())
+            .max(self.settings.silence_timeout);
+        let timeout = self.silence_timeout(timing).min(max_timeout);
+        let wait_ends_at = now + query.wait();
+        let overdue_after = match self.agent_wait() {
+            Some(wait) => wait,
+            None if self.is_single_call() => timeout,
+            None => timing.upper_bound(MIN_OVERDUE, timeout / 2),
+        };
+        // A timed-out call is not kept open beside the next one if an agent answers the next one just as
+        // soon, or if a contended discovery may end the older call because of the newer one.
+        let close_after = if self.settings.local_agent || self.is_contended() {
+            timeout
+        } else {
+            max_timeout.max(OPEN_AFTER_WAIT)
         };
-        // An agent answers the next one as soon; in a crowd discovery may end the first one for it.
-        let kept = if self.settings.local_agent || self.is_crowded() { patience } else { most.max(KEPT) };
-        self.counts.calls[query.kind()] += 1;
+        self.counts.calls[query.count_index()] += 1;
         self.calls.push(Call {
             id,
             query,
-            origin: self.origin,
-            started: now,
-            overdue_at: ends + bound,
+            address_epoch: self.address_epoch,
+            started_at: now,
+            overdue_at: wait_ends_at + overdue_after,
             overdue: false,
-            silent_at: ends + patience,
-            close_at: ends + kept,
-            standing: Standing::Awaited,
+            timeout_at: wait_ends_at + timeout,
+            close_at: wait_ends_at + close_after,
+            state: CallState::Awaited,
             by_evidence,
-            // Many processes may start at once: how long discovery takes then says nothing of how long it takes usually.
-            timed: self.start.is_none(),
+            // Many processes may start at once, so answer times during a start say nothing about the usual
+            // ones.
+            timing_valid: self.startup.is_none(),
         });
-        self.begun_at = Some(now);
+        self.last_call_at = Some(now);
         actions.push(Action::Call { call: id, query });
     }
 
-    /// Closes what there is no place for beside one more call. The oldest call stays: it is the next that a slow discovery answers.
+    /// Closes calls so that one more fits within the limits. The oldest call stays open: it is the next that
+    /// a slow discovery answers.
     fn make_room(&mut self, actions: &mut Vec<Action>) {
         if self.settings.local_agent {
-            // An agent that is slow must have the time to answer one of them.
+            // A slow agent must have the time to answer one of the calls, so the newest overdue call is
+            // closed.
             while self.calls.len() >= MAX_AWAITED_CALLS {
-                let place = self.calls.iter().rposition(|call| call.overdue).unwrap_or(0);
-                self.displace(place, actions);
+                let index = self.calls.iter().rposition(|call| call.overdue).unwrap_or(0);
+                self.close_excess(index, actions);
             }
             return;
         }
         while self.awaited_calls() >= MAX_AWAITED_CALLS {
             let overdue = self.calls.iter().position(|call| call.is_awaited() && call.overdue);
             let oldest = self.calls.iter().position(Call::is_awaited);
-            let Some(place) = overdue.or(oldest) else { break };
-            self.calls[place].overdue = true;
-            self.calls[place].standing = Standing::TimedOut;
+            let Some(index) = overdue.or(oldest) else { break };
+            self.calls[index].overdue = true;
+            self.calls[index].state = CallState::TimedOut;
         }
         while self.calls.len() >= MAX_OPEN_CALLS {
-            let kept = self.calls.iter().rposition(|call| !call.is_awaited());
-            let place = kept.filter(|place| *place > 0).unwrap_or(self.calls.len() - 1);
-            self.displace(place, actions);
+            let newest = self.calls.iter().rposition(|call| !call.is_awaited());
+            let index = newest.filter(|index| *index > 0).unwrap_or(self.calls.len() - 1);
+            self.close_excess(index, actions);
         }
     }
 
-    fn displace(&mut self, place: usize, actions: &mut Vec<Action>) {
-        let call = self.calls.remove(place).id;
+    fn close_excess(&mut self, index: usize, actions: &mut Vec<Action>) {
+        let call = self.calls.remove(index).id;
         actions.push(Action::Close { call, reason: CloseReason::TooManyCalls });
     }
 
-    /// What the next ordinary call asks.
-    fn ordinary(&mut self, now: Duration) -> Query {
-        match (self.revision, self.silent) {
+    /// Returns the query of the next regular call.
+    fn regular_query(&mut self, now: Duration) -> Query {
+        match (self.revision, self.timed_out_query) {
             (None, _) => Query::Read,
-            _ if self.backwards => Query::Read,
-            // A change may count as told already that was made before the start. A watch would tell nothing where nothing is new, and
-            // the process has to know that before it serves.
-            (Some(since), None) if self.start.is_some() => Query::Poll { since },
+            _ if self.revision_went_back => Query::Read,
+            // A change made before the start may already count as notified. Without changes a watch would not
+            // be answered at once, and the process must have its list confirmed before it serves requests.
+            (Some(since), None) if self.startup.is_some() => Query::Poll { since },
             (Some(since), Some(Query::Watch { .. })) => Query::Poll { since },
             (Some(_), Some(Query::Poll { .. })) => Query::Read,
-            // Guards against a long wait for an answer that is as lost as those before it.
+            // The answer may get lost like those before it, so the wait is short.
             (Some(since), Some(Query::Read)) => {
-                Query::Watch { since, wait: self.agent_time().unwrap_or(self.settings.min_wait) }
+                Query::Watch { since, wait: self.agent_wait().unwrap_or(self.settings.min_wait) }
             }
-            (Some(since), None) => Query::Watch { since, wait: self.wait(now) },
+            (Some(since), None) => Query::Watch { since, wait: self.next_wait(now) },
         }
     }
 
-    fn watches(&self) -> usize {
-        let followed = |call: &&Call| call.is_awaited() && !call.overdue && call.is_watch();
-        self.calls.iter().filter(followed).count()
+    fn current_watches(&self) -> usize {
+        let is_current = |call: &&Call| call.is_awaited() && !call.overdue && call.is_watch();
+        self.calls.iter().filter(is_current).count()
     }
 
-    fn is_followed(&self) -> bool {
-        self.watches() > 0
+    fn has_current_watch(&self) -> bool {
+        self.current_watches() > 0
     }
 
-    fn due_by(&mut self, at: Duration) {
-        self.due = Some(self.due.map_or(at, |due| due.min(at)));
+    fn schedule_call_by(&mut self, at: Duration) {
+        self.next_call_at = Some(self.next_call_at.map_or(at, |due| due.min(at)));
     }
 
-    /// Gives up what is silent, begins what is due, and says how far the view can be trusted.
-    fn settle(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        if let Some(end) = self.start.and_then(|start| start.end(now)) {
-            self.start = None;
-            actions.push(Action::Ready(end));
+    /// Times out silent calls, makes the calls that are due, and updates the freshness of the list.
+    fn update(&mut self, now: Duration, actions: &mut Vec<Action>) {
+        if let Some(result) = self.startup.and_then(|startup| startup.result(now)) {
+            self.startup = None;
+            actions.push(Action::Ready(result));
         }
-        self.heed_silence(now, actions);
-        if self.awaited_calls() == 0 && self.due.is_none() {
-            self.due = Some(now);
+        self.check_timeouts(now, actions);
+        if self.awaited_calls() == 0 && self.next_call_at.is_none() {
+            self.next_call_at = Some(now);
         }
-        if let Some(since) = self.revision.filter(|_| std::mem::take(&mut self.poll)) {
-            let query = if matches!(self.silent, Some(Query::Poll { .. })) {
+        if let Some(since) = self.revision.filter(|_| std::mem::take(&mut self.poll_due)) {
+            let query = if matches!(self.timed_out_query, Some(Query::Poll { .. })) {
                 Query::Read
             } else {
                 Query::Poll { since }
             };
-            let by_evidence = std::mem::take(&mut self.by_evidence);
-            self.begin(now, query, by_evidence, actions);
-        }
-        if let Some(due) = self.due.filter(|due| *due <= now) {
-            let soonest = self.begun_at.map_or(due, |at| at + APART);
-            if soonest > now {
-                self.due = Some(soonest);
-            } else if self.is_alone() && self.is_waited_for() {
-                // Its end makes the next one due.
-                self.due = None;
+            let by_evidence = std::mem::take(&mut self.poll_by_evidence);
+            self.make_call(now, query, by_evidence, actions);
+        }
+        if let Some(due) = self.next_call_at.filter(|due| *due <= now) {
+            let earliest = self.last_call_at.map_or(due, |at| at + CALL_INTERVAL);
+            if earliest > now {
+                self.next_call_at = Some(earliest);
+            } else if self.is_single_call() && self.blocks_next_call() {
+                // The end of the awaited call makes the next one due.
+                self.next_call_at = None;
             } else {
-                self.due = None;
-                let query = self.ordinary(now);
-                self.begin(now, query, false, actions);
-                // Where calls hang, one of two watches is likely to tell what the other does not.
-                let two = self.hangs > HANGS_HERE && !self.is_alone() && self.is_news_due(now);
-                if two && self.watches() == 1 && self.awaited_calls() < MAX_AWAITED_CALLS && self.afford(now)
+                self.next_call_at = None;
+                let query = self.regular_query(now);
+                self.make_call(now, query, false, actions);
+                // If calls hang often, one of two watches is likely to deliver what the other does not.
+                let wants_second_watch = self.timeout_rate > HIGH_TIMEOUT_RATE
+                    && !self.is_single_call()
+                    && self.is_change_expected(now);
+                if wants_second_watch
+                    && self.current_watches() == 1
+                    && self.awaited_calls() < MAX_AWAITED_CALLS
+                    && self.take_from_budget(now)
                 {
-                    self.due = Some(now + APART);
+                    self.next_call_at = Some(now + CALL_INTERVAL);
                 }
             }
         }
         if let Some(list) = self.leaving.release(now, self.revision.unwrap_or_default()) {
             actions.push(Action::Apply(list));
         }
-        let blind = self.trouble_since.is_some_and(|since| now >= since + self.settings.stale_after);
+        let is_stale = self.doubtful_since.is_some_and(|since| now >= since + self.settings.stale_after);
         match self.freshness {
-            Freshness::Fresh | Freshness::Doubtful if blind => {
-                self.show(Freshness::Stale, Cause::Unconfirmed, actions)
+            Freshness::Fresh | Freshness::Doubtful if is_stale => {
+                self.set_freshness(Freshness::Stale, Cause::Unconfirmed, actions)
             }
-            Freshness::Fresh if self.trouble_since.is_some() => {
-                self.show(Freshness::Doubtful, self.cause, actions)
+            Freshness::Fresh if self.doubtful_since.is_some() => {
+                self.set_freshness(Freshness::Doubtful, self.doubt_cause, actions)
             }
-            Freshness::Doubtful | Freshness::Stale if self.trouble_since.is_none() => {
-                self.show(Freshness::Fresh, Cause::Answered, actions);
+            Freshness::Doubtful | Freshness::Stale if self.doubtful_since.is_none() => {
+                self.set_freshness(Freshness::Fresh, Cause::Answered, actions);
             }
             _ => {}
         }
     }
 
-    /// Acts on calls that are overdue, silent for too long, or kept for long enough.
-    fn heed_silence(&mut self, now: Duration, actions: &mut Vec<Action>) {
+    /// Acts on calls that have become overdue, have timed out, or are to be closed.
+    fn check_timeouts(&mut self, now: Duration, actions: &mut Vec<Action>) {
         for n in (0..self.calls.len()).rev() {
             let call = &mut self.calls[n];
             if now >= call.close_at {
                 let call = self.calls.remove(n);
                 actions.push(Action::Close { call: call.id, reason: CloseReason::TimedOut });
                 if call.is_awaited() {
-                    self.hung(now, &call);
+                    self.on_timeout(now, &call);
                 }
-            } else if now >= call.silent_at && call.is_awaited() {
+            } else if now >= call.timeout_at && call.is_awaited() {
                 call.overdue = true;
-                call.standing = Standing::TimedOut;
-                let silent = call.clone();
-                self.hung(now, &silent);
+                call.state = CallState::TimedOut;
+                let timed_out = call.clone();
+                self.on_timeout(now, &timed_out);
             } else if now >= call.overdue_at && call.is_awaited() && !call.overdue {
                 call.overdue = true;
                 let (by_evidence, query) = (call.by_evidence, call.query);
-                self.overdue(now, by_evidence, query);
+                self.on_overdue(now, by_evidence, query);
             }
         }
     }
 
-    /// Whether a call is out for which the next one has to wait.
-    fn is_waited_for(&self) -> bool {
+    /// Returns whether a call is open that the next regular call has to wait for.
+    fn blocks_next_call(&self) -> bool {
         self.calls.iter().any(|call| call.is_awaited() && (!call.overdue || !self.settings.local_agent))
     }
 
-    /// Whether a call is out whose answer or end makes the next one due.
-    fn is_followed_on(&self) -> bool {
-        self.is_followed() || !self.settings.local_agent && self.awaited_calls() > 0
+    /// Returns whether a call is open whose answer or end makes the next one due.
+    fn has_pending_follow_up(&self) -> bool {
+        self.has_current_watch() || !self.settings.local_agent && self.awaited_calls() > 0
     }
 
-    /// A call should have answered: another one beside it, while there is hope that one does.
-    fn overdue(&mut self, now: Duration, by_evidence: bool, query: Query) {
-        self.good = 0;
-        self.doubt(now, Cause::Overdue);
+    /// A call is overdue: makes another one due beside it, unless discovery has not answered for several
+    /// calls.
+    fn on_overdue(&mut self, now: Duration, by_evidence: bool, query: Query) {
+        self.consecutive_answers = 0;
+        self.mark_doubtful(now, Cause::Overdue);
         if self.settings.local_agent {
-            self.silent = Some(query);
-            self.due_by(now);
-        } else if !self.is_alone()
+            self.timed_out_query = Some(query);
+            self.schedule_call_by(now);
+        } else if !self.is_single_call()
             && self.revision.is_some()
-            && self.failures < BESIDE_UNTIL
-            && self.due.is_none()
+            && self.consecutive_failures < MAX_FAILURES_FOR_SECOND_CALL
+            && self.next_call_at.is_none()
             && self.awaited_calls() < MAX_AWAITED_CALLS
-            && (by_evidence || !self.is_followed())
+            && (by_evidence || !self.has_current_watch())
         {
-            self.poll = self.afford(now);
-            self.by_evidence = by_evidence;
+            self.poll_due = self.take_from_budget(now);
+            self.poll_by_evidence = by_evidence;
         }
     }
 
-    fn show(&mut self, to: Freshness, cause: Cause, actions: &mut Vec<Action>) {
+    fn set_freshness(&mut self, to: Freshness, cause: Cause, actions: &mut Vec<Action>) {
         let from = std::mem::replace(&mut self.freshness, to);
         actions.push(Action::FreshnessChanged { from, to, cause });
     }
 
-    fn doubt(&mut self, now: Duration, cause: Cause) {
-        if self.trouble_since.is_none() {
-            self.trouble_since = Some(now);
-            self.cause = cause;
+    fn mark_doubtful(&mut self, now: Duration, cause: Cause) {
+        if self.doubtful_since.is_none() {
+            self.doubtful_since = Some(now);
+            self.doubt_cause = cause;
         }
     }
 
-    fn take(&mut self, id: CallId) -> Option<Call> {
-        let place = self.calls.iter().position(|call| call.id == id)?;
-        Some(self.calls.remove(place))
+    fn remove_call(&mut self, id: CallId) -> Option<Call> {
+        let index = self.calls.iter().position(|call| call.id == id)?;
+        Some(self.calls.remove(index))
     }
 
-    /// Guards against taking the own machine's pause for a silent discovery: answers may lie in the sockets.
-    fn allow_for_standstill(&mut self, now: Duration) {
+    /// Extends the time-outs of open calls if this tick is late. Without this, a pause of this process would
+    /// look like a silent discovery, although answers may be waiting in the sockets.
+    fn allow_for_pause(&mut self, now: Duration) {
         let Some(late) = self.next_wake().and_then(|wake| now.checked_sub(wake)) else { return };
-        if let Some(turn) = self.agent_time().map(|time| time / 4).filter(|turn| late > *turn) {
-            // An agent is overdue so soon that a busy moment is enough; once for each call, or silence would never be seen.
-            for call in self.calls.iter_mut().filter(|call| call.timed) {
-                call.timed = false;
-                call.overdue_at = call.overdue_at.max(now + turn);
+        if let Some(extension) = self.agent_wait().map(|wait| wait / 4).filter(|extension| late > *extension)
+        {
+            // A call to an agent is overdue so soon that a short pause of a busy process matters as well.
+            // Each call is extended only once; otherwise silence would never be detected.
+            for call in self.calls.iter_mut().filter(|call| call.timing_valid) {
+                call.timing_valid = false;
+                call.overdue_at = call.overdue_at.max(now + extension);
             }
         }
-        if late <= JUMP {
+        if late <= PROCESS_PAUSE {
             return;
         }
         for call in &mut self.calls {
-            call.silent_at = call.silent_at.max(now + self.settings.silence_timeout);
+            call.timeout_at = call.timeout_at.max(now + self.settings.silence_timeout);
             call.close_at = call.close_at.max(now + self.settings.silence_timeout);
-            call.timed = false;
+            call.timing_valid = false;
         }
-        self.doubt(now, Cause::ProcessPaused);
-        self.trouble_since = Some(now);
-        self.due_by(now);
+        self.mark_doubtful(now, Cause::ProcessPaused);
+        self.doubtful_since = Some(now);
+        self.schedule_call_by(now);
     }
 
-    fn begun(&mut self, now: Duration, id: CallId, length: u64) {
-        let body = Duration::from_secs_f64((length as f64 / BODY_PER_S).min(60.0));
-        let until = now + self.settings.silence_timeout + body;
+    /// The head of an answer has arrived: the body has the silence time-out, plus the time for its length, to
+    /// complete.
+    fn answer_started(&mut self, now: Duration, id: CallId, length: u64) {
+        let body_time = Duration::from_secs_f64((length as f64 / BODY_BYTES_PER_S).min(60.0));
+        let timeout_at = now + self.settings.silence_timeout + body_time;
         if let Some(call) = self.calls.iter_mut().find(|call| call.id == id) {
-            call.overdue_at = call.overdue_at.min(until);
-            (call.silent_at, call.close_at) = (until, until);
+            call.overdue_at = call.overdue_at.min(timeout_at);
+            (call.timeout_at, call.close_at) = (timeout_at, timeout_at);
         }
     }
 
-    /// A call was silent for all its time.
-    fn hung(&mut self, now: Duration, call: &Call) {
-        self.count_hang(call.query);
-        self.failures += 1;
-        self.note_waiting(now, call);
-        if self.proved_at.is_none_or(|at| at < call.started) {
-            // Nothing else has answered either: it may be slow, and all that ask should see that.
-            self.time(now, call, Timing::add_silent);
+    /// A call has been silent until its time-out.
+    fn on_timeout(&mut self, now: Duration, call: &Call) {
+        self.count_timeout(call.query);
+        self.consecutive_failures += 1;
+        self.raise_response_time(now, call);
+        if self.confirmed_at.is_none_or(|at| at < call.started_at) {
+            // No other call has been answered since either: discovery may be slow, and the estimates should
+            // show that.
+            self.record_time(now, call, Timing::record_timeout);
         }
-        self.doubt(now, Cause::TimedOut);
-        if !self.is_followed_on() {
-            // An agent has been waited for already.
-            let at_once = self.failures < BESIDE_UNTIL || self.settings.local_agent;
-            let after = if at_once { Duration::ZERO } else { self.retry_after() };
-            self.due_by(now + after.min(self.spare_after(call, now)));
+        self.mark_doubtful(now, Cause::TimedOut);
+        if !self.has_pending_follow_up() {
+            // The wait for an agent is over already, so its next call follows at once.
+            let at_once =
+                self.consecutive_failures < MAX_FAILURES_FOR_SECOND_CALL || self.settings.local_agent;
+            let delay = if at_once { Duration::ZERO } else { self.retry_delay() };
+            self.schedule_call_by(now + delay.min(self.max_delay_after(call, now)));
         }
     }
 
-    /// Learns from how late a call ended after its wait.
-    fn time(&mut self, now: Duration, call: &Call, add: impl Fn(&mut Timing, Duration)) {
-        if let Some(late) = call.late(now).filter(|_| call.timed) {
-            add(if call.is_watch() { &mut self.lateness } else { &mut self.service }, late);
+    /// Records how long after its wait a call ended, as a sample for the timing of its type.
+    fn record_time(&mut self, now: Duration, call: &Call, record: impl Fn(&mut Timing, Duration)) {
+        if let Some(elapsed) = call.time_past_wait(now).filter(|_| call.timing_valid) {
+            record(if call.is_watch() { &mut self.lateness } else { &mut self.service }, elapsed);
         }
     }
 
-    /// A call took its turn at discovery, as one that need not wait or has news does.
-    fn note_turn(&mut self, now: Duration, call: &Call) {
-        if let Some(late) = call.late(now).filter(|_| call.timed).map(|late| late.as_secs_f64()) {
-            self.turn = Some(self.turn.map_or(late, |turn| f64::midpoint(turn, late)));
+    /// Records the response time of a call that queued at discovery: a poll, a read, or a watch with changes.
+    fn record_response_time(&mut self, now: Duration, call: &Call) {
+        if let Some(elapsed) =
+            call.time_past_wait(now).filter(|_| call.timing_valid).map(|elapsed| elapsed.as_secs_f64())
+        {
+            self.response_time =
+                Some(self.response_time.map_or(elapsed, |time| f64::midpoint(time, elapsed)));
         }
     }
 
-    /// A call is not answered yet: it may wait its turn, for longer than it has been out by now.
-    fn note_waiting(&mut self, now: Duration, call: &Call) {
-        let late = call.late(now).unwrap_or_default().as_secs_f64();
-        self.turn = Some(self.turn.map_or(late, |turn| turn.max(late)));
+    /// Raises the response time to the time that an unanswered call has taken so far: it may still be in
+    /// discovery's queue.
+    fn raise_response_time(&mut self, now: Duration, call: &Call) {
+        let elapsed = call.time_past_wait(now).unwrap_or_default().as_secs_f64();
+        self.response_time = Some(self.response_time.map_or(elapsed, |time| time.max(elapsed)));
     }
 
-    fn count_hang(&mut self, query: Query) {
+    fn count_timeout(&mut self, query: Query) {
         self.counts.timed_out += 1;
-        self.good = 0;
-        self.hangs += (1.0 - self.hangs) * HANG_WEIGHT;
-        self.silent = Some(query);
+        self.consecutive_answers = 0;
+        self.timeout_rate += (1.0 - self.timeout_rate) * TIMEOUT_RATE_WEIGHT;
+        self.timed_out_query = Some(query);
     }
 
-    fn failed(&mut self, now: Duration, id: CallId, failure: Failure) {
-        let Some(call) = self.take(id) else { return };
+    fn on_failure(&mut self, now: Duration, id: CallId, failure: Failure) {
+        let Some(call) = self.remove_call(id) else { return };
         self.counts.failed += 1;
-        if call.origin < self.origin {
-            return self.ask_newest(now);
+        if call.address_epoch < self.address_epoch {
+            return self.call_newest_address(now);
         }
-        if call.standing == Standing::Superseded {
+        if call.state == CallState::Superseded {
             return;
         }
-        let late = call.late(now).unwrap_or_default().as_secs_f64();
-        if failure == Failure::InvalidList && late > self.timing(call.query).mean {
-            // It may have waited its turn, and longer than discovery lets calls wait. One that is turned away at once says
-            // nothing of how long an answer takes.
-            self.time(now, &call, Timing::add);
-            self.note_turn(now, &call);
+        let elapsed = call.time_past_wait(now).unwrap_or_default().as_secs_f64();
+        if failure == Failure::InvalidList && elapsed > self.timing(call.query).mean {
+            // The call may have queued for longer than discovery lets calls wait. A call that is rejected at
+            // once says nothing about how long an answer takes.
+            self.record_time(now, &call, Timing::record);
+            self.record_response_time(now, &call);
         }
         if failure != Failure::ReusedConnectionClosed {
-            self.good /= 2;
-            self.failures += 1;
-        }
-        self.doubt(now, Cause::Failed(failure));
-        if !self.is_followed_on() || call.by_evidence {
-            let after = self.retry_after();
-            // A watch that broke was one until then; and where a call has waited its turn in vain, shorter pauses would keep the
-            // queue as long as it is.
-            let most =
-                if call.is_watch() || self.is_crowded() { after } else { self.spare_after(&call, now) };
-            let most = if self.start.is_some() && late < SLOW_ANSWER {
-                most.min(self.spread().min(SECOND_CALL_MOST))
+            self.consecutive_answers /= 2;
+            self.consecutive_failures += 1;
+        }
+        self.mark_doubtful(now, Cause::Failed(failure));
+        if !self.has_pending_follow_up() || call.by_evidence {
+            let delay = self.retry_delay();
+            // A watch that failed would have delivered changes until it failed, so the bound does not count
+            // from its start. And if a call has queued in vain at a contended discovery, shorter delays would
+            // keep the queue as long as it is.
+            let max_delay =
+                if call.is_watch() || self.is_contended() { delay } else { self.max_delay_after(&call, now) };
+            let max_delay = if self.startup.is_some() && elapsed < SLOW_RESPONSE_S {
+                max_delay.min(self.first_call_spread().min(MAX_SECOND_CALL_SPREAD))
             } else {
-                most
+                max_delay
             };
-            self.due_by(now + after.min(most));
+            self.schedule_call_by(now + delay.min(max_delay));
         }
     }
 
-    /// Asks the new discovery for the whole list. Until it has answered, what the former ones still write is heeded: it counts as told, and
-    /// perhaps nothing else comes for a while.
-    fn moved(&mut self, now: Duration) {
-        self.former = self
-            .revision
-            .take()
-            .map_or(self.former, |revision| Some(FormerVersion { origin: self.origin, revision }));
-        self.origin += 1;
+    /// Switches to the new address and reads the whole list there. Until that is answered, the answers of
+    /// earlier addresses are still applied: what they contain counts as notified, and the new address may
+    /// send nothing for a while.
+    fn address_changed(&mut self, now: Duration) {
+        self.previous = self.revision.take().map_or(self.previous, |revision| {
+            Some(PreviousRevision { address_epoch: self.address_epoch, revision })
+        });
+        self.address_epoch += 1;
         for call in &mut self.calls {
-            call.standing = Standing::Superseded;
-        }
-        // Its versions need not be those of the old one. How long answers take is believed until it shows otherwise.
-        self.backwards = false;
-        (self.good, self.failures, self.hangs) = (0, 0, 0.0);
-        (self.poll, self.silent) = (false, None);
-        self.doubt(now, Cause::AddressChanged);
-        self.due = Some(now.max(self.moves_settled_at().unwrap_or(now)));
-    }
-
-    /// Where discovery moves several times in a row: when the newest one is asked, if the one before has not answered by then.
-    fn moves_settled_at(&self) -> Option<Duration> {
-        let reads = self.calls.iter().filter(|call| call.query == Query::Read && call.origin > 0);
-        let apart = MOVES_APART.max(self.usual_turns(SPARE_TURNS));
-        reads.map(|read| read.started + apart).max().filter(|_| !self.settings.local_agent)
-    }
-
-    /// The newest discovery is asked, where that has only waited for the one before.
-    fn ask_newest(&mut self, now: Duration) {
-        let settled = self.moves_settled_at().is_none();
-        if settled && self.awaited_calls() == 0 && self.revision.is_none() && self.failures == 0 {
-            self.due_by(now);
-        }
-    }
-
-    /// A discovery that has been moved away from has answered, before the present one has.
-    fn answered_by_former(&mut self, now: Duration, call: &Call, mut list: List, actions: &mut Vec<Action>) {
-        let follows = match self.former {
-            Some(held) if held.origin > call.origin => false,
-            Some(held) if held.origin == call.origin => list.revision >= held.revision,
+            call.state = CallState::Superseded;
+        }
+        // The revisions of the new address are unrelated to the old ones. The timing estimates are kept until
+        // new answers correct them.
+        self.revision_went_back = false;
+        (self.consecutive_answers, self.consecutive_failures, self.timeout_rate) = (0, 0, 0.0);
+        (self.poll_due, self.timed_out_query) = (false, None);
+        self.mark_doubtful(now, Cause::AddressChanged);
+        self.next_call_at = Some(now.max(self.address_settled_at().unwrap_or(now)));
+    }
+
+    /// Returns when the newest address may be called, if the address has changed several times in a row and
+    /// the one before has not answered by then.
+    fn address_settled_at(&self) -> Option<Duration> {
+        let reads = self.calls.iter().filter(|call| call.query == Query::Read && call.address_epoch > 0);
+        let interval = ADDRESS_CHANGE_INTERVAL.max(self.response_times(ANSWER_MARGIN_FACTOR));
+        reads.map(|read| read.started_at + interval).max().filter(|_| !self.settings.local_agent)
+    }
+
+    /// Makes a call to the newest address due now, if that was only delayed by a call to the address before.
+    fn call_newest_address(&mut self, now: Duration) {
+        let settled = self.address_settled_at().is_none();
+        if settled && self.awaited_calls() == 0 && self.revision.is_none() && self.consecutive_failures == 0 {
+            self.schedule_call_by(now);
+        }
+    }
+
+    /// An earlier address of discovery has answered a call. Its list is applied only as long as the present
+    /// address has sent none, and only if it does not go back behind what earlier addresses have sent.
+    fn on_answer_of_previous(
+        &mut self,
+        now: Duration,
+        call: &Call,
+        mut list: List,
+        actions: &mut Vec<Action>,
+    ) {
+        let applies = match self.previous {
+            Some(previous) if previous.address_epoch > call.address_epoch => false,
+            Some(previous) if previous.address_epoch == call.address_epoch => {
+                list.revision >= previous.revision
+            }
             _ => list.complete,
         };
-        if self.revision.is_some() || !follows {
+        if self.revision.is_some() || !applies {
             return;
         }
-        self.leaving.heed(now, &mut list);
-        self.former = Some(FormerVersion { origin: call.origin, revision: list.revision });
-        self.learned_at = now;
-        self.proved_at = Some(now);
+        self.leaving.filter(now, &mut list);
+        self.previous = Some(PreviousRevision { address_epoch: call.address_epoch, revision: list.revision });
+        self.revision_received_at = now;
+        self.confirmed_at = Some(now);
         self.counts.answers += 1;
         self.counts.with_changes += u64::from(!list.members.is_empty());
-        self.close_older(call.origin, actions);
-        self.note_members(&list, actions);
+        self.close_calls_before(call.address_epoch, actions);
+        self.update_members(&list, actions);
         actions.push(Action::Apply(list));
     }
 
-    /// Closes the calls to discoveries before this one.
-    fn close_older(&mut self, origin: u64, actions: &mut Vec<Action>) {
+    /// Closes the calls to addresses before this one.
+    fn close_calls_before(&mut self, address_epoch: u64, actions: &mut Vec<Action>) {
         self.calls.retain(|call| {
-            let stays = call.origin >= origin;
-            if !stays {
+            let keep = call.address_epoch >= address_epoch;
+            if !keep {
                 actions.push(Action::Close { call: call.id, reason: CloseReason::AddressChanged });
             }
-            stays
+            keep
         });
     }
 
     // ---- Answers
 
-    fn answered(&mut self, now: Duration, id: CallId, list: List, actions: &mut Vec<Action>) {
-        let Some(call) = self.take(id) else { return };
-        self.time(now, &call, Timing::add);
+    fn on_answer(&mut self, now: Duration, id: CallId, list: List, actions: &mut Vec<Action>) {
+        let Some(call) = self.remove_call(id) else { return };
+        self.record_time(now, &call, Timing::record);
         if !call.is_watch() || !list.members.is_empty() {
-            self.note_turn(now, &call);
+            self.record_response_time(now, &call);
         } else {
-            // A quiet watch takes no turn; what was learned of turns is believed ever less.
-            self.turn = self.turn.map(|turn| turn * TURN_FADES);
+            // A watch that ends without changes does not queue at discovery; the estimate of the response
+            // time ages.
+            self.response_time = self.response_time.map(|time| time * RESPONSE_TIME_DECAY);
         }
-        if call.origin < self.origin {
-            self.answered_by_former(now, &call, list, actions);
-            return self.ask_newest(now);
+        if call.address_epoch < self.address_epoch {
+            self.on_answer_of_previous(now, &call, list, actions);
+            return self.call_newest_address(now);
         }
         let held = self.revision;
         if held.is_some_and(|held| list.revision < held) {
-            return self.older(now, &call, list, actions);
+            return self.on_older_answer(now, &call, list, actions);
         }
-        let follows = list.complete || held.is_some();
-        if !follows {
-            self.failures += 1;
-            self.doubt(now, Cause::MissedChanges);
-            let after = self.retry_after();
-            return self.due_by(now + after);
+        let applies = list.complete || held.is_some();
+        if !applies {
+            self.consecutive_failures += 1;
+            self.mark_doubtful(now, Cause::MissedChanges);
+            let delay = self.retry_delay();
+            return self.schedule_call_by(now + delay);
         }
-        self.backwards = false;
+        self.revision_went_back = false;
         self.accept(now, &call, list, actions);
     }
 
-    /// An answer older than what is held: late, or of a discovery that has lost its memory.
-    fn older(&mut self, now: Duration, call: &Call, list: List, actions: &mut Vec<Action>) {
+    /// Handles an answer with an older revision than the one held: it is late, or discovery has lost its
+    /// state.
+    fn on_older_answer(&mut self, now: Duration, call: &Call, list: List, actions: &mut Vec<Action>) {
         self.counts.outdated += 1;
-        let begun_before = call.started < self.learned_at;
-        if !begun_before && self.backwards && list.complete {
-            // Read again, and it stays so: its versions have begun anew.
-            self.backwards = false;
+        let was_in_flight = call.started_at < self.revision_received_at;
+        if !was_in_flight && self.revision_went_back && list.complete {
+            // A second, whole answer is older as well: the revisions of discovery have restarted.
+            self.revision_went_back = false;
             self.revision = None;
             return self.accept(now, call, list, actions);
         }
-        if !begun_before {
-            self.backwards = true;
-            self.failures += 1;
-            self.doubt(now, Cause::RevisionWentBack);
+        if !was_in_flight {
+            self.revision_went_back = true;
+            self.consecutive_failures += 1;
+            self.mark_doubtful(now, Cause::RevisionWentBack);
         }
-        if !self.is_followed() {
-            let after = if begun_before { Duration::ZERO } else { self.retry_after() };
-            self.due_by(now + after);
+        if !self.has_current_watch() {
+            let delay = if was_in_flight { Duration::ZERO } else { self.retry_delay() };
+            self.schedule_call_by(now + delay);
         }
     }
 
     fn accept(&mut self, now: Duration, call: &Call, mut list: List, actions: &mut Vec<Action>) {
-        self.close_older(self.origin, actions);
-        self.leaving.heed(now, &mut list);
+        self.close_calls_before(self.address_epoch, actions);
+        self.leaving.filter(now, &mut list);
         let newer = self.revision != Some(list.revision);
-        let news = newer && !list.members.is_empty();
+        let has_changes = newer && !list.members.is_empty();
         self.revision = Some(list.revision);
         if newer {
-            self.learned_at = now;
+            self.revision_received_at = now;
         }
-        if news {
-            let since = self.news_at.map_or(f64::INFINITY, |at| (now - at).as_secs_f64());
-            let known = self.gap.is_finite() && since < 10.0 * self.gap;
-            self.gap = if known { self.gap + (since - self.gap) / 4.0 } else { since };
-            self.news_at = Some(now);
+        if has_changes {
+            let interval = self.last_change_at.map_or(f64::INFINITY, |at| (now - at).as_secs_f64());
+            let is_regular = self.change_interval.is_finite() && interval < 10.0 * self.change_interval;
+            self.change_interval = if is_regular {
+                self.change_interval + (interval - self.change_interval) / 4.0
+            } else {
+                interval
+            };
+            self.last_change_at = Some(now);
         }
         self.counts.answers += 1;
-        self.counts.with_changes += u64::from(news);
-        match &mut self.start {
-            // It says nothing of watches.
-            Some(start) => start.confirmed = true,
-            None => self.good = self.good.saturating_add(1),
-        }
-        self.failures = 0;
-        self.hangs -= self.hangs * HANG_WEIGHT;
-        self.proved_at = Some(now);
-        self.trouble_since = None;
-        self.points = (0.0, now);
+        self.counts.with_changes += u64::from(has_changes);
+        match &mut self.startup {
+            // The first answer is that of a poll or read, and says nothing about how well watches work.
+            Some(startup) => startup.confirmed = true,
+            None => self.consecutive_answers = self.consecutive_answers.saturating_add(1),
+        }
+        self.consecutive_failures = 0;
+        self.timeout_rate -= self.timeout_rate * TIMEOUT_RATE_WEIGHT;
+        self.confirmed_at = Some(now);
+        self.doubtful_since = None;
+        self.evidence_score = (0.0, now);
         if call.by_evidence {
-            let need = self.need.0;
-            self.need = (if news { EVIDENCE } else { (2.0 * need).min(EVIDENCE_MOST) }, now);
+            let threshold = self.evidence_threshold.0;
+            self.evidence_threshold = (
+                if has_changes { EVIDENCE_THRESHOLD } else { (2.0 * threshold).min(MAX_EVIDENCE_THRESHOLD) },
+                now,
+            );
         }
         self.supersede(now, call, newer, actions);
-        self.silent = None;
-        if !self.is_followed() {
-            // Guards against a discovery that answers watches at once though it has no news.
-            let early = !news && now < call.started + call.query.wait() / 2;
-            let early = early && call.is_watch();
-            let pause = self.settings.min_wait.max(self.crowded(PAUSE_MOST));
-            let pause = self.agent_time().unwrap_or(pause);
-            let least = if early { pause } else { Duration::ZERO };
-            // However many ask: a watch goes on for a moment after its answer, and what changes in that moment counts as told,
-            // whether or not the next call fetches it.
-            self.due = Some(now.max(call.started + least));
-        }
-        self.note_members(&list, actions);
-        // What confirms the list and changes nothing in it need not be applied.
+        self.timed_out_query = None;
+        if !self.has_current_watch() {
+            // Without this pause, a discovery that answers watches at once without changes would be called in
+            // a loop.
+            let is_early = !has_changes && now < call.started_at + call.query.wait() / 2;
+            let is_early = is_early && call.is_watch();
+            let pause = self.settings.min_wait.max(self.contended_round_time(MAX_PAUSE));
+            let pause = self.agent_wait().unwrap_or(pause);
+            let min_interval = if is_early { pause } else { Duration::ZERO };
+            // After an answer with changes the next watch follows at once, however many nodes there are: a
+            // change made right after the answer counts as notified, whether or not the next call fetches it.
+            self.next_call_at = Some(now.max(call.started_at + min_interval));
+        }
+        self.update_members(&list, actions);
+        // An answer that only confirms the list need not be applied.
         if newer || !list.members.is_empty() {
             actions.push(Action::Apply(list));
         }
     }
 
-    /// What the calls that are still out are worth once another has been answered. A slow discovery may have written more to them than that
-    /// answer told, which the next call would hear of late; elsewhere the next call hears of it at once.
+    /// Decides what becomes of the calls still open after another call has been answered. They are kept open
+    /// if discovery is slow: their answers may contain more than the one that arrived, and the next call
+    /// would bring it late. Otherwise the next call brings it at once.
     fn supersede(&mut self, now: Duration, answered: &Call, newer: bool, actions: &mut Vec<Action>) {
-        let grace = self.service.bound(OVERDUE_LEAST, self.settings.silence_timeout);
-        let kept = self.is_slow() && !self.settings.local_agent;
+        let late_answer_time = self.service.upper_bound(MIN_OVERDUE, self.settings.silence_timeout);
+        let keep_open = self.is_slow() && !self.settings.local_agent;
         for n in (0..self.calls.len()).rev() {
-            let out = &mut self.calls[n];
-            if out.overdue {
-                let was = std::mem::replace(&mut out.standing, Standing::Superseded);
-                let out = out.clone();
-                match was {
-                    Standing::Awaited if out.started < answered.started => self.count_hang(out.query),
-                    // Discovery answers calls in turn, and has not come to this one.
-                    Standing::Awaited => self.note_waiting(now, &out),
-                    Standing::TimedOut | Standing::Superseded => {}
+            let open_call = &mut self.calls[n];
+            if open_call.overdue {
+                let previous_state = std::mem::replace(&mut open_call.state, CallState::Superseded);
+                let open_call = open_call.clone();
+                match previous_state {
+                    CallState::Awaited if open_call.started_at < answered.started_at => {
+                        self.count_timeout(open_call.query)
+                    }
+                    // Discovery answers calls in order and has not reached this one yet.
+                    CallState::Awaited => self.raise_response_time(now, &open_call),
+                    CallState::TimedOut | CallState::Superseded => {}
                 }
-                if !kept {
+                if !keep_open {
                     let call = self.calls.remove(n).id;
                     actions.push(Action::Close { call, reason: CloseReason::Superseded });
                 }
-            } else if newer && out.is_watch() && !self.settings.local_agent {
-                // It should have told this too: its answer is on its way, or it is deaf.
-                out.overdue = true;
-                out.silent_at = out.silent_at.min(now + grace);
-                if !kept {
-                    out.close_at = out.silent_at;
+            } else if newer && open_call.is_watch() && !self.settings.local_agent {
+                // This watch should have been answered as well: its answer is on its way, or the watch hangs.
+                open_call.overdue = true;
+                open_call.timeout_at = open_call.timeout_at.min(now + late_answer_time);
+                if !keep_open {
+                    open_call.close_at = open_call.timeout_at;
                 }
             }
         }
     }
 
-    fn note_members(&mut self, list: &List, actions: &mut Vec<Action>) {
-        let before = self.members.len();
-        let name = |id: &str| {
+    /// Keeps track of the listed ids, and reports a whole list that is much shorter than the one before.
+    fn update_members(&mut self, list: &List, actions: &mut Vec<Action>) {
+        let before = self.member_hashes.len();
+        let hash = |id: &str| {
             let mut hasher = DefaultHasher::new();
             id.hash(&mut hasher);
             hasher.finish()
         };
         if list.complete {
-            self.members.clear();
+            self.member_hashes.clear();
         }
         for member in &list.members {
             match member.phase {
-                Phase::Left => self.members.remove(&name(&member.id)),
-                Phase::Active | Phase::Leaving => self.members.insert(name(&member.id)),
+                Phase::Left => self.member_hashes.remove(&hash(&member.id)),
+                Phase::Active | Phase::Leaving => self.member_hashes.insert(hash(&member.id)),
             };
         }
-        if list.complete && (self.members.len() as f64) < SHORTER * before as f64 {
-            actions.push(Action::ListShrunk(before, self.members.len()));
+        if list.complete && (self.member_hashes.len() as f64) < SHRUNK_BELOW * before as f64 {
+            actions.push(Action::ListShrunk(before, self.member_hashes.len()));
         }
     }
 
     // ---- Evidence
 
-    fn evidence(&mut self, now: Duration, evidence: Evidence) {
+    /// Adds evidence from the servers to the score, and makes a poll due when the score reaches its
+    /// threshold.
+    fn add_evidence(&mut self, now: Duration, evidence: Evidence) {
         self.counts.evidence += 1;
         let weight = match evidence {
-            // One that cannot be reached is its own trouble; several are the list's.
+            // One unreachable server is likely a fault of that server; several suggest that the list is out
+            // of date.
             Evidence::Unreachable(server) if self.last_unreachable.replace(server) == Some(server) => 0.25,
             Evidence::Unreachable(_) => 1.0,
             Evidence::Refused { idle: true } => 1.0,
             Evidence::Refused { idle: false } => 0.1,
             Evidence::Ejected => 0.5,
-            Evidence::Restarted => EVIDENCE,
+            Evidence::Restarted => EVIDENCE_THRESHOLD,
         };
-        let fade = |(value, at): (f64, Duration), half_life: f64| {
-            value * 0.5_f64.powf((now - at).as_secs_f64() / half_life)
+        let decayed = |(value, updated_at): (f64, Duration), half_life: f64| {
+            value * 0.5_f64.powf((now - updated_at).as_secs_f64() / half_life)
         };
-        let points = fade(self.points, EVIDENCE_HALF_LIFE) + weight;
-        self.points = (points, now);
-        let need = fade(self.need, NEED_HALF_LIFE).max(EVIDENCE);
-        // Where many ask, what all of them see at once must not make all of them ask at once.
-        let asks_at_once = |call: &Call| call.is_awaited() && call.query.wait().is_zero();
-        let polling = self.is_alone() || self.calls.iter().any(asks_at_once);
-        if points < need || polling || self.revision.is_none() {
+        let score = decayed(self.evidence_score, EVIDENCE_HALF_LIFE_S) + weight;
+        self.evidence_score = (score, now);
+        let threshold = decayed(self.evidence_threshold, THRESHOLD_HALF_LIFE_S).max(EVIDENCE_THRESHOLD);
+        // With many nodes, what all of them see at the same time must not make all of them call at the same
+        // time.
+        let answered_at_once = |call: &Call| call.is_awaited() && call.query.wait().is_zero();
+        let may_not_poll = self.is_single_call() || self.calls.iter().any(answered_at_once);
+        if score < threshold || may_not_poll || self.revision.is_none() {
             return;
         }
-        self.points = (0.0, now);
-        self.doubt(now, Cause::Evidence(evidence));
-        self.poll = self.afford(now);
-        self.by_evidence = self.poll;
-        self.counts.calls_on_evidence += u64::from(self.poll);
+        self.evidence_score = (0.0, now);
+        self.mark_doubtful(now, Cause::Evidence(evidence));
+        self.poll_due = self.take_from_budget(now);
+        self.poll_by_evidence = self.poll_due;
+        self.counts.calls_on_evidence += u64::from(self.poll_due);
     }
 }
--- a/crates/spurdrum-sources/src/follower/settings.rs
+++ b/crates/spurdrum-sources/src/follower/settings.rs
@@ -1,37 +1,39 @@
-//! How a list is followed.
+//! The settings of a follower.
 
 use std::time::Duration;
 
-/// How a list is followed.
+/// How a follower calls discovery.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Nodes that ask the same discovery, and this one's number among them.
+    /// The number of nodes that call the same discovery, and the index of this node among them.
     pub nodes: usize,
     /// See `nodes`.
     pub node_index: usize,
-    /// Whether an agent on the own machine answers, at no cost to discovery.
+    /// Whether an agent on the same machine answers the calls, at no cost to discovery.
     pub local_agent: bool,
-    /// So soon after the agent has a change the node has to heed it, whatever became of its calls.
+    /// The node must apply a change within this time after the agent has it, whatever became of its calls.
     pub agent_deadline: Duration,
-    /// Where discovery is asked: a change counts as told so long after it was made to a node that has not asked since.
+    /// Without an agent: a change counts as notified this long after it was made, also to a node that has not
+    /// made a call since.
     pub max_call_interval: Duration,
-    /// The wait that a watch asks for while the view is doubtful...
+    /// The wait that a watch asks for while the list is doubtful...
     pub min_wait: Duration,
-    /// ...and once it has proved good.
+    /// ...and the longest one, after a row of good answers.
     pub max_wait: Duration,
-    /// A call that is silent for so long after its wait is given up.
+    /// A call times out if it is silent for this long after the end of its wait.
     pub silence_timeout: Duration,
-    /// Without proof for so long after the first trouble, the view is blind.
+    /// The list is stale if no answer confirms it for this long after it became doubtful.
     pub stale_after: Duration,
-    /// A process that has just started waits for so long at the most until discovery has confirmed the list of an earlier run.
+    /// The longest time that a process that has just started waits for discovery to confirm the list of an
+    /// earlier run.
     pub startup_timeout: Duration,
-    /// Between calls that fail: at first, about...
+    /// The delay before a call that follows a failed one: about this at first...
     pub min_retry_delay: Duration,
-    /// ...and at the most.
+    /// ...and at most this after several failures.
     pub max_retry_delay: Duration,
-    /// Part of discovery's time that all nodes together may take.
+    /// The share of discovery's time that the calls of all nodes together may take, from 0 to 1.
     pub discovery_share: f64,
-    /// Calls beyond the ordinary that may be made in a burst.
+    /// How many calls beside the regular ones (second calls and polls on evidence) may be made in a burst.
     pub burst_calls: f64,
 }
 
@@ -57,26 +59,34 @@
 }
 
 impl Settings {
-    /// Checks that every figure makes sense.
+    /// Checks that every setting is within its bounds.
     ///
     /// # Errors
     ///
-    /// The first key that does not, and why.
+    /// The first key whose value is not valid, and why.
     pub fn validate(&self) -> Result<(), (&'static str, &'static str)> {
         let time = |t: Duration| t >= Duration::from_millis(1) && t <= Duration::from_secs(60);
         let need = |ok: bool, key, why| if ok { Ok(()) } else { Err((key, why)) };
-        need(self.nodes > 0, "nodes", "is at least 1")?;
-        need(time(self.agent_deadline), "grace_ms", "is no time from 1 ms to a minute")?;
-        need(time(self.min_wait), "wait_least_ms", "is no time from 1 ms to a minute")?;
-        need(time(self.max_wait), "wait_most_ms", "is no time from 1 ms to a minute")?;
-        need(self.min_wait <= self.max_wait, "wait_least_ms", "is above `wait_most_ms`")?;
-        need(time(self.silence_timeout), "patience_ms", "is no time from 1 ms to a minute")?;
-        need(time(self.startup_timeout), "ready_within_ms", "is no time from 1 ms to a minute")?;
-        need(time(self.stale_after), "blind_after_ms", "is no time from 1 ms to a minute")?;
-        need(time(self.max_retry_delay), "retry_most_ms", "is no time from 1 ms to a minute")?;
-        need(time(self.min_retry_delay), "retry_least_ms", "is no time from 1 ms to a minute")?;
-        need(self.min_retry_delay <= self.max_retry_delay, "retry_least_ms", "is above `retry_most_ms`")?;
-        need(self.discovery_share > 0.0 && self.discovery_share <= 1.0, "share", "is no part above 0")?;
-        need((1.0..=100.0).contains(&self.burst_calls), "extra", "is not from 1 to 100")
+        need(self.nodes > 0, "nodes", "must be at least 1")?;
+        need(time(self.agent_deadline), "grace_ms", "must be from 1 ms to 60 s")?;
+        need(time(self.min_wait), "wait_least_ms", "must be from 1 ms to 60 s")?;
+        need(time(self.max_wait), "wait_most_ms", "must be from 1 ms to 60 s")?;
+        need(self.min_wait <= self.max_wait, "wait_least_ms", "is greater than `wait_most_ms`")?;
+        need(time(self.silence_timeout), "patience_ms", "must be from 1 ms to 60 s")?;
+        need(time(self.startup_timeout), "ready_within_ms", "must be from 1 ms to 60 s")?;
+        need(time(self.stale_after), "blind_after_ms", "must be from 1 ms to 60 s")?;
+        need(time(self.max_retry_delay), "retry_most_ms", "must be from 1 ms to 60 s")?;
+        need(time(self.min_retry_delay), "retry_least_ms", "must be from 1 ms to 60 s")?;
+        need(
+            self.min_retry_delay <= self.max_retry_delay,
+            "retry_least_ms",
+            "is greater than `retry_most_ms`",
+        )?;
+        need(
+            self.discovery_share > 0.0 && self.discovery_share <= 1.0,
+            "share",
+            "must be above 0 and at most 1",
+        )?;
+        need((1.0..=100.0).contains(&self.burst_calls), "extra", "must be from 1 to 100")
     }
 }
--- a/crates/spurdrum-sources/src/follower/start.rs
+++ b/crates/spurdrum-sources/src/follower/start.rs
@@ -1,4 +1,5 @@
-//! Whether a process that has just started may go by the list of an earlier run.
+//! Decides how long a process that has just started waits for discovery to confirm the list of an earlier
+//! run.
 
 use std::fmt;
 use std::time::Duration;
@@ -6,9 +7,9 @@
 /// How the start of a process ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartupResult {
-    /// Discovery has answered: the list is as discovery has it.
+    /// Discovery has answered, so the list is as discovery has it.
     Confirmed,
-    /// Discovery has not answered in time: the list of the earlier run holds until it does.
+    /// Discovery has not answered in time; the list of the earlier run stays in use until it does.
     TimedOut,
 }
 
@@ -16,25 +17,25 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Confirmed => "discovery has confirmed the list",
-            Self::TimedOut => "discovery has not answered in time, the list of the earlier run holds",
+            Self::TimedOut => "discovery has not answered in time, the list of the earlier run stays in use",
         })
     }
 }
 
 /// A start that has not ended yet.
 #[derive(Clone, Copy)]
-pub(super) struct Start {
-    pub(super) until: Duration,
+pub(super) struct Startup {
+    pub(super) deadline: Duration,
     pub(super) confirmed: bool,
 }
 
-impl Start {
-    /// How it ends now, where it does.
-    pub(super) fn end(self, now: Duration) -> Option<StartupResult> {
+impl Startup {
+    /// Returns how the start ends at `now`; none if it goes on.
+    pub(super) fn result(self, now: Duration) -> Option<StartupResult> {
         if self.confirmed {
             Some(StartupResult::Confirmed)
         } else {
-            (now >= self.until).then_some(StartupResult::TimedOut)
+            (now >= self.deadline).then_some(StartupResult::TimedOut)
         }
     }
 }
