--- a/crates/spurdrum-sources/src/alarm.rs
+++ b/crates/spurdrum-sources/src/alarm.rs
@@ -1,4 +1,4 @@
-//! The clock of what decides without one.
+//! The clock and timer that shells use to drive pure state machines.
 
 use std::cell::Cell;
 use std::future::pending;
@@ -7,10 +7,10 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep_until, Instant};
 
-/// Counts time from when it was made, and wakes whoever sleeps on it at the earliest moment that it is told of.
+/// Measures time since its creation, and wakes the task that sleeps on it at the earliest time requested.
 pub struct Timer {
     started: Instant,
-    /// None: it sleeps until it is told of a moment.
+    /// When the sleeping task wakes; none if it sleeps until a time is requested.
     until: Cell<Option<Duration>>,
     changed: Notify,
 }
@@ -22,12 +22,12 @@
 }
 
 impl Timer {
-    /// The present time.
+    /// Returns the time since the creation of the timer.
     pub fn now(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// Sleeps until then, or until [`Alarm::sooner`] tells of an earlier moment.
+    /// Sleeps until the given time, or until [`Timer::wake_no_later_than`] requests an earlier one.
     pub async fn sleep(&self, until: Option<Duration>) {
         self.until.set(until);
         let sleep = async {
@@ -42,7 +42,8 @@
         }
     }
 
-    /// Wakes who sleeps, where this is earlier than what they sleep for.
+    /// Wakes the sleeping task, if `wake` is earlier than the time that it sleeps until: the task then
+    /// computes its next wake time again.
     pub fn wake_no_later_than(&self, wake: Option<Duration>) {
         if wake.is_some_and(|wake| self.until.get().is_none_or(|until| wake < until)) {
             self.changed.notify_one();
--- a/crates/spurdrum-sources/src/catalog.rs
+++ b/crates/spurdrum-sources/src/catalog.rs
@@ -1,4 +1,4 @@
-//! The catalog over HTTP/1.1: carries out what a [`Follower`] decides.
+//! The shell that follows a catalog over HTTP/1.1: carries out the actions of a [`Follower`].
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -22,100 +22,101 @@
 };
 use crate::{CallEnd, CallError, CallReport, List, Timer};
 
-/// A list may be this long: 10,000 servers and some more.
-const LIST_MOST: usize = 8 << 20;
-/// A connection to discovery may take this long.
-const DIAL_MOST: Duration = Duration::from_secs(1);
+/// The largest list accepted: enough for somewhat more than 10,000 servers.
+const MAX_LIST_BYTES: usize = 8 << 20;
+/// The time within which a connection to discovery must be established.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What a follower has for the node.
+/// What the node learns from following a catalog.
 #[derive(Debug)]
 pub enum CatalogEvent {
-    /// Following begins: the first call goes out after so long.
+    /// The follower has started.
     Started {
-        /// The time until then.
+        /// The time until the first call is made.
         first_call: Duration,
     },
-    /// The process may serve from now on.
+    /// The process may serve requests from now on.
     Ready {
-        /// Why.
-        end: StartupResult,
-        /// How long it took.
+        /// How the start ended.
+        result: StartupResult,
+        /// How long the start took.
         after: Duration,
     },
-    /// The list, or what changed in it.
+    /// The whole list, or the changes to it.
     List(List),
-    /// The view is trusted otherwise than before.
+    /// The freshness of the list has changed.
     FreshnessChanged {
-        /// Before.
+        /// The freshness before.
         from: Freshness,
-        /// Now.
+        /// The freshness now.
         to: Freshness,
         /// Why.
         cause: Cause,
     },
-    /// A whole list is shorter by much: entries before and now.
+    /// A whole list is much shorter than the one before: the number of entries before and now.
     ListShrunk(usize, usize),
-    /// A call has ended, otherwise than as a quiet watch does.
+    /// A call has ended. Watches that end in time without changes are not reported.
     CallEnded(CallReport),
 }
 
-/// A call that is out.
+/// A call that has not ended yet.
 struct OpenCall {
     query: Query,
     address: SocketAddr,
-    begun: Duration,
+    started_at: Duration,
     task: AbortHandle,
 }
 
 type Sender = SendRequest<Empty<Bytes>>;
-type Listener = Box<dyn Fn(CatalogEvent)>;
+type EventHandler = Box<dyn Fn(CatalogEvent)>;
 
-/// Follows one catalog. To be used within a `LocalSet`.
+/// Follows one catalog. Must be used within a `LocalSet`.
 pub struct Catalog {
     address: Cell<SocketAddr>,
     follower: RefCell<Follower>,
     timer: Timer,
     calls: RefCell<HashMap<CallId, OpenCall>>,
-    /// A connection whose last call was answered, and where it leads.
-    kept: RefCell<Option<(SocketAddr, Sender)>>,
-    news: RefCell<Option<Listener>>,
+    /// An idle connection whose last call was answered, and its remote address.
+    idle_connection: RefCell<Option<(SocketAddr, Sender)>>,
+    handler: RefCell<Option<EventHandler>>,
 }
 
 impl Catalog {
-    /// A catalog at this address, of which a version is known.
+    /// Creates the shell for the catalog at `address`. `known_revision` is the revision of the list from an
+    /// earlier run, if any.
     ///
     /// # Errors
     ///
-    /// The first setting that makes no sense, and why.
+    /// Returns the key of the first setting that is not valid, and why.
     pub fn new(
         address: SocketAddr,
         settings: Settings,
         seed: u64,
-        known: Option<u64>,
+        known_revision: Option<u64>,
     ) -> Result<Rc<Self>, (&'static str, &'static str)> {
         Ok(Rc::new(Self {
             address: Cell::new(address),
-            follower: RefCell::new(Follower::new(settings, seed, known)?),
+            follower: RefCell::new(Follower::new(settings, seed, known_revision)?),
             timer: Timer::default(),
             calls: RefCell::default(),
-            kept: RefCell::default(),
-            news: RefCell::default(),
+            idle_connection: RefCell::default(),
+            handler: RefCell::default(),
         }))
     }
 
-    /// Servers that leave by the list of an earlier run.
-    pub fn restore_leaving(&self, known: List) {
-        self.follower.borrow_mut().restore_leaving(known);
+    /// Restores which servers were leaving, from the list of an earlier run.
+    pub fn restore_leaving(&self, list: List) {
+        self.follower.borrow_mut().restore_leaving(list);
     }
 
-    /// Follows it for as long as this is awaited; each piece of news is handed over as it comes.
-    pub async fn follow(self: Rc<Self>, news: impl Fn(CatalogEvent) + 'static) {
-        *self.news.borrow_mut() = Some(Box::new(news));
-        self.tell(Event::Tick);
-        let due = self.follower.borrow().next_call().unwrap_or_default();
-        self.hand_over(CatalogEvent::Started { first_call: due.saturating_sub(self.timer.now()) });
+    /// Follows the catalog for as long as this future is polled, and passes each event to the handler.
+    pub async fn follow(self: Rc<Self>, handler: impl Fn(CatalogEvent) + 'static) {
+        *self.handler.borrow_mut() = Some(Box::new(handler));
+        self.handle(Event::Tick);
+        let first_call_at = self.follower.borrow().next_call().unwrap_or_default();
+        self.emit(CatalogEvent::Started { first_call: first_call_at.saturating_sub(self.timer.now()) });
         loop {
-            self.tell(Event::Tick);
+            self.handle(Event::Tick);
             let wake = self.follower.borrow().next_wake();
             if wake.is_none() {
                 return;
@@ -124,95 +125,96 @@
         }
     }
 
-    /// What a server shows that the list does not explain.
+    /// Reports behaviour of a server that the list does not explain.
     pub fn report_evidence(self: &Rc<Self>, evidence: Evidence) {
-        self.tell(Event::Evidence(evidence));
+        self.handle(Event::Evidence(evidence));
     }
 
-    /// It is to be found elsewhere from now on. Whether that is news.
+    /// Sets the address of the catalog, and returns whether it has changed.
     pub fn set_address(self: &Rc<Self>, address: SocketAddr) -> bool {
         if self.address.replace(address) == address {
             return false;
         }
-        *self.kept.borrow_mut() = None;
-        self.tell(Event::AddressChanged);
+        *self.idle_connection.borrow_mut() = None;
+        self.handle(Event::AddressChanged);
         true
     }
 
-    /// How far the view can be trusted, its age where it was ever confirmed, its version, and what was done.
+    /// Returns the freshness of the list, its age if it was ever confirmed, its revision, and the counters.
     pub fn status(&self) -> (Freshness, Option<Duration>, Option<u64>, Counts) {
         let follower = self.follower.borrow();
         (follower.freshness(), follower.age(self.timer.now()), follower.revision(), follower.counts().clone())
     }
 
-    fn tell(self: &Rc<Self>, event: Event) {
-        // Guards against evidence that comes before the list is followed.
-        if self.news.borrow().is_none() {
+    fn handle(self: &Rc<Self>, event: Event) {
+        // Evidence may arrive before the catalog is followed; it is ignored.
+        if self.handler.borrow().is_none() {
             return;
         }
         let mut actions = Vec::new();
         self.follower.borrow_mut().handle(self.timer.now(), event, &mut actions);
         for action in actions {
             match action {
-                Action::Call { call, query } => self.call(call, query),
-                Action::Close { call, reason } => self.close(call, reason),
-                Action::Apply(list) => self.hand_over(CatalogEvent::List(list)),
+                Action::Call { call, query } => self.start_call(call, query),
+                Action::Close { call, reason } => self.close_call(call, reason),
+                Action::Apply(list) => self.emit(CatalogEvent::List(list)),
                 Action::FreshnessChanged { from, to, cause } => {
-                    self.hand_over(CatalogEvent::FreshnessChanged { from, to, cause })
+                    self.emit(CatalogEvent::FreshnessChanged { from, to, cause })
                 }
-                Action::ListShrunk(before, now) => self.hand_over(CatalogEvent::ListShrunk(before, now)),
-                Action::Ready(end) => self.hand_over(CatalogEvent::Ready { end, after: self.timer.now() }),
+                Action::ListShrunk(before, now) => self.emit(CatalogEvent::ListShrunk(before, now)),
+                Action::Ready(result) => self.emit(CatalogEvent::Ready { result, after: self.timer.now() }),
             }
         }
         self.timer.wake_no_later_than(self.follower.borrow().next_wake());
     }
 
-    fn hand_over(&self, news: CatalogEvent) {
-        if let Some(to) = &*self.news.borrow() {
-            to(news);
+    fn emit(&self, event: CatalogEvent) {
+        if let Some(handler) = &*self.handler.borrow() {
+            handler(event);
         }
     }
 
-    fn call(self: &Rc<Self>, id: CallId, query: Query) {
+    fn start_call(self: &Rc<Self>, id: CallId, query: Query) {
         let (catalog, address) = (Rc::clone(self), self.address.get());
         let task = tokio::task::spawn_local(async move {
-            let ended = catalog.query(id, query, address).await;
-            catalog.ended(id, ended);
+            let result = catalog.fetch(id, query, address).await;
+            catalog.on_call_end(id, result);
         });
-        let (begun, task) = (self.timer.now(), task.abort_handle());
-        self.calls.borrow_mut().insert(id, OpenCall { query, address, begun, task });
+        let (started_at, task) = (self.timer.now(), task.abort_handle());
+        self.calls.borrow_mut().insert(id, OpenCall { query, address, started_at, task });
     }
 
-    fn ended(self: &Rc<Self>, id: CallId, ended: Result<List, CallError>) {
-        let (end, event) = match ended {
+    fn on_call_end(self: &Rc<Self>, id: CallId, result: Result<List, CallError>) {
+        let (end, event) = match result {
             Ok(list) => {
                 let end = CallEnd::Answered { revision: list.revision, entries: list.members.len() };
                 (end, Event::Answered { call: id, list })
             }
             Err(error) => (CallEnd::Failed(error), Event::Failed { call: id, failure: error.failure() }),
         };
-        self.report(id, end);
-        self.tell(event);
+        self.finish_call(id, end);
+        self.handle(event);
     }
 
-    fn close(&self, id: CallId, reason: CloseReason) {
+    fn close_call(&self, id: CallId, reason: CloseReason) {
         if let Some(call) = self.calls.borrow().get(&id) {
             call.task.abort();
         }
-        self.report(id, CallEnd::Closed(reason));
+        self.finish_call(id, CallEnd::Closed(reason));
     }
 
-    /// A call is out no more.
-    fn report(&self, id: CallId, end: CallEnd) {
+    /// Forgets a call that has ended, and reports it if it is worth that.
+    fn finish_call(&self, id: CallId, end: CallEnd) {
         let Some(call) = self.calls.borrow_mut().remove(&id) else { return };
-        let elapsed = self.timer.now().saturating_sub(call.begun);
+        let elapsed = self.timer.now().saturating_sub(call.started_at);
         let report = CallReport { call: id, query: call.query, address: call.address, elapsed, end };
         if report.is_notable() {
-            self.hand_over(CatalogEvent::CallEnded(report));
+            self.emit(CatalogEvent::CallEnded(report));
         }
     }
 
-    async fn query(
+    /// Makes one call and returns the list in the answer. Reuses the idle connection, if there is one.
+    async fn fetch(
         self: &Rc<Self>,
         id: CallId,
         query: Query,
@@ -226,10 +228,14 @@
             Query::Read => "/catalog/members".to_owned(),
         };
         let request = Request::get(path).header("Host", address.to_string());
-        let mut request = request.body(Empty::new()).expect("a sound request");
+        let mut request = request.body(Empty::new()).expect("the request is valid");
         let (response, sender) = loop {
-            let kept = self.kept.borrow_mut().take().filter(|(at, kept)| *at == address && !kept.is_closed());
-            let (mut sender, is_kept) = match kept {
+            let idle = self
+                .idle_connection
+                .borrow_mut()
+                .take()
+                .filter(|(idle_address, idle)| *idle_address == address && !idle.is_closed());
+            let (mut sender, is_reused) = match idle {
                 Some((_, sender)) => (sender, true),
                 None => (connect(address).await.ok_or(CallError::Unreachable)?, false),
             };
@@ -239,34 +245,35 @@
                     Ok(response) => break (response, sender),
                     Err(mut error) => match error.take_message() {
                         Some(unsent) => unsent,
-                        None if is_kept => return Err(CallError::ReusedConnectionClosed),
+                        None if is_reused => return Err(CallError::ReusedConnectionClosed),
                         None => return Err(CallError::ConnectionLost),
                     },
                 },
             };
-            if !is_kept {
+            if !is_reused {
                 return Err(CallError::ConnectionLost);
             }
-            // A kept connection had been closed before the call was written: the call goes on a new one.
+            // The reused connection was closed before the request was written: the request is sent on a new
+            // one.
             request = unsent;
         };
         if response.status() != StatusCode::OK {
             return Err(CallError::Status(response.status()));
         }
         let length = response.body().size_hint().exact().unwrap_or(0);
-        self.tell(Event::AnswerStarted { call: id, length });
-        let body = Limited::new(response.into_body(), LIST_MOST).collect().await;
+        self.handle(Event::AnswerStarted { call: id, length });
+        let body = Limited::new(response.into_body(), MAX_LIST_BYTES).collect().await;
         let body = body.map_err(|_| CallError::IncompleteBody)?.to_bytes();
         let list = serde_json::from_slice(&body).map_err(|_| CallError::InvalidList)?;
         if address == self.address.get() {
-            *self.kept.borrow_mut() = Some((address, sender));
+            *self.idle_connection.borrow_mut() = Some((address, sender));
         }
         Ok(list)
     }
 }
 
 async fn connect(address: SocketAddr) -> Option<Sender> {
-    let stream = timeout(DIAL_MOST, TcpStream::connect(address)).await.ok()?.ok()?;
+    let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await.ok()?.ok()?;
     stream.set_nodelay(true).ok()?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
     tokio::task::spawn_local(connection);
--- a/crates/spurdrum-sources/src/fixed.rs
+++ b/crates/spurdrum-sources/src/fixed.rs
@@ -1,4 +1,4 @@
-//! A list that stands in a file: a fleet that needs no catalog.
+//! A static list of servers from the configuration file, for fleets without discovery.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 
 use crate::{List, Member, Phase};
 
-/// Servers by address.
+/// A static list of servers.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StaticList {
@@ -15,40 +15,40 @@
     pub servers: Vec<StaticServer>,
 }
 
-/// One server.
+/// One server of a static list.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StaticServer {
-    /// Its address where it has no other name.
+    /// The id of the server; its address if none is given.
     pub id: Option<String>,
-    /// Where it listens.
+    /// The address on which the server listens.
     pub address: SocketAddr,
-    /// The name of its zone.
+    /// The name of the zone.
     #[serde(default)]
     pub zone: String,
-    /// The name of its machine kind.
+    /// The name of the kind of machine.
     #[serde(default)]
     pub kind: String,
-    /// Its cell.
+    /// The cell.
     #[serde(default)]
     pub cell: usize,
-    /// Its weight.
-    #[serde(default = "weight")]
+    /// The weight of the server in load balancing.
+    #[serde(default = "default_weight")]
     pub weight: f64,
 }
 
-fn weight() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
 impl StaticServer {
-    fn name(&self) -> String {
+    fn id(&self) -> String {
         self.id.clone().unwrap_or_else(|| self.address.to_string())
     }
 
     fn member(&self) -> Member {
         Member {
-            id: self.name(),
+            id: self.id(),
             host_port: self.address,
             locality: self.zone.clone(),
             flavor: self.kind.clone(),
@@ -61,25 +61,25 @@
 }
 
 impl StaticList {
-    /// The whole list.
+    /// Returns the whole list.
     pub fn list(&self) -> List {
         List { revision: 0, complete: true, members: self.servers.iter().map(StaticServer::member).collect() }
     }
 
-    /// Checks that every server is one, with a weight.
+    /// Checks that no id or address occurs twice, and that every weight is valid.
     ///
     /// # Errors
     ///
-    /// The first key that makes no sense, and why.
+    /// Returns the first key whose value is not valid, and why.
     pub fn check(&self) -> Result<(), (&'static str, &'static str)> {
-        let mut names = HashSet::new();
-        if !self.servers.iter().all(|server| names.insert(server.name())) {
-            return Err(("servers", "two servers have one id or address"));
+        let mut ids = HashSet::new();
+        if !self.servers.iter().all(|server| ids.insert(server.id())) {
+            return Err(("servers", "two servers have the same id or address"));
         }
-        let sound = |weight: f64| weight.is_finite() && weight > 0.0;
-        match self.servers.iter().all(|server| sound(server.weight)) {
+        let is_valid = |weight: f64| weight.is_finite() && weight > 0.0;
+        match self.servers.iter().all(|server| is_valid(server.weight)) {
             true => Ok(()),
-            false => Err(("weight", "is no number above 0")),
+            false => Err(("weight", "must be a number above 0")),
         }
     }
 }
--- a/crates/spurdrum-sources/src/lib.rs
+++ b/crates/spurdrum-sources/src/lib.rs
@@ -1,10 +1,12 @@
-//! Lists of servers, and how they are followed.
+//! Sources of the list of servers, and how a node keeps the list up to date.
 //!
-//! Every source ends in the same thing: a [`List`], whole or of changes, that the node hands to its decisions. A
-//! [`follower::Follower`] decides when a source is asked, which answers count, and whether the view that came of them
-//! is fresh, doubtful or blind. It has no clock, sockets or randomness but its seed; [`catalog`] is the shell that
-//! carries it out on HTTP. A [`registry`] is followed by watches, by a follower of its own. Where there are several
-//! sources, a [`reconciler::Reconciler`] makes one list of theirs.
+//! Every source produces the same thing: a [`List`], either whole or of changes, that the node passes to its
+//! load-balancing policy. A [`follower::Follower`] decides when discovery is called, which answers count, and
+//! whether the resulting list is fresh, doubtful or stale. It is a pure state machine: it has no clock, no
+//! sockets, and no randomness but its seed.
+//! [`catalog`] is the shell that carries out its actions over HTTP. A [`registry`] (etcd or Consul) has a follower of its own,
+//! which uses the watches of the registry. If there are several sources, a [`reconciler::Reconciler`] merges
+//! their lists into one.
 
 use std::time::Duration;
 
@@ -18,10 +20,10 @@
 pub mod registry;
 mod report;
 
-/// A pause that doubles with each step from the least to the most, and is anything between its half and all of it: nodes that
-/// failed together do not try again together.
-fn backoff_delay(random: &mut fastrand::Rng, least: Duration, most: Duration, steps: u32) -> Duration {
-    least.saturating_mul(1 << steps.min(16)).min(most).mul_f64(0.5 + 0.5 * random.f64())
+/// Returns a delay that doubles with each step from `min` up to `max`, reduced by a random part of up to half
+/// of it, so that nodes that failed together do not retry together.
+fn backoff_delay(rng: &mut fastrand::Rng, min: Duration, max: Duration, doublings: u32) -> Duration {
+    min.saturating_mul(1 << doublings.min(16)).min(max).mul_f64(0.5 + 0.5 * rng.f64())
 }
 
 pub use alarm::Timer;
--- a/crates/spurdrum-sources/src/list.rs
+++ b/crates/spurdrum-sources/src/list.rs
@@ -1,4 +1,4 @@
-//! What a source says.
+//! The list of servers as sources provide it, which is also the format of discovery on the wire.
 
 use std::net::SocketAddr;
 
@@ -7,24 +7,25 @@
 /// A list of servers, or of changes to one, as discovery sends it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct List {
-    /// Its version.
+    /// The revision of the list.
     pub revision: u64,
-    /// Whether it names every server.
+    /// Whether the list contains every server, rather than only changes.
     pub complete: bool,
-    /// Its entries.
+    /// The entries.
     pub members: Vec<Member>,
 }
 
 impl List {
-    /// This list with the changes of another; what has left is in it no more.
-    pub fn merge(&mut self, news: &Self) {
-        if news.complete {
-            *self = news.clone();
+    /// Applies another list to this one: replaces it by a complete list, or applies the changes. Servers that
+    /// have left are removed.
+    pub fn merge(&mut self, update: &Self) {
+        if update.complete {
+            *self = update.clone();
             return;
         }
-        self.revision = news.revision;
-        for member in &news.members {
-            self.members.retain(|known| known.id != member.id);
+        self.revision = update.revision;
+        for member in &update.members {
+            self.members.retain(|existing| existing.id != member.id);
             if member.phase != Phase::Left {
                 self.members.push(member.clone());
             }
@@ -35,32 +36,32 @@
 /// A server as discovery describes it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Member {
-    /// The same at every node.
+    /// The id of the server, the same at every node.
     pub id: String,
-    /// Where it listens, as seen from this node.
+    /// The address on which the server listens, as seen from this node.
     pub host_port: SocketAddr,
-    /// The name of its zone.
+    /// The name of the zone.
     pub locality: String,
-    /// The name of its machine kind.
+    /// The name of the kind of machine.
     pub flavor: String,
-    /// Its cell.
+    /// The cell.
     pub cell: usize,
-    /// What it is ready for.
+    /// Whether the server takes requests.
     pub phase: Phase,
-    /// Its weight.
+    /// The weight of the server in load balancing.
     pub size: f64,
-    /// When it last started, as Unix time; 0 for long ago.
+    /// When the server last started, as Unix time in milliseconds; 0 if that was long ago or is not known.
     pub up_since_ms: f64,
 }
 
-/// What a server is ready for.
+/// The phase of a server's life in the list.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Phase {
-    /// It takes requests.
+    /// The server takes requests.
     Active,
-    /// It finishes what it has.
+    /// The server is draining: it finishes the requests that it has, and takes no new ones.
     Leaving,
-    /// It is no longer there.
+    /// The server is gone.
     Left,
 }
--- a/crates/spurdrum-sources/src/report.rs
+++ b/crates/spurdrum-sources/src/report.rs
@@ -1,4 +1,4 @@
-//! What operators are shown of calls to discovery.
+//! Reports of calls to discovery, for the log.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -11,22 +11,22 @@
 /// Why a call to discovery failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallError {
-    /// No connection came up.
+    /// No connection could be established.
     Unreachable,
-    /// The connection broke.
+    /// The connection was lost.
     ConnectionLost,
-    /// A kept connection had been dead.
+    /// A connection kept from an earlier call was already closed.
     ReusedConnectionClosed,
-    /// An answer that is not 200.
+    /// The status of the answer is not 200.
     Status(StatusCode),
-    /// A body that stopped short or is too long.
+    /// The body ended early or is too long.
     IncompleteBody,
-    /// A body that is no list.
+    /// The body is not a list.
     InvalidList,
 }
 
 impl CallError {
-    /// What it is to the follower.
+    /// Returns the kind of failure that the follower distinguishes.
     #[must_use]
     pub fn failure(self) -> Failure {
         match self {
@@ -42,11 +42,11 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Unreachable => f.write_str("no connection"),
-            Self::ConnectionLost => f.write_str("the connection broke"),
-            Self::ReusedConnectionClosed => f.write_str("the kept connection was dead"),
+            Self::ConnectionLost => f.write_str("the connection was lost"),
+            Self::ReusedConnectionClosed => f.write_str("the reused connection was already closed"),
             Self::Status(status) => write!(f, "status {}", status.as_u16()),
-            Self::IncompleteBody => f.write_str("the answer broke off"),
-            Self::InvalidList => f.write_str("the answer is no list"),
+            Self::IncompleteBody => f.write_str("the answer was incomplete or too long"),
+            Self::InvalidList => f.write_str("the answer is not a list"),
         }
     }
 }
@@ -54,43 +54,46 @@
 /// How a call to discovery ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallEnd {
-    /// With a list.
+    /// Discovery answered with a list.
     Answered {
-        /// Its version.
+        /// The revision of the list.
         revision: u64,
-        /// Its entries.
+        /// The number of entries in the list.
         entries: usize,
     },
-    /// Without one.
+    /// The call failed.
     Failed(CallError),
-    /// The node closed it.
+    /// The node closed the call.
     Closed(CloseReason),
 }
 
 /// A call to discovery that has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallReport {
-    /// Its number.
+    /// The number of the call.
     pub call: CallId,
-    /// What was asked.
+    /// What the call asked for.
     pub query: Query,
-    /// Where.
+    /// The address of discovery.
     pub address: SocketAddr,
-    /// How long it was out.
+    /// The time from the start of the call to its end.
     pub elapsed: Duration,
-    /// How it ended.
+    /// How the call ended.
     pub end: CallEnd,
 }
 
-/// An answer that comes so long after the wait that was asked for is worth a line.
-const SLOW: Duration = Duration::from_millis(500);
+/// An answer that arrives this long after the end of the requested wait is worth a log line.
+const SLOW_ANSWER: Duration = Duration::from_millis(500);
 
 impl CallReport {
-    /// Whether it is more than the quiet end of a watch: it brought news, came late, or ended without an answer.
+    /// Returns whether the call is worth a log line: it brought changes, was answered late, or ended without
+    /// an answer.
     #[must_use]
     pub fn is_notable(&self) -> bool {
         match self.end {
-            CallEnd::Answered { entries, .. } => entries > 0 || self.elapsed > self.query.wait() + SLOW,
+            CallEnd::Answered { entries, .. } => {
+                entries > 0 || self.elapsed > self.query.wait() + SLOW_ANSWER
+            }
             CallEnd::Failed(_) | CallEnd::Closed(_) => true,
         }
     }
--- a/crates/spurdrum/src/following.rs
+++ b/crates/spurdrum/src/following.rs
@@ -84,9 +84,9 @@
                 list::trust(shown.status())
             );
         }
-        CatalogEvent::Ready { end, after } => {
+        CatalogEvent::Ready { result, after } => {
             sink.node.start_serving();
-            tracing::info!("ready {:.3} s after the start: {end}", after.as_secs_f64());
+            tracing::info!("ready {:.3} s after the start: {result}", after.as_secs_f64());
         }
         CatalogEvent::ListShrunk(before, now) => {
             tracing::warn!("the list of servers is shorter by much: {before} before, {now} now");
