--- a/crates/spurdrum-policy/src/interface.rs
+++ b/crates/spurdrum-policy/src/interface.rs
@@ -1,21 +1,21 @@
 //! The interface of the decision module: its settings, events and actions.
 //!
-//! Times are milliseconds. Events carry durations; the instant they happened at is given to
-//! [`Balancer::handle`](crate::Balancer::handle) beside them.
+//! All times are in milliseconds. Events carry durations; the time at which an event happened is passed to
+//! [`Balancer::handle`](crate::Balancer::handle) together with the event.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// A server, numbered by the embedding node and never reused for another one.
+/// A server, numbered by the embedding node. A number is never reused for another server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ServerId(pub usize);
 
-/// A client's request, numbered by the embedding node and never reused.
+/// A client's request, numbered by the embedding node. A number is never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// The servers that discard repeats of a keyed request.
+/// The servers that share a deduplication table and so discard repeats of the same keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
     /// Every server.
@@ -26,39 +26,39 @@
     Cell,
 }
 
-/// What running a request twice does.
+/// What happens when a request is executed twice.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Effect {
-    /// Nothing: it may be repeated freely.
+    /// Executing the request again does no harm: it may be repeated freely.
     Safe,
-    /// Repeats are discarded by the servers of a group, for a while.
+    /// The servers of a group discard repeats for a limited time.
     Keyed {
         /// The servers that discard repeats.
         group: Group,
-        /// For how long, from the sending of the first attempt that may have run.
+        /// How long repeats are discarded, counted from the sending of the first attempt that may have run.
         window_ms: f64,
     },
-    /// It must never run twice.
+    /// The request must never be executed twice.
     Unsafe,
 }
 
 /// A class of requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Class {
-    /// Answers within this time have the full worth.
+    /// Latency objective: answers within this time have their full value.
     pub latency_objective_ms: f64,
-    /// What a client waits in all, over every try.
+    /// Total time that a client waits, over all of its tries.
     pub deadline_ms: f64,
-    /// What running a request twice does.
+    /// What happens when a request is executed twice.
     pub effect: Effect,
-    /// Worth of an answer in time.
+    /// Value of an answer within the latency objective.
     pub value: f64,
-    /// Fraction of the worth left after the aim.
+    /// Fraction of the value that remains after the latency objective.
     pub late_value: f64,
 }
 
 impl Class {
-    /// A class of worth one whose late answers are worth nothing.
+    /// Returns a class of value one whose late answers have no value.
     #[must_use]
     pub fn new(latency_objective_ms: f64, deadline_ms: f64, effect: Effect) -> Self {
         Self { latency_objective_ms, deadline_ms, effect, value: 1.0, late_value: 0.0 }
@@ -68,80 +68,82 @@
 /// How the list of servers reaches a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// Changes come by themselves.
+    /// Changes are pushed to every node.
     Push,
-    /// Changes come only to a node that has subscribed.
+    /// Changes are sent only to a node that has subscribed.
     Subscribe,
 }
 
-/// What the listed weight of a server means.
+/// What the weight of a server in the list means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Weights {
-    /// Nothing: it is always one.
+    /// Weights carry no information: they are always one.
     None,
     /// The server's size.
     Size,
-    /// The server's size lowered by its load of some time ago.
+    /// The server's size, reduced by its load at some earlier time.
     Live,
 }
 
-/// All that a balancer is told when it starts.
+/// The settings that a balancer is created with.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Classes of requests; a request names one by index.
+    /// Classes of requests; a request names its class by index.
     pub classes: Vec<Class>,
     /// Requests per second that each tenant may send through all nodes together.
     pub quotas_per_s: Vec<f64>,
-    /// Fraction of the worth that a request beyond its tenant's quota keeps.
+    /// Fraction of its value that a request beyond its tenant's quota keeps.
     pub over_quota_value: f64,
     /// Number of nodes that share the servers.
     pub nodes: usize,
-    /// The node's own number among them, from zero.
+    /// This node's index among them, from zero.
     pub node_index: usize,
-    /// The node's own zone.
+    /// This node's zone.
     pub zone: usize,
     /// Number of machine kinds.
     pub kinds: usize,
-    /// How the list of servers arrives.
+    /// How the list of servers reaches this node.
     pub discovery: Discovery,
-    /// What the listed weights mean.
+    /// What the weights in the list mean.
     pub weights: Weights,
-    /// A node with no subscription must ask again within this time.
+    /// A node without a subscription must subscribe again within this time.
     pub resubscribe_within_ms: f64,
-    /// Attempts allowed for one request.
+    /// Maximum number of attempts for one request.
     pub max_attempts: usize,
-    /// Whether two attempts of one request may be out at once.
+    /// Whether two attempts of one request may be in flight at once.
     pub hedging: bool,
     /// Whether an attempt may be cancelled.
     pub cancel: bool,
-    /// The longest that a client is told to stay away; `None` where it is told nothing.
+    /// Longest retry-after time that a client may be given; `None` where clients are given none.
     pub max_retry_after_ms: Option<f64>,
     /// Whether servers may be probed.
     pub probes: bool,
     /// Whether nodes may send each other messages.
     pub peers: bool,
-    /// Whether answers carry the load report; where they do not, only probes do.
+    /// Whether responses carry the server's load report; otherwise only probes return one.
     pub responses_carry_load: bool,
-    /// Price of one probe for each request, as a fraction of the result.
+    /// Price of sending one probe for each request, as a fraction of the total value served.
     pub probe_price: f64,
-    /// A server starts with at least this fraction of its capacity.
+    /// A server that has just started has at least this fraction of its capacity.
     pub slow_start_min_capacity: f64,
-    /// And has all of it after this time.
+    /// Time after which a server that has started has its full capacity.
     pub slow_start_ms: f64,
-    /// A cold server falls over when sent more than this multiple of its capacity ...
+    /// A server in slow start collapses when it is sent more than this multiple of its current capacity ...
     pub collapse_multiple: f64,
     /// ... for this long.
     pub collapse_after_ms: f64,
-    /// Price of wasted server work, as a fraction of the result.
+    /// Price of wasted server work, as a fraction of the total value served.
     pub waste_price: f64,
-    /// Price of requests that cross zones, as a fraction of the result.
+    /// Price of requests that cross zones, as a fraction of the total value served.
     pub cross_zone_price: f64,
-    /// A server that a request prefers is taken while its rank is at most this multiple of the lowest, one or more.
+    /// The server that a request prefers is chosen while its rank is at most this multiple of the lowest rank.
+    /// At least one.
     pub preference_slack: f64,
 }
 
 impl Settings {
-    /// Settings for one node with these classes; the rest is what an unrestricted site would say.
+    /// Returns settings for a single node with these classes. All else has the values of a deployment
+    /// without restrictions.
     #[must_use]
     pub fn new(classes: Vec<Class>) -> Self {
         Self {
@@ -173,50 +175,50 @@
         }
     }
 
-    /// Checks that every figure makes sense.
+    /// Checks that every value is in its range.
     ///
     /// # Errors
     ///
-    /// Names the first setting that does not.
+    /// Names the first setting that is out of range.
     pub fn validate(&self) -> Result<(), SettingsError> {
-        let need = |ok: bool, key: &'static str| if ok { Ok(()) } else { Err(SettingsError { key }) };
-        let some = |x: f64| x.is_finite() && x > 0.0;
-        let zero_up = |x: f64| x.is_finite() && x >= 0.0;
-        need(!self.classes.is_empty(), "classes")?;
+        let require = |ok: bool, key: &'static str| if ok { Ok(()) } else { Err(SettingsError { key }) };
+        let positive = |x: f64| x.is_finite() && x > 0.0;
+        let non_negative = |x: f64| x.is_finite() && x >= 0.0;
+        require(!self.classes.is_empty(), "classes")?;
         for class in &self.classes {
-            need(some(class.latency_objective_ms), "classes[].aim_ms")?;
-            need(some(class.deadline_ms), "classes[].deadline_ms")?;
-            need(zero_up(class.value), "classes[].worth")?;
-            need(zero_up(class.late_value), "classes[].late_worth")?;
+            require(positive(class.latency_objective_ms), "classes[].aim_ms")?;
+            require(positive(class.deadline_ms), "classes[].deadline_ms")?;
+            require(non_negative(class.value), "classes[].worth")?;
+            require(non_negative(class.late_value), "classes[].late_worth")?;
             if let Effect::Keyed { window_ms, .. } = class.effect {
-                need(zero_up(window_ms), "classes[].window_ms")?;
+                require(non_negative(window_ms), "classes[].window_ms")?;
             }
         }
-        need(self.quotas_per_s.iter().all(|q| zero_up(*q)), "quotas_per_s")?;
-        need(zero_up(self.over_quota_value), "over_quota_worth")?;
-        need(self.nodes > 0, "nodes")?;
-        need(some(self.resubscribe_within_ms), "ask_within_ms")?;
-        need(self.max_attempts > 0, "max_attempts")?;
-        need(self.max_retry_after_ms.is_none_or(zero_up), "max_retry_after_ms")?;
-        need(some(self.slow_start_min_capacity) && self.slow_start_min_capacity <= 1.0, "cold_from")?;
-        need(zero_up(self.slow_start_ms), "cold_ms")?;
-        need(some(self.collapse_multiple), "tip_multiple")?;
-        need(some(self.collapse_after_ms), "tip_after_ms")?;
-        need(zero_up(self.probe_price), "probe_price")?;
-        need(zero_up(self.waste_price), "waste_price")?;
-        need(zero_up(self.cross_zone_price), "cross_zone_price")?;
-        need(self.preference_slack.is_finite() && self.preference_slack >= 1.0, "preference_slack")
+        require(self.quotas_per_s.iter().all(|q| non_negative(*q)), "quotas_per_s")?;
+        require(non_negative(self.over_quota_value), "over_quota_worth")?;
+        require(self.nodes > 0, "nodes")?;
+        require(positive(self.resubscribe_within_ms), "ask_within_ms")?;
+        require(self.max_attempts > 0, "max_attempts")?;
+        require(self.max_retry_after_ms.is_none_or(non_negative), "max_retry_after_ms")?;
+        require(positive(self.slow_start_min_capacity) && self.slow_start_min_capacity <= 1.0, "cold_from")?;
+        require(non_negative(self.slow_start_ms), "cold_ms")?;
+        require(positive(self.collapse_multiple), "tip_multiple")?;
+        require(positive(self.collapse_after_ms), "tip_after_ms")?;
+        require(non_negative(self.probe_price), "probe_price")?;
+        require(non_negative(self.waste_price), "waste_price")?;
+        require(non_negative(self.cross_zone_price), "cross_zone_price")?;
+        require(self.preference_slack.is_finite() && self.preference_slack >= 1.0, "preference_slack")
     }
 }
 
-/// A setting that makes no sense.
+/// A setting that is out of range.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
     key: &'static str,
 }
 
 impl SettingsError {
-    /// The name of the setting.
+    /// Returns the setting's name in the platform's settings.
     #[must_use]
     pub fn key(&self) -> &'static str {
         self.key
@@ -231,14 +233,14 @@
 
 impl std::error::Error for SettingsError {}
 
-/// What discovery says of a server.
+/// A server's state in the list of servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Availability {
-    /// It takes requests.
+    /// The server accepts requests.
     Ready,
-    /// It finishes its work; nothing new may be sent.
+    /// The server finishes the requests it has; no new ones may be sent to it.
     Draining,
-    /// It has been removed, or was never there.
+    /// The server has been removed, or was never listed.
     #[default]
     Gone,
 }
@@ -248,24 +250,24 @@
 pub struct ServerEntry {
     /// The server.
     pub server: ServerId,
-    /// Whether it takes requests.
+    /// Whether the server accepts requests.
     pub availability: Availability,
-    /// When it last started; `None` means long ago.
+    /// Time at which the server last started; `None` means long ago.
     pub started_at: Option<f64>,
-    /// Its cell.
+    /// The server's cell.
     pub cell: usize,
-    /// Its zone.
+    /// The server's zone.
     pub zone: usize,
-    /// Its machine kind.
+    /// The server's machine kind.
     pub kind: usize,
-    /// Its weight, see [`Weights`].
+    /// The server's weight, see [`Weights`].
     pub weight: f64,
-    /// A hash of its name, the same at every node: it orders the servers alike for all.
+    /// Hash of the server's name. It is the same at every node, so that all nodes order the servers alike.
     pub name_hash: u64,
 }
 
 impl ServerEntry {
-    /// A server of the first zone, cell and kind that started long ago.
+    /// Returns an entry for a server of the first zone, cell and kind that started long ago.
     #[must_use]
     pub fn new(server: ServerId, availability: Availability) -> Self {
         Self {
@@ -281,78 +283,79 @@
     }
 }
 
-/// News from discovery.
+/// An update of the list of servers, or the failure to get one.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ListUpdate {
     /// Only the servers that changed.
     Changes(Vec<ServerEntry>),
-    /// The complete list: a server that is absent is gone.
+    /// The complete list: a server that is not in it is gone.
     Full(Vec<ServerEntry>),
-    /// The complete list as last held, perhaps long ago.
+    /// The complete list as last stored, possibly long ago.
     Cached(Vec<ServerEntry>),
-    /// A call failed or the subscription broke; the previous list stands.
+    /// A call to discovery failed or the subscription broke; the previous list stays in use.
     Failed,
 }
 
 /// A client's request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// Its id.
+    /// The request's id.
     pub id: RequestId,
-    /// Index of its class.
+    /// Index of the request's class.
     pub class: usize,
-    /// Index of its tenant.
+    /// Index of the request's tenant.
     pub tenant: usize,
-    /// Time until the client gives this try up.
+    /// Time that the client will still wait for this try.
     pub budget_ms: f64,
-    /// Work it is expected to need, on a standard core.
+    /// Work that the request is expected to need, in time on a standard core.
     pub cost_ms: Option<f64>,
-    /// Whether the client repeats an earlier try.
+    /// Whether the client repeats an earlier try of its own.
     pub client_retry: bool,
-    /// The server that had better have it, as far as its count allows; see [`Settings::preference_slack`].
+    /// The server that should get the request while its count is not too high; see
+    /// [`Settings::preference_slack`].
     pub preferred_server: Option<ServerId>,
 }
 
 impl Request {
-    /// A first try of the first tenant.
+    /// Returns a request of the first tenant that is not a client's retry.
     #[must_use]
     pub fn new(id: RequestId, class: usize, budget_ms: f64) -> Self {
         Self { id, class, tenant: 0, budget_ms, cost_ms: None, client_retry: false, preferred_server: None }
     }
 }
 
-/// A server's own account of its load; what it does not tell is absent.
+/// A server's report of its own load. A value that the server does not report is `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests it holds.
+    /// Requests in flight at the server.
     pub in_flight: Option<f64>,
-    /// Requests waiting there.
+    /// Requests queued at the server.
     pub queued: Option<f64>,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// Served.
+    /// The server served the request.
     Served,
-    /// An error answer; it may have run.
+    /// The server answered with an error; the request may have run.
     Error,
-    /// Turned away unseen.
+    /// The server was full and refused the request without running it.
     Full,
-    /// No answer in time; it may have run.
+    /// No answer arrived in time; the request may have run.
     TimedOut,
-    /// No connection; it never ran.
+    /// No connection could be made; the request never ran.
     Unreachable,
-    /// The connection broke; it may have run.
+    /// The connection broke; the request may have run.
     Reset,
-    /// Cancelled; it may have run.
+    /// The attempt was cancelled; the request may have run.
     Cancelled,
-    /// It was never sent.
+    /// The attempt was never sent.
     NotSent,
 }
 
 impl Ending {
-    /// Whether the request may have taken effect.
+    /// Returns whether the request may have taken effect.
     #[must_use]
     pub fn may_have_run(self) -> bool {
         !matches!(self, Self::Full | Self::Unreachable | Self::NotSent)
@@ -366,121 +369,123 @@
     pub request: RequestId,
     /// The attempt, numbered from zero in the order of sending.
     pub attempt: usize,
-    /// Time since it was sent.
+    /// Time since the attempt was sent.
     pub elapsed_ms: f64,
-    /// How it ended.
+    /// How the attempt ended.
     pub ending: Ending,
     /// Whether the request is finished, by this outcome or before it.
     pub complete: bool,
-    /// The server's load report, if the answer carried one.
+    /// The server's load report, if the response carried one.
     pub report: Option<LoadReport>,
 }
 
-/// Running means of the latency, and of how many requests the server held meanwhile.
+/// Running means of the latency and of the number of requests in flight meanwhile.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LatencyEstimate {
-    /// In milliseconds.
+    /// Mean latency in milliseconds.
     #[serde(rename = "latency")]
     pub latency_ms: f64,
-    /// Requests at the server.
+    /// Mean number of requests at the server.
     pub depth: f64,
-    /// Outcomes that it was learned from.
+    /// Number of outcomes behind the means; it is bounded, and may be decayed by age.
     #[serde(rename = "seen")]
     pub samples: f64,
-    /// When it was seen last.
+    /// Time of the last outcome.
     #[serde(rename = "at")]
     pub updated_at: f64,
 }
 
-/// What a balancer has learned, for one that takes its place under the same settings.
+/// What a balancer has learned, exported for a balancer that replaces it with the same settings.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LearnedState {
-    /// Of the servers.
+    /// State of each server.
     pub servers: Vec<LearnedServerState>,
-    /// Of all answers.
+    /// Latency over all answers.
     #[serde(rename = "all")]
     pub overall: LatencyEstimate,
-    /// Of each class.
+    /// Latency of each class.
     pub classes: Vec<LatencyEstimate>,
-    /// What each tenant has left of its quota, and when that was counted.
+    /// Requests that each tenant has left of its quota, and the time at which this was computed.
     pub quotas: Vec<(f64, f64)>,
-    /// Part of the attempts that are served.
+    /// Fraction of the attempts that are served.
     #[serde(rename = "served")]
     pub served_fraction: f64,
 }
 
-/// What a balancer has learned of a server.
+/// What a balancer has learned of one server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LearnedServerState {
-    /// The server, as the balancer that is to learn calls it.
+    /// The server, by its id at the balancer that imports the state.
     pub server: ServerId,
-    /// Its count.
+    /// The server's HSQ count.
     pub count: Option<f64>,
-    /// Its answers.
+    /// Latency of the server's answers.
     #[serde(rename = "pace")]
     pub latency: LatencyEstimate,
-    /// Failures that count against it.
+    /// Consecutive failures of the server.
     #[serde(rename = "strikes")]
     pub consecutive_failures: u32,
-    /// Until when it is taken out, if it is or is on trial.
+    /// Time until which the server is ejected, if it is ejected or on trial after an ejection.
     #[serde(rename = "out_until")]
     pub ejected_until: Option<f64>,
 }
 
-/// Settings that take the place of others.
+/// Settings that replace the present ones.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NewSettings {
-    /// All of them. Where one makes no sense, nothing changes.
+    /// The complete new settings. If any of them is invalid, nothing changes.
     pub settings: Settings,
-    /// For each class, which of the earlier ones it is, if it was there: what was learned of it stays.
+    /// For each new class, the index of the same class before the reload, if there was one: what was learned
+    /// of the class is kept.
     pub classes: Vec<Option<usize>>,
-    /// For each tenant, which of the earlier ones it is, if it was there: what it has used of its quota stays.
+    /// For each new tenant, the index of the same tenant before the reload, if there was one: what the tenant
+    /// has used of its quota is kept.
     pub tenants: Vec<Option<usize>>,
 }
 
-/// What happens to a node.
+/// An input of the balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// News from discovery.
+    /// Discovery delivered an update of the list of servers, or failed to.
     Servers(ListUpdate),
-    /// A client's request, which is now owed one final answer.
+    /// A client's request arrived; it must get exactly one final answer.
     Request(Request),
-    /// Part of its body is gone for good: it cannot be sent again.
+    /// Part of the request's body has been consumed and was not kept: the request cannot be sent again.
     BodyConsumed(RequestId),
-    /// A streamed answer has begun; the attempt belongs to the client from now on.
+    /// A streamed answer has begun to reach the client; no other attempt may answer from now on.
     StreamStarted {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: usize,
     },
-    /// What another balancer has learned, whose place this one takes: before its first request.
+    /// State learned by the balancer that this one replaces. It must come before the first request.
     ImportLearnedState(Box<LearnedState>),
-    /// Other settings hold for what comes from now on; requests that are held keep the rules they came under.
+    /// New settings apply from now on; pending requests keep the rules they arrived under.
     Reload(Box<NewSettings>),
     /// An attempt ended.
     Outcome(Outcome),
-    /// The client left; nothing more is owed.
+    /// The client disconnected; it needs no answer any more.
     ClientGone(RequestId),
-    /// A timer came due.
+    /// A timer fired.
     Timer(u64),
-    /// The node stood still for so long until just now. What servers did meanwhile is told after this.
+    /// The node's process was paused until just now. Events for what servers did meanwhile come after this one.
     Resumed {
-        /// How long.
+        /// Length of the pause.
         paused_ms: f64,
     },
-    /// A probe was answered, or not.
+    /// A probe was answered, or failed.
     Probed {
         /// The server.
         server: ServerId,
-        /// How it went.
+        /// How the probe ended.
         ending: Ending,
         /// The server's load report, if there was one.
         report: Option<LoadReport>,
     },
 }
 
-/// What the node is to do.
+/// An output of the balancer, to be carried out by the node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
@@ -495,44 +500,44 @@
         /// The server.
         server: ServerId,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     Cancel {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: usize,
     },
-    /// Final answer: not taken, a retry is harmless.
+    /// Final answer: the request is refused; a retry is harmless.
     Refuse {
         /// The request.
         request: RequestId,
-        /// When the client should come back, if it is told.
+        /// Time after which the client should retry, if clients are given one.
         retry_after_ms: Option<f64>,
     },
-    /// Final answer: failed, perhaps with an effect.
+    /// Final answer: the request failed and may have taken effect.
     Fail {
         /// The request.
         request: RequestId,
     },
     /// Subscribe to the changes of the server list.
     Subscribe,
-    /// Ask for a [`Event::Timer`].
+    /// Start a timer; an [`Event::Timer`] reports that it fired.
     SetTimer {
-        /// Returned with the event.
+        /// Identifies the timer in the event.
         timer: u64,
         /// Time from now.
         after_ms: f64,
     },
-    /// A server that failed is given nothing for a while.
+    /// A server was ejected because it failed; it gets no requests for a while.
     Ejected {
         /// The server.
         server: ServerId,
     },
-    /// A server that was taken out has served again.
+    /// A server that was ejected has served a request again.
     Restored {
         /// The server.
         server: ServerId,
     },
-    /// A line for the operators.
+    /// A message for the operators' log.
     Note(String),
 }
--- a/crates/spurdrum-policy/src/lib.rs
+++ b/crates/spurdrum-policy/src/lib.rs
@@ -1,13 +1,13 @@
-//! The decisions of a reverse proxy that spreads requests over HTTP servers.
+//! The decision logic of a reverse proxy that balances requests over HTTP servers.
 //!
-//! A [`Balancer`] is one node's decision logic, without clock, threads or I/O. It is built from
-//! [`Settings`] and a seed, is fed events with the time they happened at, and pushes the actions
-//! that the node is to carry out. Its core is HSQ (Islam, "Network Load Balancing Methods",
-//! section IV.E): one array with a count per ready server, the lowest count gets the request.
+//! A [`Balancer`] is one node's decision logic, without clock, threads or I/O. It is created from
+//! [`Settings`] and a seed, takes events together with the time they happened at, and appends the
+//! actions that the node is to carry out. Its core is HSQ (Islam, "Network Load Balancing Methods",
+//! section IV.E): an array with a count for each ready server, of which the lowest gets the request.
 //!
 //! # Example
 //!
-//! A node's event loop calls [`Balancer::handle`] and carries out what it is told:
+//! A node's event loop calls [`Balancer::handle`] and carries out the actions it returns:
 //!
 //! ```
 //! use spurdrum_policy::{
@@ -20,16 +20,16 @@
 //! let mut balancer = Balancer::new(settings, 42)?;
 //! let mut actions = Vec::new();
 //!
-//! // Discovery names two servers.
+//! // Discovery lists two servers.
 //! let servers = (0..2).map(|i| ServerEntry::new(ServerId(i), Availability::Ready)).collect();
 //! balancer.handle(0.0, Event::Servers(ListUpdate::Full(servers)), &mut actions);
 //!
-//! // A client asks; the balancer names the server to send to.
+//! // A client's request arrives; the balancer chooses the server to send it to.
 //! let request = Request::new(RequestId(7), 0, 600.0);
 //! balancer.handle(1.0, Event::Request(request), &mut actions);
 //! let Some(Action::Send { server, .. }) = actions.pop() else { panic!("nothing sent") };
 //!
-//! // The server answers, and its load report becomes its count.
+//! // The server answers. A load report in the response would become the server's count.
 //! let outcome = Outcome {
 //!     request: RequestId(7),
 //!     attempt: 0,
