--- a/crates/spurdrum-policy/src/interface.rs
+++ b/crates/spurdrum-policy/src/interface.rs
@@ -136,8 +136,8 @@
     pub waste_price: f64,
     /// Price of requests that cross zones, as a fraction of the total value served.
     pub cross_zone_price: f64,
-    /// The server that a request prefers is chosen while its rank is at most this multiple of the lowest rank.
-    /// At least one.
+    /// The server that a request prefers is chosen while its rank is at most this multiple of the lowest
+    /// rank. At least one.
     pub preference_slack: f64,
 }
 
@@ -469,7 +469,8 @@
     ClientGone(RequestId),
     /// A timer fired.
     Timer(u64),
-    /// The node's process was paused until just now. Events for what servers did meanwhile come after this one.
+    /// The node's process was paused until just now. Events for what servers did meanwhile come after this
+    /// one.
     Resumed {
         /// Length of the pause.
         paused_ms: f64,
--- a/crates/spurdrum-policy/src/rules.rs
+++ b/crates/spurdrum-policy/src/rules.rs
@@ -1,123 +1,150 @@
-//! Every decision of a node. The types it is fed and answers with are in `src/interface.rs`.
+//! Every decision of a node. Its inputs and outputs are defined in `src/interface.rs`. Times are in
+//! milliseconds; constants in `_OBJECTIVES` are multiples of a latency objective, in `_LATENCIES` of a mean
+//! latency.
 //!
-//! The ordinary path is HSQ (Islam, "Network Load Balancing Methods", IV.E): `Balancer::pick` sends to
-//! the lowest count and adds one, `Balancer::report` lets a fresh report overwrite its server's count.
-//! All else decides which servers may be picked, and what becomes of a request that was not served.
+//! The ordinary path is HSQ (Islam, "Network Load Balancing Methods", IV.E): `Balancer::pick` chooses the
+//! server with the lowest count, `Balancer::send` adds one to that count, and `Balancer::record_report`
+//! overwrites a server's count with its latest load report. The rest decides which servers are eligible, and
+//! what happens to a request that was not served.
 
 use std::collections::{BTreeMap, HashMap};
 
 use crate::interface::*;
 
-/// Outcomes that count in a running mean of one server; four times as many in one of all.
-const RECENT: f64 = 16.0;
-/// Outcomes that the knowledge of all servers weighs as much as.
-const PRIOR: f64 = 4.0;
-/// Outcomes lose half their weight in this part of a mean aim: what is not confirmed is soon forgotten.
-const HALF_LIFE: f64 = 0.25;
-/// ... but not sooner than in so many usual gaps between requests, each of an aim at most.
-const GAPS: f64 = 2.0;
-/// Part of a mean aim that answers are thought to take at the most where nothing recent is known.
-const EASY: f64 = 0.25;
-/// A server expected to take this many times the best one's time is not picked. Over 2: counts decide.
-const BACKED_UP: f64 = 2.5;
-/// Failures in a row, none served between them, that take a server out.
-const STRIKES: u32 = 3;
-/// A server is taken out for this many mean aims.
-const EJECT: f64 = 2.0;
-/// Further attempts as a share of requests, so that they cannot multiply an overload.
-const RETRY_SHARE: f64 = 0.2;
-/// Part of a cold server's budget that all nodes together use: sizes are guesses, arrivals come in bunches.
-const COLD_PART: f64 = 0.5;
-/// Part of the window for repeats within which a resend is made: it must arrive in it, too.
-const WINDOW_PART: f64 = 0.8;
-/// Part of its aim that an answer may be expected to take, for most to be in time; and of that for low worth.
-const AIM_PART: f64 = 0.45;
-const LEAST_AIM: f64 = 0.5;
-/// A request is taken whatever its aim allows, where it waits for no more than one at work and one more:
-/// no queue explains a refusal. In answers that a server gives to one alone.
-const UNQUEUED: f64 = 3.0;
-/// Requests within a quota that may bunch at one node of many; with less room none would ever be within.
-const QUOTA_LEAST: f64 = 4.0;
-/// At one node of many a request over the bound is taken with (bound / expected) to the power 1 / `CHANCE`.
-const CHANCE: f64 = 0.4;
-/// Nodes that share a server, about: connections stay few and warm, and each node meets its servers often.
-const SHARERS: f64 = 12.0;
-/// Reports, and requests, that the usual count and the usual pause are learned from.
-const FLEET: f64 = 64.0;
-/// How firmly it is held, before answers show better, that what servers usually hold tells of their
-/// answers, and that what they were last told to hold does not: by old reports all nodes would send to the
-/// same servers.
-const FIRM: f64 = 0.05;
-/// Answers that are weighed against that.
-const BEARS: f64 = 64.0;
-/// An answer that took this many usual times longer shows no more than that. Guards against one slow answer.
-const TOOK_MOST: f64 = 3.0;
-/// What a report told is forgotten in so many usual times of an answer.
-const FADES: f64 = 4.0;
-/// Servers a node's slice has at least, where there are as many, and that are asked at the most.
-const SLICE_LEAST: usize = 3;
-/// A slice grows or shrinks where it is off by this part. Guards against servers that come and go in it.
-const SLICE_STEP: f64 = 0.25;
-/// Servers are not believed to hold less than this on the average: a slice would be all of them.
-const HELD_LEAST: f64 = 0.25;
-/// Orders of the servers that nodes follow in turn. In one alone neighbours share the same servers, and a
-/// load that is uneven there finds no way out.
-const ROUNDS: usize = 4;
-/// An odd number whose multiples look drawn.
-const MIX: u64 = 0x9e37_79b9_7f4a_7c15;
-/// Reports that a server's own usual count is learned from.
-const USUAL: f64 = 32.0;
-/// The golden ratio's fraction: its multiples spread node numbers evenly over a ring.
-const GOLDEN: f64 = 0.618_033_988_749_895;
-/// Where many nodes share the servers, one that errs is out at once, twice as long each time, so often.
-const EJECT_MOST: u32 = 4;
-/// The longest wait for a new subscription, in parts of what may pass without; the shortest is a sixteenth.
-const RESUBSCRIBE_MOST: f64 = 0.25;
-/// Part of the result that may be spent on asking servers before each send.
-const ASK_SPEND: f64 = 0.008;
-/// How far to the whole aim the bound of admission moves where counts were just asked for.
-const ASKED_SURE: f64 = 0.4;
-/// How far chance moves an old count where it only decides whom to ask. Guards against crowding the lowest.
-const BLUR: f64 = 0.7;
-/// An attempt may be cut after so many of its aims. Sooner, more work is done twice than is won by it ...
-const CUT_AIMS: f64 = 1.5;
-/// ... and after so many times the answer expected of its server, where that has said nothing meanwhile ...
-const CUT_WAITS: f64 = 3.0;
-/// ... to so many attempts.
-const CUT_OUT: usize = 3;
-/// An answer is thought lost after this many usual times, once so many sent later were answered there ...
-const STALL_WAITS: f64 = 4.0;
-const STALL_OVERTAKEN: u64 = 3;
-/// ... where most that stood so long never came, by a mean over so many; the rest of them go on to show it.
-const STALL_MOST: f64 = 0.5;
-const STALL_SEEN: f64 = 8.0;
-const STALL_CUT: f64 = 0.9;
-/// A server is not believed to hold more than this: a count of that size would never be the lowest again.
-const HELD_MOST: f64 = 100_000.0;
-/// Part of its aim that a request waits for those asked.
-const ASK_PART: f64 = 0.1;
+/// Number of samples that a running mean covers: of one server's outcomes, and of this node's requests and
+/// attempts. The means over all servers and of a class cover four times as many. Also the number of outcomes
+/// from which a mean is trusted, and the maximum number of retry tokens.
+const MEAN_SAMPLES: f64 = 16.0;
+/// Weight, in outcomes, that the estimate over all servers has against a server's own outcomes.
+const PRIOR_WEIGHT: f64 = 4.0;
+/// Outcomes lose half their weight in this fraction of the mean latency objective, so that what is not
+/// confirmed soon expires ...
+const HALF_LIFE_OBJECTIVES: f64 = 0.25;
+/// ... but for the overall estimate not sooner than in this many usual gaps between requests, each gap at
+/// most one mean latency objective.
+const MIN_HALF_LIFE_GAPS: f64 = 2.0;
+/// Without recent outcomes, answers are assumed to take at most this fraction of the mean latency objective.
+const OPTIMISTIC_OBJECTIVES: f64 = 0.25;
+/// A server whose expected wait is more than this multiple of the lowest one is not picked. The value is
+/// above 2, so that in ordinary operation the counts decide.
+const MAX_WAIT_RATIO: f64 = 2.5;
+/// Number of consecutive failures, without a served request between them, after which a server is ejected.
+const EJECTION_FAILURES: u32 = 3;
+/// A server is ejected for this many mean latency objectives. The count of a silent server expires as soon.
+const EJECTION_OBJECTIVES: f64 = 2.0;
+/// Retry budget: further attempts as a fraction of requests, so that retries cannot multiply an overload.
+const RETRY_RATIO: f64 = 0.2;
+/// Fraction of what a server in slow start can take that all nodes together send to it: its size is only an
+/// estimate, and arrivals are bursty.
+const SLOW_START_SHARE: f64 = 0.5;
+/// Fraction of the deduplication window in which a retry may be sent: it must also arrive within the window.
+const RETRY_WINDOW_FRACTION: f64 = 0.8;
+/// Admission bound: fraction of its latency objective that an answer may be expected to take, for most
+/// answers to be in time ...
+const ADMISSION_OBJECTIVES: f64 = 0.45;
+/// ... and the fraction of that bound which is left for requests of the lowest value.
+const MIN_VALUE_FRACTION: f64 = 0.5;
+/// A request is admitted, whatever part of its objective that takes, if it waits for no more than one request
+/// in service and one more: a queue that short does not justify a refusal. In service times of an otherwise
+/// idle server.
+const ALWAYS_ADMITTED_SERVICE_TIMES: f64 = 3.0;
+/// Minimum burst of a tenant's token bucket, in requests, at one of many nodes. With a smaller bucket no
+/// request would ever be within the quota.
+const MIN_QUOTA_BURST: f64 = 4.0;
+/// At one of many nodes, a request over the admission bound is admitted with probability (bound / expected
+/// wait) ^ (1 / `ADMISSION_EXPONENT`).
+const ADMISSION_EXPONENT: f64 = 0.4;
+/// Approximate number of nodes that have a server in their subset: so connections stay few and warm, and each
+/// node sends to each of its servers often.
+const NODES_PER_SERVER: f64 = 12.0;
+/// Load reports and requests that the mean number in flight and the mean gap between requests cover.
+const FLEET_MEAN_SAMPLES: f64 = 64.0;
+/// Strength of two assumptions that hold until outcomes show otherwise: that a server's usual load predicts
+/// its latency, and that its last load report does not. If all nodes believed old reports, they would send to
+/// the same servers.
+const LOAD_EFFECT_PRIOR: f64 = 0.05;
+/// Number of outcomes that are weighed against these assumptions.
+const LOAD_EFFECT_SAMPLES: f64 = 64.0;
+/// Cap on how much longer than usual an answer may count as having taken, in usual latencies. Without the cap
+/// one slow answer would outweigh all others.
+const MAX_EXCESS_LATENCIES: f64 = 3.0;
+/// Time constant with which a load report loses its effect, in mean latencies.
+const REPORT_DECAY_LATENCIES: f64 = 4.0;
+/// Minimum number of servers in a node's subset, where there are as many; also the maximum number of servers
+/// that are probed for a request.
+const MIN_SUBSET: usize = 3;
+/// A subset is resized only if off by this fraction. Otherwise servers would keep joining and leaving it.
+const RESIZE_THRESHOLD: f64 = 0.25;
+/// Lower bound of the mean number in flight per server: with a smaller one the subset would be all servers.
+const MIN_MEAN_IN_FLIGHT: f64 = 0.25;
+/// Number of differently ordered rings; nodes are assigned to them in turn. With a single ring, neighbouring
+/// nodes share the same servers, and load that is uneven there cannot spread to others.
+const RING_COUNT: usize = 4;
+/// An odd number whose multiples look random.
+const HASH_MIX: u64 = 0x9e37_79b9_7f4a_7c15;
+/// Number of load reports that a server's own mean number in flight covers.
+const SERVER_REPORT_SAMPLES: f64 = 32.0;
+/// The golden ratio's fraction: its multiples spread node indexes evenly over a ring.
+const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_749_895;
+/// Where many nodes share the servers, a server that answers with an error is ejected at once, for twice as
+/// long each time, up to this many times.
+const MAX_EJECTION_STEPS: u32 = 4;
+/// Longest wait before a new subscription, as a fraction of the time that a node may go without one. The
+/// shortest wait is a sixteenth of it.
+const MAX_RESUBSCRIBE_FRACTION: f64 = 0.25;
+/// Fraction of the total value served that may be spent on probing servers before each first attempt.
+const PROBE_BUDGET: f64 = 0.008;
+/// How far the admission bound moves towards the whole objective where servers were probed just before.
+const PROBED_BOUND_RELAXATION: f64 = 0.4;
+/// Relative random deviation of an old count where it only decides which servers to probe. Without this, all
+/// nodes would crowd the server with the lowest count.
+const PROBE_TARGET_JITTER: f64 = 0.7;
+/// An attempt may be abandoned after this many latency objectives of its class: earlier, more work is done
+/// twice than is gained ...
+const ABANDON_OBJECTIVES: f64 = 1.5;
+/// ... and after this many times the latency expected of its server, if that is silent meanwhile ...
+const ABANDON_LATENCIES: f64 = 3.0;
+/// ... towards at least this many attempts in flight there.
+const ABANDON_IN_FLIGHT: usize = 3;
+/// An answer is presumed lost after this many mean latencies of its class ...
+const LOST_LATENCIES: f64 = 4.0;
+/// ... once this many attempts sent to the same server later were answered ...
+const LOST_OVERTAKERS: u64 = 3;
+/// ... if more than this fraction of the answers overtaken for so long never came ...
+const MAX_LOST: f64 = 0.5;
+/// ... by a mean over this many.
+const LOST_SAMPLES: f64 = 8.0;
+/// Only this fraction of the attempts whose answer is presumed lost is abandoned: the rest shows whether
+/// answers still get lost. For keyed requests, also the fraction of the time for a retry after which that is
+/// decided.
+const LOST_ABANDON_FRACTION: f64 = 0.9;
+/// Reports above this number in flight are ignored: a count of that size would never be the lowest again.
+const MAX_REPORTED_IN_FLIGHT: f64 = 100_000.0;
+/// Fraction of its latency objective that a request waits for the answers to its probes.
+const PROBE_WAIT_OBJECTIVES: f64 = 0.1;
 
-/// The timers: for a new subscription, and above it for the request of that number less one, whose servers
-/// have been asked or whose attempt has been out for long.
+/// Number of the timer for a new subscription. The numbers above it are request ids plus one: such a timer
+/// ends the wait for the request's probes, or fires when its attempt has been in flight for long.
 const RESUBSCRIBE: u64 = 0;
 
 impl LatencyEstimate {
-    /// What was seen still weighs this. Guards against judging by a trouble long past: little corrects it.
-    fn weight(&self, now: f64, half_life: f64) -> f64 {
+    /// Returns the number of samples after decay. Without the decay, a fault long past would keep its weight,
+    /// as few new outcomes come to correct it.
+    fn decayed_samples(&self, now: f64, half_life: f64) -> f64 {
         self.samples * 0.5_f64.powf((now - self.updated_at) / half_life)
     }
 
-    fn add(&mut self, now: f64, half_life: f64, most: f64, latency: f64, depth: f64) {
-        self.samples = (self.weight(now, half_life) + 1.0).min(most);
-        self.latency_ms += (latency - self.latency_ms) / self.samples;
+    fn record(&mut self, now: f64, half_life: f64, max_samples: f64, latency_ms: f64, depth: f64) {
+        self.samples = (self.decayed_samples(now, half_life) + 1.0).min(max_samples);
+        self.latency_ms += (latency_ms - self.latency_ms) / self.samples;
         self.depth += (depth - self.depth) / self.samples;
         self.updated_at = now;
     }
 
-    /// Mean latency and depth, the own outcomes weighed against what is known beyond them.
-    fn or(&self, now: f64, half_life: f64, prior: (f64, f64)) -> (f64, f64) {
-        let weight = self.weight(now, half_life);
-        let mix = |own: f64, prior: f64| (own * weight + prior * PRIOR) / (weight + PRIOR);
+    /// Returns the mean latency and depth, with the own outcomes weighed against a prior estimate.
+    fn blend(&self, now: f64, half_life: f64, prior: (f64, f64)) -> (f64, f64) {
+        let weight = self.decayed_samples(now, half_life);
+        let mix = |own: f64, prior: f64| (own * weight + prior * PRIOR_WEIGHT) / (weight + PRIOR_WEIGHT);
         (mix(self.latency_ms, prior.0), mix(self.depth, prior.1))
     }
 }
@@ -125,69 +152,79 @@
 #[derive(Default)]
 struct Server {
     entry: ServerEntry,
-    /// Its size, against the mean of the list.
-    size: f64,
-    /// The array of HSQ: the last fresh report and what this node has sent since.
+    /// The server's size, relative to the mean of the list.
+    relative_size: f64,
+    /// The server's count in the HSQ array: its last load report plus what this node has sent since.
     count: Option<f64>,
-    /// The last fresh report, when that came, and what this node has sent since.
-    told: Option<(f64, f64)>,
-    since: f64,
-    /// When this node last sent to it, or gave its count up.
-    sent_at: f64,
-    /// Mean of what it reported, and of how many reports.
-    usual: (f64, f64),
-    /// This node's attempts that are out.
-    out: usize,
-    pace: LatencyEstimate,
-    strikes: u32,
-    /// When it last gave any answer, and how many it has given.
-    heard_at: f64,
+    /// The number in flight of the last load report, by relative size, and the time the report came.
+    last_report: Option<(f64, f64)>,
+    /// What this node has sent since then, by relative size.
+    sent_since: f64,
+    /// When this node last sent to the server, or discarded its count.
+    last_sent_at: f64,
+    /// Mean of the numbers in flight that the server reported, and the number of reports behind the mean.
+    usual_in_flight: (f64, f64),
+    /// This node's attempts in flight at the server.
+    in_flight: usize,
+    latency: LatencyEstimate,
+    /// Consecutive failures. With sparse feedback an error counts as three, and a served request halves them.
+    failures: u32,
+    /// When the server last gave any answer.
+    answered_at: f64,
+    /// Number of answers that the server has given.
     answers: u64,
-    /// Set while it is taken out, and past that while it is on trial.
+    /// Set while the server is ejected, and beyond that time while it is on trial: until it serves a request,
+    /// it gets one attempt at a time.
     ejected_until: Option<f64>,
 }
 
 impl Server {
-    /// How much more it holds by its reports: usually, as a part of what the others do, and now, as a part of
-    /// what it usually does. What was told fades.
-    fn told(&self, now: f64, known: Known) -> [f64; 2] {
-        let (own, seen) = self.usual;
-        let usual = known.held + (own - known.held) * seen / (seen + PRIOR);
-        let now = self.told.map_or(0.0, |(held, at)| (held - usual) * (-(now - at) / known.fades).exp());
-        [(usual - known.held) / (known.held + 1.0), now / (usual + 1.0)]
+    /// Returns by how much the reports exceed what is usual: the server's own mean relative to that of all
+    /// servers, and its last report relative to its own mean. The second decays with the age of the report.
+    fn load_excess(&self, now: f64, fleet: FleetLoad) -> [f64; 2] {
+        let (own, samples) = self.usual_in_flight;
+        let usual = fleet.mean_in_flight + (own - fleet.mean_in_flight) * samples / (samples + PRIOR_WEIGHT);
+        let recent = self
+            .last_report
+            .map_or(0.0, |(in_flight, at)| (in_flight - usual) * (-(now - at) / fleet.report_decay_ms).exp());
+        [(usual - fleet.mean_in_flight) / (fleet.mean_in_flight + 1.0), recent / (usual + 1.0)]
     }
 
-    /// Its count, in units of the usual one, as far as reports can be believed.
-    fn believed(&self, now: f64, known: Known) -> f64 {
-        let ([usually, recently], told) = (known.trust, self.told(now, known));
-        let usual = (1.0 + told[0]) * (known.held + 1.0);
-        self.since / (1.0 + recently * (usual - 1.0)) + usually * told[0] + recently * told[1]
+    /// Returns the server's count in units of the usual count, as far as load reports predict latency.
+    fn estimated_count(&self, now: f64, fleet: FleetLoad) -> f64 {
+        let ([usual_effect, recent_effect], excess) = (fleet.load_effect, self.load_excess(now, fleet));
+        let usual = (1.0 + excess[0]) * (fleet.mean_in_flight + 1.0);
+        self.sent_since / (1.0 + recent_effect * (usual - 1.0))
+            + usual_effect * excess[0]
+            + recent_effect * excess[1]
     }
 
-    /// A count holds no longer when its server has long been silent, or is on trial: then the mean does.
-    /// Guards against a server that failed, or was crowded once, and is left idle for good: reports alone
-    /// lower counts, and come with answers.
-    fn forget(&mut self, now: f64, patience: f64) {
-        let last = self.told.map_or(self.sent_at, |(_, at)| at.max(self.sent_at));
-        let quiet = now - last > patience * f64::from(1 + self.strikes);
-        if self.out == 0 && self.ejected_until.map_or(quiet, |until| until <= now) {
-            (self.count, self.since, self.sent_at) = (None, 0.0, now);
+    /// Discards the count of a server that has been silent for long or is on trial; the mean count then
+    /// stands in for it. Without this, a server that failed, or was crowded once, would stay idle for good:
+    /// only reports lower a count, and they come with answers.
+    fn expire_count(&mut self, now: f64, max_silence: f64) {
+        let last = self.last_report.map_or(self.last_sent_at, |(_, at)| at.max(self.last_sent_at));
+        let silent = now - last > max_silence * f64::from(1 + self.failures);
+        if self.in_flight == 0 && self.ejected_until.map_or(silent, |until| until <= now) {
+            (self.count, self.sent_since, self.last_sent_at) = (None, 0.0, now);
         }
     }
 
-    /// Gone, with nothing out to it: nothing more is heard of it.
-    fn is_over(&self) -> bool {
-        self.entry.availability == Availability::Gone && self.out == 0
+    /// Returns whether the server is gone and has no attempt in flight: no event will name it any more.
+    fn is_removable(&self) -> bool {
+        self.entry.availability == Availability::Gone && self.in_flight == 0
     }
 }
 
-/// What a node knows of all its servers by their reports: the usual count, the time in which what one told
-/// fades, and how far to believe what they usually hold and what they told last.
+/// What the load reports of all servers together show.
 #[derive(Clone, Copy)]
-struct Known {
-    held: f64,
-    fades: f64,
-    trust: [f64; 2],
+struct FleetLoad {
+    /// Mean number of requests in flight per server.
+    mean_in_flight: f64,
+    /// Time constant with which a single report loses its effect.
+    report_decay_ms: f64,
+    /// How much a server's usual load, and its last reported load, affect its latency: from 0 to 1 each.
+    load_effect: [f64; 2],
 }
 
 struct Attempt {
@@ -196,253 +233,276 @@
     cell: usize,
     sent_at: f64,
     depth: f64,
-    /// How much more than usual its server was told to hold.
-    told: [f64; 2],
-    open: bool,
-    /// When it may be cut, and whether it was.
-    cut_at: f64,
-    cut: bool,
-    /// Answers of its server by which all that were sent before it could have been answered.
-    turn: u64,
-    /// When its answer may be thought lost, and whether it was.
-    stalls_at: f64,
-    stalled: bool,
-    /// Whether the node stood still for a part of it: then how long it took says nothing of its server.
+    /// By how much the server's load reports exceeded what is usual when the attempt was sent.
+    load_excess: [f64; 2],
+    in_flight: bool,
+    /// When the attempt may be abandoned because its server is silent.
+    abandon_at: f64,
+    /// Whether the attempt was abandoned, because its server is silent or its answer is presumed lost.
+    abandoned: bool,
+    /// `Server::answers` by the time that all attempts sent before this one could have been answered.
+    answers_ahead: u64,
+    /// When the answer may be presumed lost.
+    lost_at: f64,
+    /// Whether the attempt was abandoned because its answer was presumed lost.
+    presumed_lost: bool,
+    /// Whether the node was paused during the attempt: then the elapsed time says nothing about the server.
     spans_pause: bool,
 }
 
-struct Held {
-    /// The place of its class in the present settings. Its rules and its number of attempts never change.
+/// A request that has not got its final answer, or still has attempts in flight.
+struct Pending {
+    /// Index of the request's class in the present settings.
     class: usize,
+    /// The class as it was when the request came: a reload does not change the rules of a pending request.
     rules: Class,
     max_attempts: usize,
-    gives_up_at: f64,
+    /// When the client stops waiting.
+    deadline_at: f64,
     attempts: Vec<Attempt>,
     /// The first attempt that may have run or may still run.
-    ran: Option<usize>,
+    first_run: Option<usize>,
     answered: bool,
-    /// Servers asked for a report before the first send, those that gave one, and the longest wait allowed.
-    asked: Vec<usize>,
-    reported: Vec<usize>,
-    limit: f64,
-    /// The server that had better have it.
-    prefers: Option<usize>,
+    /// Servers probed before the first attempt that have not answered yet.
+    awaited: Vec<usize>,
+    /// Servers that answered the probe.
+    reporting: Vec<usize>,
+    /// Longest expected wait with which the request is admitted.
+    max_wait: f64,
+    /// The server that should get the request while its count is not too high.
+    preferred: Option<usize>,
 }
 
-/// A server as `pick` sees it: the answer expected there, and its count in the same unit.
+/// A server as `pick` compares it.
 struct Candidate {
     server: usize,
+    /// The latency expected of the server.
     wait: f64,
+    /// The server's count in the same unit, by which candidates are ordered.
     rank: f64,
-    unfit: u8,
-    near: bool,
+    /// 2 for a server that is not healthy, plus 1 for one that the request was already sent to.
+    unfitness: u8,
+    same_zone: bool,
 }
 
-/// Decides for one node. See the [crate] page for an example.
+/// The decision logic of one node. See the [crate] documentation for an example.
 pub struct Balancer {
     settings: Settings,
     random: fastrand::Rng,
-    /// Those that are listed, or gone with attempts still out.
+    /// The servers that are listed, or gone with attempts still in flight.
     servers: BTreeMap<usize, Server>,
-    /// The ready servers in this node's order, near ones first, and the near and far stretch that it uses.
+    /// The ready servers in this node's order, those of its own zone first.
     ring: Vec<usize>,
-    near: usize,
-    slice: [std::ops::Range<usize>; 2],
-    held: HashMap<RequestId, Held>,
-    /// Requests whose servers are being asked, in the order they came, and how many are asked for each.
-    asking_for: Vec<RequestId>,
-    asks: usize,
-    /// Requests each tenant may still send within its quota, and when that was last counted up.
+    /// Number of servers of the own zone at the start of the ring.
+    same_zone_count: usize,
+    /// The ranges of the ring that this node sends to: in its own zone, and in the others.
+    subset: [std::ops::Range<usize>; 2],
+    pending: HashMap<RequestId, Pending>,
+    /// Requests whose first attempt waits for probes, in the order they came.
+    awaiting_probes: Vec<RequestId>,
+    /// Number of servers to probe for each request.
+    probe_count: usize,
+    /// Requests that each tenant may still send within its quota, and when that was last computed.
     quotas: Vec<(f64, f64)>,
-    /// Whether many nodes share the servers, and none is asked before a send: each meets a server seldom.
-    sparse: bool,
-    /// Means of products: of what reports told with how long answers then took, and with itself.
-    bears: [(f64, f64); 2],
-    /// Mean of what servers report, and how many reports that was learned from.
-    held_mean: f64,
-    reports: f64,
-    /// Mean time between requests over many, and the servers of a slice that it asks for; 0: not known yet.
-    pause: f64,
-    requests: f64,
-    wanted: f64,
-    /// Latency by class and over all.
+    /// Whether many nodes share the servers and none is probed before an attempt: this node then hears from
+    /// each server seldom.
+    sparse_feedback: bool,
+    /// Running means for the regression of latency on reported load, for each kind of load excess: of its
+    /// product with the excess latency, and of its square.
+    load_moments: [(f64, f64); 2],
+    /// Mean number of requests in flight that servers report, and the number of reports behind it.
+    mean_in_flight: f64,
+    report_samples: f64,
+    /// Mean gap between many requests, and the number of requests behind it.
+    mean_gap: f64,
+    request_samples: f64,
+    /// Subset size that follows from this node's share of the load; 0 while that is not known.
+    target_size: f64,
+    /// Latency of each class, and over all.
     classes: Vec<LatencyEstimate>,
-    all: LatencyEstimate,
-    /// Mean time between requests, and when the last one came.
-    gap: f64,
-    came_at: f64,
-    /// Mean aim of the classes: the time scale of all judgements.
-    aim: f64,
-    retries: f64,
-    /// Part of the answers overtaken by many others that never come.
-    lost: f64,
-    /// Part of the attempts that are served, of late.
-    served: f64,
+    overall: LatencyEstimate,
+    /// Mean gap between the latest requests.
+    recent_gap: f64,
+    last_request_at: f64,
+    /// Mean latency objective of the classes: the time scale of all health decisions.
+    mean_objective: f64,
+    /// Further attempts that the retry budget allows.
+    retry_tokens: f64,
+    /// Fraction of the answers overtaken by many others that never come.
+    lost_fraction: f64,
+    /// Fraction of the latest attempts that were served.
+    served_fraction: f64,
     subscribed: bool,
-    asking: bool,
+    /// Whether a timer for a new subscription is set.
+    backoff: bool,
     failed_calls: i32,
 }
 
 impl Balancer {
-    /// A balancer that knows no server yet. The error names the first setting that makes no sense.
+    /// Creates a balancer that knows no server yet. The error names the first setting that is out of range.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
-        // None are asked before a send where a few nodes' answers keep counts fresh, or where peers may talk.
-        let many = settings.nodes as f64 > SHARERS;
-        let may_ask = settings.probes && !settings.peers && (!settings.responses_carry_load || many);
-        // One for each request may be dearer than all that it wins, where answers carry reports as well.
-        let least = if settings.responses_carry_load { 0.0 } else { 1.0 };
-        let most = (ASK_SPEND / settings.probe_price).clamp(least, SLICE_LEAST as f64) as usize;
-        let asks = if may_ask { most } else { 0 };
+        // No server is probed before an attempt where a few nodes' answers keep the counts fresh, or where
+        // nodes may talk to each other.
+        let many_nodes = settings.nodes as f64 > NODES_PER_SERVER;
+        let may_probe = settings.probes && !settings.peers && (!settings.responses_carry_load || many_nodes);
+        // Where responses carry load reports too, even one probe per request may cost more than it gains.
+        let min_probes = if settings.responses_carry_load { 0.0 } else { 1.0 };
+        let affordable_probes =
+            (PROBE_BUDGET / settings.probe_price).clamp(min_probes, MIN_SUBSET as f64) as usize;
+        let probe_count = if may_probe { affordable_probes } else { 0 };
         Ok(Self {
             quotas: vec![(f64::INFINITY, 0.0); settings.quotas_per_s.len()],
             classes: vec![LatencyEstimate::default(); settings.classes.len()],
             random: fastrand::Rng::with_seed(seed),
             servers: BTreeMap::new(),
             ring: Vec::new(),
-            near: 0,
-            slice: [0..0, 0..0],
-            held: HashMap::new(),
-            asking_for: Vec::new(),
-            asks,
-            sparse: asks == 0 && many,
-            bears: [(0.0, 0.0); 2],
-            held_mean: 0.0,
-            reports: 0.0,
-            pause: 0.0,
-            requests: 0.0,
-            wanted: 0.0,
-            gap: 0.0,
-            came_at: 0.0,
-            aim: settings.classes.iter().map(|c| c.latency_objective_ms).sum::<f64>()
+            same_zone_count: 0,
+            subset: [0..0, 0..0],
+            pending: HashMap::new(),
+            awaiting_probes: Vec::new(),
+            probe_count,
+            sparse_feedback: probe_count == 0 && many_nodes,
+            load_moments: [(0.0, 0.0); 2],
+            mean_in_flight: 0.0,
+            report_samples: 0.0,
+            mean_gap: 0.0,
+            request_samples: 0.0,
+            target_size: 0.0,
+            recent_gap: 0.0,
+            last_request_at: 0.0,
+            mean_objective: settings.classes.iter().map(|c| c.latency_objective_ms).sum::<f64>()
                 / settings.classes.len() as f64,
-            all: LatencyEstimate::default(),
-            retries: settings.max_attempts as f64,
-            lost: 0.0,
-            served: 1.0,
+            overall: LatencyEstimate::default(),
+            retry_tokens: settings.max_attempts as f64,
+            lost_fraction: 0.0,
+            served_fraction: 1.0,
             subscribed: false,
-            asking: false,
+            backoff: false,
             failed_calls: 0,
             settings,
         })
     }
 
-    /// Takes one event that happened at `now`, which never runs backwards, and appends what is to be done.
-    /// Events about what is not known are passed over.
+    /// Handles one event that happened at `now` and appends the actions to be carried out. `now` must never
+    /// run backwards. Events about unknown requests or servers are ignored.
     pub fn handle(&mut self, now: f64, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::Servers(listing) => self.listing(listing, actions),
-            Event::Reload(new) => self.retune(*new, actions),
-            Event::ImportLearnedState(learned) => self.learn(now, &learned),
-            Event::Request(request) => self.request(now, &request, actions),
-            Event::Outcome(outcome) => self.outcome(now, &outcome, actions),
-            Event::ClientGone(id) => self.client_gone(id, actions),
-            Event::Timer(RESUBSCRIBE) if std::mem::take(&mut self.asking) => actions.push(Action::Subscribe),
+            Event::Servers(update) => self.update_list(update, actions),
+            Event::Reload(new) => self.reload(*new, actions),
+            Event::ImportLearnedState(learned) => self.import_learned(now, &learned),
+            Event::Request(request) => self.on_request(now, &request, actions),
+            Event::Outcome(outcome) => self.on_outcome(now, &outcome, actions),
+            Event::ClientGone(id) => self.on_client_gone(id, actions),
+            Event::Timer(RESUBSCRIBE) if std::mem::take(&mut self.backoff) => actions.push(Action::Subscribe),
             Event::Timer(timer) if timer > RESUBSCRIBE => {
-                self.dispatch(now, RequestId(timer - 1), actions);
-                self.stall(now, RequestId(timer - 1), actions);
-                self.cut(now, RequestId(timer - 1), actions);
-                self.rearm(now, RequestId(timer - 1), actions);
+                self.send_first_attempt(now, RequestId(timer - 1), actions);
+                self.abandon_lost(now, RequestId(timer - 1), actions);
+                self.abandon_silent(now, RequestId(timer - 1), actions);
+                self.rearm_timer(now, RequestId(timer - 1), actions);
             }
-            Event::Probed { server, ending, report } => self.probed(now, server.0, ending, report, actions),
+            Event::Probed { server, ending, report } => self.on_probe(now, server.0, ending, report, actions),
             Event::BodyConsumed(id) => {
-                self.held.entry(id).and_modify(|held| held.max_attempts = held.attempts.len());
+                self.pending.entry(id).and_modify(|pending| pending.max_attempts = pending.attempts.len());
             }
-            // What its client has begun to get is its final answer.
+            // The answer that the client has begun to receive is its final answer.
             Event::StreamStarted { request, .. } => {
-                self.held.entry(request).and_modify(|held| held.answered = true);
+                self.pending.entry(request).and_modify(|pending| pending.answered = true);
             }
             Event::Timer(_) => {}
-            Event::Resumed { paused_ms } => self.resumed(now, paused_ms),
+            Event::Resumed { paused_ms } => self.resume(now, paused_ms),
         }
     }
 
-    /// Goes on after a pause of the node: attempts that were out get as much more time before they are cut.
-    /// Guards against servers that are judged by a time in which nobody heard them.
-    fn resumed(&mut self, now: f64, stood_still_ms: f64) {
-        // A pause is no quiet time between requests.
-        self.came_at = (self.came_at + stood_still_ms).min(now);
-        for attempt in self.held.values_mut().flat_map(|held| &mut held.attempts).filter(|a| a.open) {
+    /// Continues after a pause of the node's process: attempts in flight get as much more time. Otherwise
+    /// servers would be judged by a time in which the node could not read their answers.
+    fn resume(&mut self, now: f64, paused_ms: f64) {
+        // A pause must not count as a gap between requests.
+        self.last_request_at = (self.last_request_at + paused_ms).min(now);
+        for attempt in self.pending.values_mut().flat_map(|p| &mut p.attempts).filter(|a| a.in_flight) {
             attempt.spans_pause = true;
-            attempt.cut_at += stood_still_ms;
-            attempt.stalls_at += stood_still_ms;
+            attempt.abandon_at += paused_ms;
+            attempt.lost_at += paused_ms;
         }
     }
 
-    /// Sets a timer anew that came before its time, as a pause of the node has moved that.
-    fn rearm(&self, now: f64, id: RequestId, actions: &mut Vec<Action>) {
-        let last = self.held.get(&id).and_then(|held| held.attempts.last());
-        let Some(last) = last.filter(|last| last.spans_pause && last.open && !last.cut) else { return };
-        let due = [last.cut_at, last.stalls_at].into_iter().filter(|at| *at > now).min_by(f64::total_cmp);
+    /// Sets an attempt's timer again if it fired too early because a pause postponed what it was set for.
+    fn rearm_timer(&self, now: f64, id: RequestId, actions: &mut Vec<Action>) {
+        let last = self.pending.get(&id).and_then(|pending| pending.attempts.last());
+        let Some(last) = last.filter(|a| a.spans_pause && a.in_flight && !a.abandoned) else {
+            return;
+        };
+        let due = [last.abandon_at, last.lost_at].into_iter().filter(|at| *at > now).min_by(f64::total_cmp);
         actions.extend(due.map(|at| Action::SetTimer { timer: id.0 + 1, after_ms: at - now }));
     }
 
-    /// Servers of the list that are taken out now.
+    /// Returns the number of listed servers that are ejected at present.
     pub fn ejected_count(&self, now: f64) -> usize {
         let listed = self.servers.values().filter(|s| s.entry.availability != Availability::Gone);
         listed.filter(|s| s.ejected_until.is_some_and(|until| until > now)).count()
     }
 
-    /// What a balancer that takes its place had better know.
+    /// Returns the learned state, for a balancer that replaces this one.
     pub fn export_learned(&self) -> LearnedState {
         let listed = self.servers.iter().filter(|(_, s)| s.entry.availability != Availability::Gone);
-        let server = |(at, s): (&usize, &Server)| {
+        let server = |(id, s): (&usize, &Server)| {
             let (count, latency, consecutive_failures, ejected_until) =
-                (s.count, s.pace, s.strikes, s.ejected_until);
-            LearnedServerState { server: ServerId(*at), count, latency, consecutive_failures, ejected_until }
+                (s.count, s.latency, s.failures, s.ejected_until);
+            LearnedServerState { server: ServerId(*id), count, latency, consecutive_failures, ejected_until }
         };
-        // Some formats know no infinity.
+        // Some formats cannot represent infinity.
         let quotas = self.quotas.iter().map(|(left, at)| (left.min(f64::MAX), *at)).collect();
         let classes = self.classes.clone();
         LearnedState {
             servers: listed.map(server).collect(),
-            overall: self.all,
+            overall: self.overall,
             classes,
             quotas,
-            served_fraction: self.served,
+            served_fraction: self.served_fraction,
         }
     }
 
-    /// Goes on from what another has learned, under the same settings; nothing has been seen here yet.
-    fn learn(&mut self, now: f64, learned: &LearnedState) {
+    /// Imports what another balancer learned under the same settings. This one must have learned nothing yet.
+    fn import_learned(&mut self, now: f64, learned: &LearnedState) {
         for s in &learned.servers {
-            if let Some(server) = self.servers.get_mut(&s.server.0) {
-                (server.count, server.pace, server.strikes) = (s.count, s.latency, s.consecutive_failures);
-                (server.ejected_until, server.sent_at) = (s.ejected_until, now);
+            if let Some(own) = self.servers.get_mut(&s.server.0) {
+                (own.count, own.latency, own.failures) = (s.count, s.latency, s.consecutive_failures);
+                (own.ejected_until, own.last_sent_at) = (s.ejected_until, now);
             }
         }
-        (self.all, self.served) = (learned.overall, learned.served_fraction);
+        (self.overall, self.served_fraction) = (learned.overall, learned.served_fraction);
         self.classes.iter_mut().zip(&learned.classes).for_each(|(own, learned)| *own = *learned);
         self.quotas.iter_mut().zip(&learned.quotas).for_each(|(own, learned)| *own = *learned);
     }
 
-    /// Goes by other settings from now on; what was learned stays.
-    fn retune(&mut self, new: NewSettings, actions: &mut Vec<Action>) {
+    /// Replaces the settings; what was learned is kept.
+    fn reload(&mut self, new: NewSettings, actions: &mut Vec<Action>) {
         let NewSettings { settings, classes, tenants } = new;
         let Ok(fresh) = Self::new(settings, 0) else {
-            return actions.push(Action::Note("settings that make no sense are passed over".into()));
+            return actions.push(Action::Note("invalid new settings are ignored".into()));
         };
-        let was = |of: &[Option<usize>], i: usize| of.get(i).copied().flatten();
-        let pace = |i| was(&classes, i).and_then(|k| self.classes.get(k)).copied().unwrap_or_default();
-        let paces = (0..fresh.classes.len()).map(pace).collect();
-        let quota = |(i, new)| was(&tenants, i).and_then(|k| self.quotas.get(k)).copied().unwrap_or(new);
+        let old = |of: &[Option<usize>], i: usize| of.get(i).copied().flatten();
+        let latency = |i| old(&classes, i).and_then(|k| self.classes.get(k)).copied().unwrap_or_default();
+        let latencies = (0..fresh.classes.len()).map(latency).collect();
+        let quota = |(i, new)| old(&tenants, i).and_then(|k| self.quotas.get(k)).copied().unwrap_or(new);
         let quotas = fresh.quotas.into_iter().enumerate().map(quota).collect();
-        for held in self.held.values_mut() {
-            held.class = classes.iter().position(|of| *of == Some(held.class)).unwrap_or(usize::MAX);
+        for pending in self.pending.values_mut() {
+            pending.class = classes.iter().position(|of| *of == Some(pending.class)).unwrap_or(usize::MAX);
         }
-        (self.classes, self.quotas, self.settings) = (paces, quotas, fresh.settings);
-        (self.asks, self.sparse, self.aim) = (fresh.asks, fresh.sparse, fresh.aim);
-        self.lay_out();
+        (self.classes, self.quotas, self.settings) = (latencies, quotas, fresh.settings);
+        (self.probe_count, self.sparse_feedback, self.mean_objective) =
+            (fresh.probe_count, fresh.sparse_feedback, fresh.mean_objective);
+        self.rebuild_ring();
     }
 
     // ---- The list of servers
 
-    fn listing(&mut self, listing: ListUpdate, actions: &mut Vec<Action>) {
-        let (entries, complete) = match listing {
+    fn update_list(&mut self, update: ListUpdate, actions: &mut Vec<Action>) {
+        let (entries, complete) = match update {
             ListUpdate::Changes(entries) => (entries, false),
             ListUpdate::Full(entries) | ListUpdate::Cached(entries) => (entries, true),
-            ListUpdate::Failed if self.asking => return,
-            ListUpdate::Failed => return self.resubscribe(actions),
+            ListUpdate::Failed if self.backoff => return,
+            ListUpdate::Failed => return self.schedule_resubscribe(actions),
         };
         if std::mem::take(&mut self.failed_calls) > 0 {
             actions.push(Action::Note("the list of servers comes again".into()));
@@ -455,646 +515,732 @@
             server.entry.availability = Availability::Gone;
         }
         for entry in entries {
-            let at = entry.server.0;
-            // What was learned of a process does not hold for its successor.
-            let old = self.servers.remove(&at).unwrap_or_default();
+            let id = entry.server.0;
+            // What was learned of a server's process does not apply to the process that replaces it.
+            let old = self.servers.remove(&id).unwrap_or_default();
             let same = old.entry.started_at == entry.started_at;
-            let kept = if same { old } else { Server { out: old.out, ..Server::default() } };
-            self.servers.insert(at, Server { entry, ..kept });
+            let kept = if same { old } else { Server { in_flight: old.in_flight, ..Server::default() } };
+            self.servers.insert(id, Server { entry, ..kept });
         }
-        // Guards against growth with every server that ever was.
-        self.servers.retain(|_, server| !server.is_over());
-        self.lay_out();
+        // Without this, memory would grow with every server that was ever listed.
+        self.servers.retain(|_, server| !server.is_removable());
+        self.rebuild_ring();
     }
 
-    /// Lays out the node's slice of the fleet: a stretch, from a place of the node's own, of a ring of
-    /// servers that the nodes of its round order alike.
-    /// Guards against connections from every node to every server, and against too few reports of each.
-    fn lay_out(&mut self) {
+    /// Rebuilds the ring of ready servers and selects the node's subset of it. Nodes are divided over several
+    /// rings; those of one ring order the servers alike, and each starts its subset at a position of its own.
+    /// Without subsets every node would connect to every server, and get too few reports of each.
+    fn rebuild_ring(&mut self) {
         let listed = self.servers.values().map(|s| &s.entry);
         let listed = listed.filter(|e| e.availability == Availability::Ready);
-        let rounds = if self.sparse { ROUNDS } else { 1 };
-        let (round, turn) = (self.settings.node_index % rounds, self.settings.node_index / rounds);
-        // Keys of names that differ in their last letters alone are near each other: servers of one kind
-        // would stand side by side.
-        let mixed = |key: u64| (key ^ round as u64).wrapping_mul(MIX).rotate_left(29).wrapping_mul(MIX);
+        let rings = if self.sparse_feedback { RING_COUNT } else { 1 };
+        let (ring, index) = (self.settings.node_index % rings, self.settings.node_index / rings);
+        // Hashes of names that differ only in their last letters are close to each other. Unmixed, servers of
+        // one kind would be neighbours on the ring.
+        let mixed = |h: u64| (h ^ ring as u64).wrapping_mul(HASH_MIX).rotate_left(29).wrapping_mul(HASH_MIX);
         let mut listed: Vec<_> =
             listed.map(|e| (e.zone != self.settings.zone, mixed(e.name_hash), e.server.0)).collect();
         listed.sort_unstable();
-        self.near = listed.iter().filter(|(far, ..)| !far).count();
-        self.ring = listed.into_iter().map(|(.., at)| at).collect();
-        let mean = self.ring.iter().map(|at| self.servers[at].entry.weight).sum::<f64>()
+        self.same_zone_count = listed.iter().filter(|(other_zone, ..)| !other_zone).count();
+        self.ring = listed.into_iter().map(|(.., id)| id).collect();
+        let mean = self.ring.iter().map(|id| self.servers[id].entry.weight).sum::<f64>()
             / self.ring.len().max(1) as f64;
         for server in self.servers.values_mut() {
             let known = self.settings.weights == Weights::Size && server.entry.weight > 0.0 && mean > 0.0;
-            server.size = if known { server.entry.weight / mean } else { 1.0 };
+            server.relative_size = if known { server.entry.weight / mean } else { 1.0 };
         }
-        let place = ((turn + 1) as f64 * GOLDEN).fract();
-        for part in [0..self.near, self.near..self.ring.len()] {
-            let part = &mut self.ring[part];
-            part.rotate_left((place * part.len() as f64) as usize);
+        let position = ((index + 1) as f64 * GOLDEN_RATIO_FRACTION).fract();
+        for range in [0..self.same_zone_count, self.same_zone_count..self.ring.len()] {
+            let part = &mut self.ring[range];
+            part.rotate_left((position * part.len() as f64) as usize);
         }
-        self.cut_slice();
+        self.select_subset();
     }
 
-    /// The stretches of the ring that this node uses.
-    fn cut_slice(&mut self) {
-        let (near, all) = (self.near, self.ring.len());
-        let told = (all as f64 * SHARERS / self.settings.nodes as f64).ceil() as usize;
-        let length = SLICE_LEAST.max(if self.wanted > 0.0 { self.wanted.round() as usize } else { told });
-        // Where nobody is asked before a send, what is out to a server is all that is fresh, and that only
-        // where it is met often: near and far ones make one slice. Each is in as many, also of a small zone.
-        let fair = (length * near).div_ceil(all.max(1));
-        let (own, far) = if self.asks > 0 { (length, length) } else { (fair, length - fair.min(near)) };
-        // So many servers of the usual size: a stretch of small ones is longer.
-        let cut = |part: std::ops::Range<usize>, length: usize| {
-            let mut room = length as f64 - 1e-6;
-            let size = |at: &usize| self.servers.get(&self.ring[*at]).map_or(1.0, |server| server.size);
+    /// Selects the ranges of the ring that this node sends to.
+    fn select_subset(&mut self) {
+        let (same_zone, all) = (self.same_zone_count, self.ring.len());
+        let by_settings = (all as f64 * NODES_PER_SERVER / self.settings.nodes as f64).ceil() as usize;
+        let size = MIN_SUBSET.max(if self.target_size > 0.0 {
+            self.target_size.round() as usize
+        } else {
+            by_settings
+        });
+        // Without probes, the only fresh information about a server is this node's own attempts in flight
+        // there, and that only helps if the node sends to the server often. So the servers of both ranges
+        // together make one subset. Each server is in equally many subsets, also in a small zone.
+        let share = (size * same_zone).div_ceil(all.max(1));
+        let (own, other) =
+            if self.probe_count > 0 { (size, size) } else { (share, size - share.min(same_zone)) };
+        // The size counts servers of the mean size: a range of small servers is longer.
+        let range_of_size = |part: std::ops::Range<usize>, size: usize| {
+            let mut room = size as f64 - 1e-6;
+            let size_of = |at: &usize| self.servers.get(&self.ring[*at]).map_or(1.0, |s| s.relative_size);
             let fits = |at: &usize| {
-                room -= size(at);
-                room + size(at) > 0.0
+                room -= size_of(at);
+                room + size_of(at) > 0.0
             };
             part.start..part.start + part.take_while(fits).count()
         };
-        let slice = [cut(0..near, own), cut(near..all, far)];
-        self.slice = slice;
+        let subset = [range_of_size(0..same_zone, own), range_of_size(same_zone..all, other)];
+        self.subset = subset;
     }
 
-    /// How many servers a node looks at follows its own part of what they hold, by Little's law from their
-    /// reports: each server is in as many slices, by the work that comes of them, whoever is busy, quiet or
-    /// dead.
-    fn follow_rate(&mut self) {
-        if !self.sparse || self.all.samples < RECENT || self.reports < FLEET || self.pause <= 0.0 {
+    /// Resizes the subset to this node's own share of the requests in flight at the servers. The share
+    /// follows from the servers' reports by Little's law. Each server is then in equally many subsets, by the
+    /// traffic of their nodes, whichever are busy, quiet or dead.
+    fn resize_subset(&mut self) {
+        if !self.sparse_feedback
+            || self.overall.samples < MEAN_SAMPLES
+            || self.report_samples < FLEET_MEAN_SAMPLES
+            || self.mean_gap <= 0.0
+        {
             return;
         }
-        let wanted = (SHARERS * self.all.latency_ms / (self.pause * self.held_mean.max(HELD_LEAST)))
-            .min(self.ring.len() as f64);
-        let wanted = wanted.max(SLICE_LEAST as f64);
-        if (wanted - self.wanted).abs() > SLICE_STEP * self.wanted.max(1.0) {
-            self.wanted = wanted;
-            self.cut_slice();
+        let wanted = (NODES_PER_SERVER * self.overall.latency_ms
+            / (self.mean_gap * self.mean_in_flight.max(MIN_MEAN_IN_FLIGHT)))
+        .min(self.ring.len() as f64);
+        let wanted = wanted.max(MIN_SUBSET as f64);
+        if (wanted - self.target_size).abs() > RESIZE_THRESHOLD * self.target_size.max(1.0) {
+            self.target_size = wanted;
+            self.select_subset();
         }
     }
 
-    /// Guards against a lost subscription: without one the node would send to servers long gone.
-    fn resubscribe(&mut self, actions: &mut Vec<Action>) {
+    /// Sets a timer for a new subscription, with exponential backoff and jitter. Without a subscription the
+    /// node would go on sending to servers that are long gone.
+    fn schedule_resubscribe(&mut self, actions: &mut Vec<Action>) {
         if self.failed_calls == 0 {
             actions.push(Action::Note("the list of servers does not come".into()));
         }
-        self.asking = true;
-        let most = self.settings.resubscribe_within_ms * RESUBSCRIBE_MOST;
-        let after_ms = most / 2_f64.powi(4 - self.failed_calls) * (0.5 + 0.5 * self.random.f64());
+        self.backoff = true;
+        let max_ms = self.settings.resubscribe_within_ms * MAX_RESUBSCRIBE_FRACTION;
+        let after_ms = max_ms / 2_f64.powi(4 - self.failed_calls) * (0.5 + 0.5 * self.random.f64());
         self.failed_calls = (self.failed_calls + 1).min(4);
         actions.push(Action::SetTimer { timer: RESUBSCRIBE, after_ms });
     }
 
     // ---- The ordinary path
 
-    /// A report overwrites the count of its server alone.
-    /// It counts the requests of all nodes; where it was not just asked for, each evens out its own part.
-    fn report(&mut self, now: f64, at: usize, report: LoadReport) {
-        let reading = report.in_flight.or(report.queued).filter(|held| *held <= HELD_MOST);
-        let (Some(reading), Some(server)) = (reading, self.servers.get_mut(&at)) else { return };
-        let part = if self.asks > 0 { 1.0 } else { self.settings.nodes as f64 };
-        server.count = Some(reading / part);
-        let reading = reading / server.size;
-        (server.told, server.since) = (Some((reading, now)), 0.0);
-        server.usual.1 = (server.usual.1 + 1.0).min(USUAL);
-        server.usual.0 += (reading - server.usual.0) / server.usual.1;
-        self.reports = (self.reports + 1.0).min(FLEET);
-        self.held_mean += (reading - self.held_mean) / self.reports;
+    /// Overwrites a server's count with its load report. A report counts the requests of all nodes. Unless
+    /// the server was probed for this request, each node takes only its own part of that number as the count,
+    /// and evens out only that part.
+    fn record_report(&mut self, now: f64, id: usize, report: LoadReport) {
+        let in_flight =
+            report.in_flight.or(report.queued).filter(|in_flight| *in_flight <= MAX_REPORTED_IN_FLIGHT);
+        let (Some(in_flight), Some(server)) = (in_flight, self.servers.get_mut(&id)) else { return };
+        let parts = if self.probe_count > 0 { 1.0 } else { self.settings.nodes as f64 };
+        server.count = Some(in_flight / parts);
+        let in_flight = in_flight / server.relative_size;
+        (server.last_report, server.sent_since) = (Some((in_flight, now)), 0.0);
+        server.usual_in_flight.1 = (server.usual_in_flight.1 + 1.0).min(SERVER_REPORT_SAMPLES);
+        server.usual_in_flight.0 += (in_flight - server.usual_in_flight.0) / server.usual_in_flight.1;
+        self.report_samples = (self.report_samples + 1.0).min(FLEET_MEAN_SAMPLES);
+        self.mean_in_flight += (in_flight - self.mean_in_flight) / self.report_samples;
     }
 
-    /// The eligible servers with the lowest counts, ties broken at random.
-    /// One that is preferred comes first, where its count is not much higher.
-    fn pick(&mut self, now: f64, held: &Held, limit: f64, few: usize) -> Vec<usize> {
-        let mut candidates = self.candidates(now, held);
-        // Those that are not healthy, or tried already, are left only where there are no others.
-        let fittest = candidates.iter().map(|c| c.unfit).min();
-        candidates.retain(|c| Some(c.unfit) == fittest && c.wait <= limit);
-        let least = candidates.iter().map(|c| c.wait).fold(f64::INFINITY, f64::min);
-        let bound = if self.asks > 0 { limit } else { least * BACKED_UP };
-        // A crossing has its price; and nodes that keep to their zones are less in each other's way, unseen.
-        let near = self.asks == 0 && !self.sparse && candidates.iter().any(|c| c.near && c.wait <= bound);
-        let preferred = |c: &Candidate| held.prefers == Some(c.server);
-        candidates.retain(|c| (c.wait <= bound || preferred(c)) && (c.near || !near));
+    /// Returns up to `max_servers` eligible servers with the lowest counts, ties broken at random. The
+    /// preferred server comes first if its count is not much higher than the lowest.
+    fn pick(&mut self, now: f64, pending: &Pending, max_wait: f64, max_servers: usize) -> Vec<usize> {
+        let mut candidates = self.candidates(now, pending);
+        // Servers that are not healthy, or were tried already, are used only where there are no others.
+        let fittest = candidates.iter().map(|c| c.unfitness).min();
+        candidates.retain(|c| Some(c.unfitness) == fittest && c.wait <= max_wait);
+        let min_wait = candidates.iter().map(|c| c.wait).fold(f64::INFINITY, f64::min);
+        let bound = if self.probe_count > 0 { max_wait } else { min_wait * MAX_WAIT_RATIO };
+        // Requests that cross zones have a price. And nodes that keep to their own zones interfere less with
+        // each other, as they cannot see each other's requests.
+        let same_zone_only = self.probe_count == 0
+            && !self.sparse_feedback
+            && candidates.iter().any(|c| c.same_zone && c.wait <= bound);
+        let preferred = |c: &Candidate| pending.preferred == Some(c.server);
+        candidates.retain(|c| (c.wait <= bound || preferred(c)) && (c.same_zone || !same_zone_only));
         self.random.shuffle(&mut candidates);
         candidates.sort_by(|a, b| a.rank.total_cmp(&b.rank));
         if let Some(at) = candidates.iter().position(preferred) {
-            // Guards against a preference that overloads its server: it counts only near the lowest.
+            // The preference counts only close to the lowest rank. Otherwise it would overload its server.
             let slack = self.settings.preference_slack;
             let lowest = candidates.iter().find(|c| c.wait <= bound).map_or(f64::INFINITY, |c| c.rank);
             let Candidate { rank, wait, .. } = candidates[at];
-            if rank <= lowest * slack && wait <= bound.max(least * slack) {
+            if rank <= lowest * slack && wait <= bound.max(min_wait * slack) {
                 candidates[..=at].rotate_right(1);
             } else if wait > bound {
                 candidates.remove(at);
             }
         }
-        candidates.iter().take(few).map(|c| c.server).collect()
+        candidates.iter().take(max_servers).map(|c| c.server).collect()
     }
 
-    /// All servers that the rules allow for this request.
-    fn candidates(&mut self, now: f64, held: &Held) -> Vec<Candidate> {
-        let class = held.rules;
-        let half_life = HALF_LIFE * self.aim;
-        // What is not confirmed fades to an easy guess: a node that refuses all would learn nothing more.
-        let (latency, depth) =
-            if self.all.samples > 0.0 { (self.all.latency_ms, self.all.depth) } else { (self.aim, 1.0) };
-        let lasting = self.all.or(now, f64::INFINITY, (self.aim * EASY, 1.0));
-        let all = self.all.or(now, half_life.max(GAPS * self.gap), (latency.min(self.aim * EASY), depth));
-        // Where servers are asked, old counts tell whom.
-        let patience = if self.asks > 0 { f64::INFINITY } else { EJECT * self.aim };
+    /// Returns all servers that the rules allow for this request.
+    fn candidates(&mut self, now: f64, pending: &Pending) -> Vec<Candidate> {
+        let class = pending.rules;
+        let half_life = HALF_LIFE_OBJECTIVES * self.mean_objective;
+        // An estimate that is not confirmed decays to an optimistic one. Otherwise a node that refuses all
+        // requests would never learn that its servers have recovered.
+        let (latency, depth) = if self.overall.samples > 0.0 {
+            (self.overall.latency_ms, self.overall.depth)
+        } else {
+            (self.mean_objective, 1.0)
+        };
+        let long_term =
+            self.overall.blend(now, f64::INFINITY, (self.mean_objective * OPTIMISTIC_OBJECTIVES, 1.0));
+        let overall = self.overall.blend(
+            now,
+            half_life.max(MIN_HALF_LIFE_GAPS * self.recent_gap),
+            (latency.min(self.mean_objective * OPTIMISTIC_OBJECTIVES), depth),
+        );
+        // Where servers are probed, counts never expire: old ones decide which servers to probe.
+        let max_silence =
+            if self.probe_count > 0 { f64::INFINITY } else { EJECTION_OBJECTIVES * self.mean_objective };
         let (mut sum, mut counts) = (0.0, 0);
-        for i in self.slice.clone().into_iter().flatten() {
+        for i in self.subset.clone().into_iter().flatten() {
             let Some(server) = self.servers.get_mut(&self.ring[i]) else { continue };
-            server.forget(now, patience);
+            server.expire_count(now, max_silence);
             (sum, counts) = server.count.map_or((sum, counts), |count| (sum + count, counts + 1));
         }
-        let mean = sum / counts.max(1) as f64;
-        let total = self.slice[0].len() + self.slice[1].len();
-        // A crossing counts as its price in aims.
+        let mean_count = sum / counts.max(1) as f64;
+        let subset_size = self.subset[0].len() + self.subset[1].len();
+        // Crossing zones is charged at its price, in latency objectives.
         let crossing = self.settings.cross_zone_price * class.latency_objective_ms;
-        let blur = if self.asks > 0 && held.reported.is_empty() { BLUR } else { 0.0 };
-        let home = held.ran.map(|first| &held.attempts[first]);
-        let (mut candidates, known) = (Vec::new(), self.known());
-        // A request that may have run is bound to its group, wherever that is; any other stays in the slice.
-        let [near, far] = if home.is_some() { [0..self.ring.len(), 0..0] } else { self.slice.clone() };
-        // A preference holds beyond the slice, but not for a cold server: its budget is the slices' alone.
-        let beyond = |s: &Server| {
+        let jitter =
+            if self.probe_count > 0 && pending.reporting.is_empty() { PROBE_TARGET_JITTER } else { 0.0 };
+        let ran_first = pending.first_run.map(|first| &pending.attempts[first]);
+        let (mut candidates, fleet) = (Vec::new(), self.fleet_load());
+        // A request that may have run is bound to the group of that server, wherever on the ring its servers
+        // are. Any other request stays in the subset.
+        let [own, other] = if ran_first.is_some() { [0..self.ring.len(), 0..0] } else { self.subset.clone() };
+        // A preferred server may be outside the subset, but not in slow start: what it can take then is
+        // divided over the nodes whose subset it is in.
+        let allowed = |s: &Server| {
             let warm = now - s.entry.started_at.unwrap_or(f64::NEG_INFINITY) >= self.settings.slow_start_ms;
-            home.is_none() && s.entry.availability == Availability::Ready && warm
+            ran_first.is_none() && s.entry.availability == Availability::Ready && warm
         };
-        let sliced = |at: &usize| near.clone().chain(far.clone()).any(|i| self.ring[i] == *at);
-        let beyond = held.prefers.filter(|at| self.servers.get(at).is_some_and(beyond) && !sliced(at));
-        for at in near.chain(far).map(|i| self.ring[i]).chain(beyond) {
-            let first = held.attempts.is_empty();
-            let asked = first && held.reported.contains(&at);
-            let server = self.servers.get_mut(&at).expect("listed");
-            let believed = self.sparse.then(|| server.believed(now, known));
-            let bound = home.is_some_and(|home| !may_move(class.effect, home, &server.entry));
-            if bound || first && !asked && !held.reported.is_empty() {
+        let in_subset = |id: &usize| own.clone().chain(other.clone()).any(|i| self.ring[i] == *id);
+        let outside =
+            pending.preferred.filter(|id| self.servers.get(id).is_some_and(allowed) && !in_subset(id));
+        for id in own.chain(other).map(|i| self.ring[i]).chain(outside) {
+            let first_attempt = pending.attempts.is_empty();
+            let probed = first_attempt && pending.reporting.contains(&id);
+            let server = self.servers.get_mut(&id).expect("listed");
+            let estimated = self.sparse_feedback.then(|| server.estimated_count(now, fleet));
+            let forbidden = ran_first.is_some_and(|first| !may_retry_on(class.effect, first, &server.entry));
+            if forbidden || first_attempt && !probed && !pending.reporting.is_empty() {
                 continue;
             }
-            let count = *server.count.get_or_insert(mean);
-            let (latency, depth) = server.pace.or(now, half_life, all);
-            // Guards a cold server, which reports nothing queued and would be swamped. Every node lets the
-            // same part of its requests see it: what all send is in step with the load of a warm server.
+            let count = *server.count.get_or_insert(mean_count);
+            let (latency, depth) = server.latency.blend(now, half_life, overall);
+            // A server in slow start reports no queue yet and would be swamped. So every node considers it
+            // for the same fraction of its requests only: what all nodes send then keeps in step with the
+            // load of a warm server.
             let age = now - server.entry.started_at.unwrap_or(f64::NEG_INFINITY);
-            if age < self.settings.slow_start_ms && !asked {
-                let cold = (1.0 - self.settings.slow_start_min_capacity)
+            if age < self.settings.slow_start_ms && !probed {
+                let missing_capacity = (1.0 - self.settings.slow_start_min_capacity)
                     * (1.0 - (age / self.settings.slow_start_ms).max(0.0));
-                let part = COLD_PART * self.settings.collapse_multiple * (1.0 - cold) / total as f64;
-                if self.random.f64() >= part * self.served {
+                let fraction = SLOW_START_SHARE * self.settings.collapse_multiple * (1.0 - missing_capacity)
+                    / subset_size as f64;
+                if self.random.f64() >= fraction * self.served_fraction {
                     continue;
                 }
             }
-            let trial = server.out == 0 && class.effect != Effect::Unsafe;
-            let healthy = server.ejected_until.is_none_or(|until| until <= now && trial);
-            let near = server.entry.zone == self.settings.zone;
-            // A count just asked for is that of all nodes, and so is its pace; an idle server is never late.
-            let wait = match self.asks > 0 {
+            let may_try = server.in_flight == 0 && class.effect != Effect::Unsafe;
+            let healthy = server.ejected_until.is_none_or(|until| until <= now && may_try);
+            let same_zone = server.entry.zone == self.settings.zone;
+            // A count that was just probed covers the requests of all nodes, and so does the latency per
+            // request it is multiplied with. An idle server is never late.
+            let wait = match self.probe_count > 0 {
                 true if count < 0.5 => 0.0,
-                true => (count + 1.0) * lasting.0 / lasting.1,
-                false => (server.out + 1) as f64 * latency / depth,
+                true => (count + 1.0) * long_term.0 / long_term.1,
+                false => (server.in_flight + 1) as f64 * latency / depth,
             };
-            let count = believed.unwrap_or(count);
+            let count = estimated.unwrap_or(count);
             candidates.push(Candidate {
-                server: at,
+                server: id,
                 wait,
-                rank: (count + 1.0) * latency / depth * (1.0 + blur * (2.0 * self.random.f64() - 1.0))
-                    + if near { 0.0 } else { crossing },
-                unfit: 2 * u8::from(!healthy) + u8::from(held.attempts.iter().any(|a| a.server == at)),
-                near,
+                rank: (count + 1.0) * latency / depth * (1.0 + jitter * (2.0 * self.random.f64() - 1.0))
+                    + if same_zone { 0.0 } else { crossing },
+                unfitness: 2 * u8::from(!healthy) + u8::from(pending.attempts.iter().any(|a| a.server == id)),
+                same_zone,
             });
         }
         candidates
     }
 
-    /// What reports together tell.
-    fn known(&self) -> Known {
-        Known { held: self.held_mean, fades: FADES * self.all.latency_ms.max(1.0), trust: self.trust() }
+    /// Returns what the load reports of all servers together show.
+    fn fleet_load(&self) -> FleetLoad {
+        FleetLoad {
+            mean_in_flight: self.mean_in_flight,
+            report_decay_ms: REPORT_DECAY_LATENCIES * self.overall.latency_ms.max(1.0),
+            load_effect: self.load_effect(),
+        }
     }
 
-    /// How far longer answers followed higher reports, of late: slopes of their regression.
-    fn trust(&self) -> [f64; 2] {
-        let slope =
-            |prior: f64, (with, itself): (f64, f64)| ((with + prior) / (itself + FIRM)).clamp(0.0, 1.0);
-        [slope(FIRM, self.bears[0]), slope(0.0, self.bears[1])]
+    /// Returns how far higher reported load has lately led to longer latency: the regression slopes of excess
+    /// latency on both load excesses, from 0 to 1.
+    fn load_effect(&self) -> [f64; 2] {
+        let slope = |prior: f64, (product, square): (f64, f64)| {
+            ((product + prior) / (square + LOAD_EFFECT_PRIOR)).clamp(0.0, 1.0)
+        };
+        [slope(LOAD_EFFECT_PRIOR, self.load_moments[0]), slope(0.0, self.load_moments[1])]
     }
 
-    // ---- A request's way
+    // ---- The life of a request
 
-    fn request(&mut self, now: f64, request: &Request, actions: &mut Vec<Action>) {
+    fn on_request(&mut self, now: f64, request: &Request, actions: &mut Vec<Action>) {
         let Some(rules) = self.settings.classes.get(request.class).copied() else {
             return actions.push(Action::Fail { request: request.id });
         };
-        let mut held = Held {
+        let mut pending = Pending {
             class: request.class,
             rules,
             max_attempts: self.settings.max_attempts,
-            gives_up_at: now + request.budget_ms,
+            deadline_at: now + request.budget_ms,
             attempts: Vec::new(),
-            ran: None,
+            first_run: None,
             answered: false,
-            asked: Vec::new(),
-            reported: Vec::new(),
-            limit: 0.0,
-            prefers: request.preferred_server.map(|server| server.0),
+            awaited: Vec::new(),
+            reporting: Vec::new(),
+            max_wait: 0.0,
+            preferred: request.preferred_server.map(|server| server.0),
         };
-        self.requests = (self.requests + 1.0).min(FLEET);
-        if self.requests > 1.0 {
-            self.pause += (now - self.came_at - self.pause) / (self.requests - 1.0);
+        self.request_samples = (self.request_samples + 1.0).min(FLEET_MEAN_SAMPLES);
+        if self.request_samples > 1.0 {
+            self.mean_gap += (now - self.last_request_at - self.mean_gap) / (self.request_samples - 1.0);
         }
-        self.follow_rate();
-        self.gap += ((now - self.came_at).min(self.aim) - self.gap) / RECENT;
-        self.came_at = now;
-        self.retries = (self.retries + RETRY_SHARE).min(RECENT);
-        let within = self.within_quota(now, request.tenant);
-        held.limit = self.worthwhile(&held, within);
-        if self.sparse {
-            // Guards against all or nothing: where each node sees little, the sum of them admits a part.
-            held.limit /= self.random.f64().powf(CHANCE);
+        self.resize_subset();
+        self.recent_gap +=
+            ((now - self.last_request_at).min(self.mean_objective) - self.recent_gap) / MEAN_SAMPLES;
+        self.last_request_at = now;
+        self.retry_tokens = (self.retry_tokens + RETRY_RATIO).min(MEAN_SAMPLES);
+        let within_quota = self.take_from_quota(now, request.tenant);
+        pending.max_wait = self.admission_bound(&pending, within_quota);
+        if self.sparse_feedback {
+            // Where each node sees little of the load, all nodes would admit everything or nothing at the
+            // same time. The random factor lets them together admit a part.
+            pending.max_wait /= self.random.f64().powf(ADMISSION_EXPONENT);
         }
-        if self.asks > 0 {
-            held.asked = self.pick(now, &held, f64::INFINITY, self.asks);
+        if self.probe_count > 0 {
+            pending.awaited = self.pick(now, &pending, f64::INFINITY, self.probe_count);
         }
-        for at in &held.asked {
-            // Guards against asking a silent server over and over: an ask counts like a send until a report.
-            self.servers.get_mut(at).expect("picked").count.iter_mut().for_each(|count| *count += 1.0);
-            actions.push(Action::Probe { server: ServerId(*at) });
+        for id in &pending.awaited {
+            // A probe raises the count like an attempt, until a report comes. Without this, a silent server
+            // would be probed over and over.
+            self.servers.get_mut(id).expect("picked").count.iter_mut().for_each(|count| *count += 1.0);
+            actions.push(Action::Probe { server: ServerId(*id) });
         }
-        let after_ms = held.rules.latency_objective_ms.min(request.budget_ms) * ASK_PART;
-        self.asking_for.push(request.id);
-        self.held.insert(request.id, held);
-        if self.held[&request.id].asked.is_empty() {
-            return self.dispatch(now, request.id, actions);
+        let after_ms = pending.rules.latency_objective_ms.min(request.budget_ms) * PROBE_WAIT_OBJECTIVES;
+        self.awaiting_probes.push(request.id);
+        self.pending.insert(request.id, pending);
+        if self.pending[&request.id].awaited.is_empty() {
+            return self.send_first_attempt(now, request.id, actions);
         }
         actions.push(Action::SetTimer { timer: request.id.0 + 1, after_ms });
     }
 
-    /// Those asked have answered, or their time is up: the first send is due.
-    fn dispatch(&mut self, now: f64, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(place) = self.asking_for.iter().position(|waiting| *waiting == id) else { return };
-        self.asking_for.remove(place);
-        let Some(mut held) = self.held.remove(&id) else { return };
-        // Guards against servers too busy to answer: where none of those asked did, none is sent to unseen.
-        let most = usize::from(self.asks == 0 || !held.reported.is_empty());
-        if let Some(&server) = self.pick(now, &held, held.limit, most).first() {
-            self.send(now, id, &mut held, server, actions);
-            self.held.insert(id, held);
+    /// Sends the first attempt of a request whose probes were answered or timed out, or refuses the request.
+    fn send_first_attempt(&mut self, now: f64, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(position) = self.awaiting_probes.iter().position(|waiting| *waiting == id) else { return };
+        self.awaiting_probes.remove(position);
+        let Some(mut pending) = self.pending.remove(&id) else { return };
+        // Where no probe was answered the request is sent to no server: they are too busy even for that.
+        let max_servers = usize::from(self.probe_count == 0 || !pending.reporting.is_empty());
+        if let Some(&server) = self.pick(now, &pending, pending.max_wait, max_servers).first() {
+            self.send(now, id, &mut pending, server, actions);
+            self.pending.insert(id, pending);
         } else {
-            self.give_up(id, &held, actions);
+            self.refuse_or_fail(id, &pending, actions);
         }
     }
 
-    fn probed(
+    fn on_probe(
         &mut self,
         now: f64,
-        at: usize,
+        server: usize,
         ending: Ending,
         report: Option<LoadReport>,
-        to: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
-        report.into_iter().for_each(|report| self.report(now, at, report));
+        report.into_iter().for_each(|report| self.record_report(now, server, report));
         let mut due = Vec::new();
-        for id in &self.asking_for {
-            let Some(held) = self.held.get_mut(id).filter(|held| held.asked.contains(&at)) else { continue };
-            held.asked.retain(|asked| *asked != at);
+        for id in &self.awaiting_probes {
+            let Some(pending) = self.pending.get_mut(id).filter(|pending| pending.awaited.contains(&server))
+            else {
+                continue;
+            };
+            pending.awaited.retain(|awaited| *awaited != server);
             if ending == Ending::Served {
-                held.reported.push(at);
+                pending.reporting.push(server);
             }
-            if held.asked.is_empty() {
+            if pending.awaited.is_empty() {
                 due.push(*id);
-            } else if held.reported == [at] {
-                // Only those of the same moment are waited for: late ones are busy.
-                to.push(Action::SetTimer { timer: id.0 + 1, after_ms: 0.0 });
+            } else if pending.reporting == [server] {
+                // After the first answer only those of the same instant are waited for: servers that answer
+                // later are busy.
+                actions.push(Action::SetTimer { timer: id.0 + 1, after_ms: 0.0 });
             }
         }
         for id in due {
-            self.dispatch(now, id, to);
+            self.send_first_attempt(now, id, actions);
         }
     }
 
-    fn within_quota(&mut self, now: f64, tenant: usize) -> bool {
+    /// Returns whether the tenant's token bucket at this node has a token for a request, and takes it.
+    fn take_from_quota(&mut self, now: f64, tenant: usize) -> bool {
         let Some(quota) = self.settings.quotas_per_s.get(tenant) else { return true };
         let quota = quota / self.settings.nodes as f64;
         let (left, at) = &mut self.quotas[tenant];
-        *left = (*left + quota * (now - *at).max(0.0) / 1000.0).min(quota.max(QUOTA_LEAST));
+        *left = (*left + quota * (now - *at).max(0.0) / 1000.0).min(quota.max(MIN_QUOTA_BURST));
         *at = now;
         *left -= if *left >= 1.0 { 1.0 } else { return false };
         true
     }
 
-    /// The longest expected answer with which a request is still taken, lest late work crowds out the rest.
-    fn worthwhile(&self, held: &Held, within_quota: bool) -> f64 {
-        // A node that has just started knows no latency to refuse by, unless it asks for counts.
-        if self.asks == 0 && self.all.samples < RECENT {
+    /// Returns the longest expected latency with which a request is still admitted, so that late work does
+    /// not crowd out the rest.
+    fn admission_bound(&self, pending: &Pending, within_quota: bool) -> f64 {
+        // A node that has just started knows no latency to justify a refusal, unless it probes for counts.
+        if self.probe_count == 0 && self.overall.samples < MEAN_SAMPLES {
             return f64::INFINITY;
         }
-        let rules = |k: usize| self.settings.classes.get(k).copied().unwrap_or(held.rules);
-        let density = |k: usize| rules(k).value / self.relative(k);
-        let best = (0..self.classes.len()).map(density).fold(0.0, f64::max);
+        let rules = |k: usize| self.settings.classes.get(k).copied().unwrap_or(pending.rules);
+        let value_density = |k: usize| rules(k).value / self.latency_ratio(k);
+        let best = (0..self.classes.len()).map(value_density).fold(0.0, f64::max);
         let quota = if within_quota { 1.0 } else { self.settings.over_quota_value };
-        let worth = if best > 0.0 { density(held.class) * quota / best } else { 1.0 };
-        // What is late is not lost where it still has some worth; counts just asked for need less margin.
-        let late = if self.asks > 0 { ASKED_SURE } else { held.rules.late_value };
-        let soft = |part: f64, rest: f64| part + (1.0 - part) * rest;
-        let part = soft(AIM_PART, late) * soft(soft(LEAST_AIM, late), worth);
-        // A distant aim must not let low worth fill the queues in which worthier classes would be late.
-        let (own, all) = (density(held.class), 0..self.classes.len());
-        let worthier = all.filter(|k| density(*k) > own).chain([held.class]);
-        let aim = |k: usize| rules(k).latency_objective_ms / self.relative(k);
-        let aim = worthier.map(aim).fold(f64::INFINITY, f64::min);
-        // Guards against aims that servers hardly meet without a queue: a part of them would refuse all.
-        // One of many nodes has a part of a quota that tells little: its traffic need not be its part.
-        let known = self.reports > 0.0 && (within_quota || self.sparse);
-        let alone = if known { self.all.latency_ms / (self.held_mean + 1.0) } else { 0.0 };
-        (aim * part).max((alone * UNQUEUED).min(aim))
+        let value = if best > 0.0 { value_density(pending.class) * quota / best } else { 1.0 };
+        // A late answer is not lost if it still has some value; counts just probed need a smaller margin.
+        let late = if self.probe_count > 0 { PROBED_BOUND_RELAXATION } else { pending.rules.late_value };
+        let relax = |fraction: f64, by: f64| fraction + (1.0 - fraction) * by;
+        let fraction = relax(ADMISSION_OBJECTIVES, late) * relax(relax(MIN_VALUE_FRACTION, late), value);
+        // The bound uses the shortest objective among this class and those of higher value. Otherwise a class
+        // of low value with a long objective would fill the queues in which classes of higher value would
+        // then be late.
+        let (own, all) = (value_density(pending.class), 0..self.classes.len());
+        let of_higher_value = all.filter(|k| value_density(*k) > own).chain([pending.class]);
+        let objective_ms = |k: usize| rules(k).latency_objective_ms / self.latency_ratio(k);
+        let objective_ms = of_higher_value.map(objective_ms).fold(f64::INFINITY, f64::min);
+        // If servers hardly meet an objective even without a queue, a fraction of that objective would refuse
+        // every request. At one of many nodes this holds beyond the quota too: such a node's part of a quota
+        // says little, as its traffic need not be the same part of the tenant's.
+        let applies = self.report_samples > 0.0 && (within_quota || self.sparse_feedback);
+        let service_ms = if applies { self.overall.latency_ms / (self.mean_in_flight + 1.0) } else { 0.0 };
+        (objective_ms * fraction).max((service_ms * ALWAYS_ADMITTED_SERVICE_TIMES).min(objective_ms))
     }
 
-    /// How much longer a class takes than the mean request, as far as enough answers of it tell.
-    /// Guards against a class whose few answers came at a bad moment: an idle server would not get it.
-    fn relative(&self, class: usize) -> f64 {
+    /// Returns how much longer a class takes than the mean request, weighted by the number of its answers.
+    /// Without the weight, a class whose few answers came at a bad moment would not even get an idle server.
+    fn latency_ratio(&self, class: usize) -> f64 {
         let Some(class) = self.classes.get(class) else { return 1.0 };
-        let ratio = class.latency_ms / self.all.latency_ms;
-        let told = (class.samples / RECENT).min(1.0);
+        let ratio = class.latency_ms / self.overall.latency_ms;
+        let confidence = (class.samples / MEAN_SAMPLES).min(1.0);
         let known = ratio.is_finite() && ratio > 0.0;
         if known {
-            1.0 + (ratio - 1.0) * told
+            1.0 + (ratio - 1.0) * confidence
         } else {
             1.0
         }
     }
 
-    fn send(&mut self, now: f64, id: RequestId, held: &mut Held, at: usize, actions: &mut Vec<Action>) {
-        let known = self.known();
-        let server = self.servers.get_mut(&at).expect("picked");
-        let told = if self.sparse { server.told(now, known) } else { [0.0; 2] };
-        server.out += 1;
+    fn send(&mut self, now: f64, id: RequestId, pending: &mut Pending, to: usize, actions: &mut Vec<Action>) {
+        let fleet = self.fleet_load();
+        let server = self.servers.get_mut(&to).expect("picked");
+        let load_excess = if self.sparse_feedback { server.load_excess(now, fleet) } else { [0.0; 2] };
+        server.in_flight += 1;
         server.count = server.count.map(|count| count + 1.0);
-        (server.since, server.sent_at) = (server.since + 1.0 / server.size, now);
-        let depth = server.count.filter(|_| self.asks > 0).unwrap_or(server.out as f64);
-        let turn = server.answers + server.out as u64 - 1;
-        let (zone, cell, out) = (server.entry.zone, server.entry.cell, server.out);
-        let expected = out as f64 * self.all.latency_ms / self.all.depth.max(1.0);
-        let aim_ms = held.rules.latency_objective_ms;
-        let after_ms = (aim_ms * CUT_AIMS).max(expected * CUT_WAITS);
-        let stalls_at = self.stalls_at(now, held);
-        held.attempts.push(Attempt {
-            server: at,
+        (server.sent_since, server.last_sent_at) = (server.sent_since + 1.0 / server.relative_size, now);
+        let depth = server.count.filter(|_| self.probe_count > 0).unwrap_or(server.in_flight as f64);
+        let answers_ahead = server.answers + server.in_flight as u64 - 1;
+        let (zone, cell, in_flight) = (server.entry.zone, server.entry.cell, server.in_flight);
+        let expected_ms = in_flight as f64 * self.overall.latency_ms / self.overall.depth.max(1.0);
+        let latency_objective_ms = pending.rules.latency_objective_ms;
+        let after_ms = (latency_objective_ms * ABANDON_OBJECTIVES).max(expected_ms * ABANDON_LATENCIES);
+        let lost_at = self.lost_at(now, pending);
+        pending.attempts.push(Attempt {
+            server: to,
             zone,
             cell,
             sent_at: now,
             depth,
-            told,
-            open: true,
-            cut_at: now + after_ms,
-            cut: false,
-            turn,
-            stalls_at,
-            stalled: false,
+            load_excess,
+            in_flight: true,
+            abandon_at: now + after_ms,
+            abandoned: false,
+            answers_ahead,
+            lost_at,
+            presumed_lost: false,
             spans_pause: false,
         });
-        actions.push(Action::Send { request: id, server: ServerId(at) });
-        let more = held.attempts.len() < held.max_attempts && out >= CUT_OUT;
-        let in_time = now + after_ms < held.gives_up_at && self.may_follow(now + after_ms, held, true);
-        if self.settings.cancel && more && in_time {
+        actions.push(Action::Send { request: id, server: ServerId(to) });
+        let may_abandon = pending.attempts.len() < pending.max_attempts && in_flight >= ABANDON_IN_FLIGHT;
+        let in_time = now + after_ms < pending.deadline_at && self.may_retry(now + after_ms, pending, true);
+        if self.settings.cancel && may_abandon && in_time {
             actions.push(Action::SetTimer { timer: id.0 + 1, after_ms });
         }
-        if self.settings.cancel && self.lost > STALL_MOST && self.random.f64() < STALL_CUT {
-            actions.push(Action::SetTimer { timer: id.0 + 1, after_ms: stalls_at - now });
+        if self.settings.cancel && self.lost_fraction > MAX_LOST && self.random.f64() < LOST_ABANDON_FRACTION
+        {
+            actions.push(Action::SetTimer { timer: id.0 + 1, after_ms: lost_at - now });
         }
     }
 
-    /// When the answer to what is sent now may be thought lost: late for its class, but in time for another.
-    fn stalls_at(&self, now: f64, held: &Held) -> f64 {
-        let late = now + STALL_WAITS * self.classes.get(held.class).unwrap_or(&self.all).latency_ms;
-        let first = held.ran.map_or(now, |ran| held.attempts[ran].sent_at);
-        match held.rules.effect {
-            Effect::Keyed { window_ms, .. } => late.min(first + window_ms * WINDOW_PART * STALL_CUT).max(now),
+    /// Returns when the answer to an attempt sent now is presumed lost: late for its class, in time for a
+    /// retry.
+    fn lost_at(&self, now: f64, pending: &Pending) -> f64 {
+        let late = now + LOST_LATENCIES * self.classes.get(pending.class).unwrap_or(&self.overall).latency_ms;
+        let first = pending.first_run.map_or(now, |first| pending.attempts[first].sent_at);
+        match pending.rules.effect {
+            Effect::Keyed { window_ms, .. } => {
+                late.min(first + window_ms * RETRY_WINDOW_FRACTION * LOST_ABANDON_FRACTION).max(now)
+            }
             Effect::Safe | Effect::Unsafe => late,
         }
     }
 
-    /// Whether an attempt has stood for so long, overtaken by so many, that its answer may be lost.
+    /// Returns whether an attempt has waited so long, overtaken by so many, that its answer may be lost.
     fn is_overtaken(&self, now: f64, attempt: &Attempt) -> bool {
         let answers = self.servers.get(&attempt.server).map_or(0, |server| server.answers);
-        now >= attempt.stalls_at && answers >= attempt.turn + STALL_OVERTAKEN
+        now >= attempt.lost_at && answers >= attempt.answers_ahead + LOST_OVERTAKERS
     }
 
-    /// Gives up an attempt whose answer seems lost on its way, while its server goes on answering others.
-    /// Guards against ways that swallow answers: each would cost its request the whole time.
-    fn stall(&mut self, now: f64, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(mut held) = self.held.remove(&id) else { return };
-        let likely = self.lost > STALL_MOST;
-        let last = held.attempts.last().filter(|last| likely && last.open && self.is_overtaken(now, last));
-        let more = held.attempts.len() < held.max_attempts && self.retries >= 1.0;
-        if last.is_some_and(|last| !last.cut) && more && !held.answered && self.next(now, &mut held).is_some()
+    /// Abandons an attempt whose answer seems lost in the network, while its server goes on answering others.
+    /// Without this, such a network path would cost each of its requests the whole time until its deadline.
+    fn abandon_lost(&mut self, now: f64, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(mut pending) = self.pending.remove(&id) else { return };
+        let likely = self.lost_fraction > MAX_LOST;
+        let last = pending.attempts.last().filter(|a| likely && a.in_flight && self.is_overtaken(now, a));
+        let may_retry = pending.attempts.len() < pending.max_attempts && self.retry_tokens >= 1.0;
+        if last.is_some_and(|last| !last.abandoned)
+            && may_retry
+            && !pending.answered
+            && self.retry_target(now, &mut pending).is_some()
         {
-            let attempt = held.attempts.len() - 1;
-            (held.attempts[attempt].cut, held.attempts[attempt].stalled) = (true, true);
+            let attempt = pending.attempts.len() - 1;
+            (pending.attempts[attempt].abandoned, pending.attempts[attempt].presumed_lost) = (true, true);
             actions.push(Action::Cancel { request: id, attempt });
         }
-        self.held.insert(id, held);
+        self.pending.insert(id, pending);
     }
 
-    /// Gives up the attempts that a server leaves unanswered, where their requests may go elsewhere instead.
-    /// Guards against servers that fall silent: without a cut each costs a request its whole time.
-    fn cut(&mut self, now: f64, id: RequestId, actions: &mut Vec<Action>) {
-        let out_to = |held: &Held| held.attempts.last().filter(|last| last.open).map(|last| last.server);
-        let Some(at) = self.held.get(&id).and_then(out_to) else { return };
-        let waiting = self.held.iter().filter(|(_, held)| out_to(held) == Some(at));
+    /// Abandons the attempts that a silent server leaves unanswered, if their requests may be sent elsewhere
+    /// instead. Without this, such a server would cost each of its requests the time until its deadline.
+    fn abandon_silent(&mut self, now: f64, id: RequestId, actions: &mut Vec<Action>) {
+        let server_of = |pending: &Pending| pending.attempts.last().filter(|a| a.in_flight).map(|a| a.server);
+        let Some(server) = self.pending.get(&id).and_then(server_of) else { return };
+        let waiting = self.pending.iter().filter(|(_, pending)| server_of(pending) == Some(server));
         let mut waiting: Vec<RequestId> = waiting.map(|(id, _)| *id).collect();
         waiting.sort_unstable();
         for id in waiting {
-            let Some(mut held) = self.held.remove(&id) else { continue };
-            if let Some(attempt) = self.cut_due(now, &mut held) {
-                held.attempts[attempt].cut = true;
+            let Some(mut pending) = self.pending.remove(&id) else { continue };
+            if let Some(attempt) = self.attempt_to_abandon(now, &mut pending) {
+                pending.attempts[attempt].abandoned = true;
                 actions.push(Action::Cancel { request: id, attempt });
             }
-            self.held.insert(id, held);
+            self.pending.insert(id, pending);
         }
     }
 
-    fn cut_due(&mut self, now: f64, held: &mut Held) -> Option<usize> {
-        let last = held.attempts.len().checked_sub(1)?;
-        let attempt = &held.attempts[last];
-        let due =
-            self.settings.cancel && attempt.open && !attempt.cut && now >= attempt.cut_at && !held.answered;
+    /// Returns a request's last attempt if it is due to be abandoned and another server can get the request.
+    fn attempt_to_abandon(&mut self, now: f64, pending: &mut Pending) -> Option<usize> {
+        let last = pending.attempts.len().checked_sub(1)?;
+        let attempt = &pending.attempts[last];
+        let due = self.settings.cancel
+            && attempt.in_flight
+            && !attempt.abandoned
+            && now >= attempt.abandon_at
+            && !pending.answered;
         let silent = self.servers.get(&attempt.server);
-        let silent = silent.is_some_and(|s| s.heard_at < attempt.sent_at && s.out >= CUT_OUT);
-        if !due || !silent || last + 1 >= held.max_attempts || self.retries < 1.0 {
+        let silent =
+            silent.is_some_and(|s| s.answered_at < attempt.sent_at && s.in_flight >= ABANDON_IN_FLIGHT);
+        if !due || !silent || last + 1 >= pending.max_attempts || self.retry_tokens < 1.0 {
             return None;
         }
-        let at = attempt.server;
-        self.next(now, held).filter(|next| *next != at).map(|_| last)
+        let server = attempt.server;
+        self.retry_target(now, pending).filter(|target| *target != server).map(|_| last)
     }
 
-    /// Where a request could go whose last attempt is cut: that one may have run.
-    fn next(&mut self, now: f64, held: &mut Held) -> Option<usize> {
-        let ran = held.ran;
-        let next = self.may_follow(now, held, true).then(|| {
-            held.ran = ran.or(held.attempts.len().checked_sub(1));
-            self.pick(now, held, f64::INFINITY, 1)
+    /// Returns the next server for a request whose last attempt is abandoned, and so may have run.
+    fn retry_target(&mut self, now: f64, pending: &mut Pending) -> Option<usize> {
+        let first_run = pending.first_run;
+        let servers = self.may_retry(now, pending, true).then(|| {
+            pending.first_run = first_run.or(pending.attempts.len().checked_sub(1));
+            self.pick(now, pending, f64::INFINITY, 1)
         });
-        held.ran = ran;
-        next.and_then(|next| next.first().copied())
+        pending.first_run = first_run;
+        servers.and_then(|servers| servers.first().copied())
     }
 
-    fn outcome(&mut self, now: f64, outcome: &Outcome, actions: &mut Vec<Action>) {
+    fn on_outcome(&mut self, now: f64, outcome: &Outcome, actions: &mut Vec<Action>) {
         let id = outcome.request;
-        let Some(mut held) = self.held.remove(&id) else { return };
-        let Some(attempt) = held.attempts.get_mut(outcome.attempt).filter(|a| a.open) else {
-            return drop(self.held.insert(id, held));
+        let Some(mut pending) = self.pending.remove(&id) else { return };
+        let Some(attempt) = pending.attempts.get_mut(outcome.attempt).filter(|a| a.in_flight) else {
+            return drop(self.pending.insert(id, pending));
         };
-        attempt.open = false;
-        let at = attempt.server;
-        outcome.report.into_iter().for_each(|report| self.report(now, at, report));
-        self.judge(now, &held, &held.attempts[outcome.attempt], outcome, actions);
-        if outcome.ending.may_have_run() && held.ran.is_none() {
-            held.ran = Some(outcome.attempt);
+        attempt.in_flight = false;
+        let server = attempt.server;
+        outcome.report.into_iter().for_each(|report| self.record_report(now, server, report));
+        self.observe(now, &pending, &pending.attempts[outcome.attempt], outcome, actions);
+        if outcome.ending.may_have_run() && pending.first_run.is_none() {
+            pending.first_run = Some(outcome.attempt);
         }
         if outcome.complete {
-            held.answered = true;
-        } else if !held.answered {
-            self.further(now, id, &mut held, actions);
+            pending.answered = true;
+        } else if !pending.answered {
+            self.retry_or_end(now, id, &mut pending, actions);
         }
-        if !held.answered || held.attempts.iter().any(|a| a.open) {
-            self.held.insert(id, held);
+        if !pending.answered || pending.attempts.iter().any(|a| a.in_flight) {
+            self.pending.insert(id, pending);
         }
     }
 
-    /// Whether what may have run, also of the last attempt where that counts, lets another attempt follow.
-    fn may_follow(&self, now: f64, held: &Held, with_last: bool) -> bool {
-        let ran = held.ran.or_else(|| held.attempts.len().checked_sub(1).filter(|_| with_last));
-        match (ran, held.rules.effect) {
+    /// Returns whether the request's effect allows another attempt after those that may have run.
+    /// `with_last`: whether the last attempt counts as one that may have run.
+    fn may_retry(&self, now: f64, pending: &Pending, with_last: bool) -> bool {
+        let first = pending.first_run.or_else(|| pending.attempts.len().checked_sub(1).filter(|_| with_last));
+        match (first, pending.rules.effect) {
             (None, _) | (_, Effect::Safe) => true,
-            (Some(ran), Effect::Keyed { window_ms, .. }) => {
-                now - held.attempts[ran].sent_at < window_ms * WINDOW_PART
+            (Some(first), Effect::Keyed { window_ms, .. }) => {
+                now - pending.attempts[first].sent_at < window_ms * RETRY_WINDOW_FRACTION
             }
             (Some(_), Effect::Unsafe) => false,
         }
     }
 
-    /// A further attempt where class, time and budget allow it, else the final answer.
-    fn further(&mut self, now: f64, id: RequestId, held: &mut Held, actions: &mut Vec<Action>) {
-        let allowed = self.may_follow(now, held, false);
-        let budget = held.attempts.len() < held.max_attempts && self.retries >= 1.0;
-        if allowed && budget && now < held.gives_up_at {
-            // Guards against servers filled by what others turned away (incident ia94218, big days).
-            let limit = if self.asks > 0 { held.limit } else { f64::INFINITY };
-            if let Some(&server) = self.pick(now, held, limit, 1).first() {
-                self.retries -= 1.0;
-                return self.send(now, id, held, server, actions);
+    /// Sends another attempt if effect, deadline and retry budget allow it; otherwise gives the final answer.
+    fn retry_or_end(&mut self, now: f64, id: RequestId, pending: &mut Pending, actions: &mut Vec<Action>) {
+        let allowed = self.may_retry(now, pending, false);
+        let within_budget = pending.attempts.len() < pending.max_attempts && self.retry_tokens >= 1.0;
+        if allowed && within_budget && now < pending.deadline_at {
+            // Without this bound, requests refused by some servers would fill up the others (incident
+            // ia94218, on days of high load).
+            let max_wait = if self.probe_count > 0 { pending.max_wait } else { f64::INFINITY };
+            if let Some(&server) = self.pick(now, pending, max_wait, 1).first() {
+                self.retry_tokens -= 1.0;
+                return self.send(now, id, pending, server, actions);
             }
         }
-        self.give_up(id, held, actions);
-        held.answered = true;
+        self.refuse_or_fail(id, pending, actions);
+        pending.answered = true;
     }
 
-    /// The final answer for a request that is not served: a refusal only where it promises nothing false.
-    fn give_up(&mut self, id: RequestId, held: &Held, actions: &mut Vec<Action>) {
-        let harmless = match held.rules.effect {
+    /// Gives the final answer of a request that was not served: a refusal only if a retry is harmless.
+    fn refuse_or_fail(&mut self, id: RequestId, pending: &Pending, actions: &mut Vec<Action>) {
+        let harmless = match pending.rules.effect {
             Effect::Safe | Effect::Keyed { group: Group::All, .. } => true,
-            Effect::Keyed { .. } | Effect::Unsafe => held.ran.is_none(),
+            Effect::Keyed { .. } | Effect::Unsafe => pending.first_run.is_none(),
         };
-        // As long as a server takes for one request of those it holds: the next place is free by then, and a
-        // longer wait would use up the aim, which goes on from the first try.
-        let turn =
-            if self.all.samples > 0.0 { self.all.latency_ms / self.all.depth } else { self.aim * EASY };
-        let retry_after_ms = self.settings.max_retry_after_ms.map(|most| turn.min(most));
+        // The time that a server takes for one of the requests it has: after that it can accept another one.
+        // A longer wait would use up the latency objective, which counts from the client's first try.
+        let service_ms = if self.overall.samples > 0.0 {
+            self.overall.latency_ms / self.overall.depth
+        } else {
+            self.mean_objective * OPTIMISTIC_OBJECTIVES
+        };
+        let retry_after_ms = self.settings.max_retry_after_ms.map(|max_ms| service_ms.min(max_ms));
         let refuse = Action::Refuse { request: id, retry_after_ms };
         actions.push(if harmless { refuse } else { Action::Fail { request: id } });
     }
 
-    fn client_gone(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(held) = self.held.get_mut(&id) else { return };
-        held.answered = true;
+    fn on_client_gone(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(pending) = self.pending.get_mut(&id) else { return };
+        pending.answered = true;
         if self.settings.cancel {
-            let open = held.attempts.iter().enumerate().filter(|(_, a)| a.open);
-            actions.extend(open.map(|(attempt, _)| Action::Cancel { request: id, attempt }));
+            let in_flight = pending.attempts.iter().enumerate().filter(|(_, a)| a.in_flight);
+            actions.extend(in_flight.map(|(attempt, _)| Action::Cancel { request: id, attempt }));
         }
-        if held.attempts.iter().all(|a| !a.open) {
-            self.held.remove(&id);
+        if pending.attempts.iter().all(|a| !a.in_flight) {
+            self.pending.remove(&id);
         }
     }
 
     // ---- Health
 
-    fn judge(&mut self, now: f64, held: &Held, attempt: &Attempt, outcome: &Outcome, to: &mut Vec<Action>) {
-        let class = held.class;
-        let (at, depth, elapsed) = (attempt.server, attempt.depth, outcome.elapsed_ms);
-        let (relative, half_life) = (self.relative(class), HALF_LIFE * self.aim);
+    /// Updates what is known of a server by the outcome of an attempt, and ejects or restores the server.
+    fn observe(
+        &mut self,
+        now: f64,
+        pending: &Pending,
+        attempt: &Attempt,
+        outcome: &Outcome,
+        actions: &mut Vec<Action>,
+    ) {
+        let class = pending.class;
+        let (id, depth, elapsed) = (attempt.server, attempt.depth, outcome.elapsed_ms);
+        let (relative, half_life) = (self.latency_ratio(class), HALF_LIFE_OBJECTIVES * self.mean_objective);
         let overtaken = self.is_overtaken(now, attempt);
         if overtaken && matches!(outcome.ending, Ending::Served | Ending::TimedOut) {
-            self.lost += (f64::from(u8::from(outcome.ending == Ending::TimedOut)) - self.lost) / STALL_SEEN;
+            self.lost_fraction +=
+                (f64::from(u8::from(outcome.ending == Ending::TimedOut)) - self.lost_fraction) / LOST_SAMPLES;
         }
-        // What is lost on its way says nothing of the server.
-        let lost = overtaken && self.lost > STALL_MOST && outcome.ending == Ending::TimedOut;
-        // Nobody listened for a part of its time.
+        // An answer that was lost in the network says nothing about the server.
+        let lost = overtaken && self.lost_fraction > MAX_LOST && outcome.ending == Ending::TimedOut;
+        // During a pause the node could not read an answer.
         let unheard = attempt.spans_pause && outcome.ending == Ending::TimedOut;
         if !unheard {
-            self.served += (f64::from(u8::from(outcome.ending == Ending::Served)) - self.served) / RECENT;
+            self.served_fraction +=
+                (f64::from(u8::from(outcome.ending == Ending::Served)) - self.served_fraction) / MEAN_SAMPLES;
         }
-        let server = self.servers.get_mut(&at).expect("kept while something is out");
-        server.out = server.out.saturating_sub(1);
-        if server.is_over() {
-            self.servers.remove(&at);
+        let server = self.servers.get_mut(&id).expect("kept while an attempt is in flight");
+        server.in_flight = server.in_flight.saturating_sub(1);
+        if server.is_removable() {
+            self.servers.remove(&id);
             return;
         }
         if matches!(outcome.ending, Ending::Served | Ending::Full | Ending::Error) {
-            server.heard_at = now;
+            server.answered_at = now;
             server.answers += 1;
         }
-        if lost || unheard || attempt.stalled {
+        if lost || unheard || attempt.presumed_lost {
             return;
         }
         let failed = match outcome.ending {
-            Ending::Cancelled if attempt.cut => true,
-            // A full server is busy, not ill; a time-out within the aim says nothing of it.
+            Ending::Cancelled if attempt.abandoned => true,
+            // A full server is busy, not faulty.
             Ending::Served | Ending::Full => false,
-            Ending::TimedOut => elapsed >= held.rules.latency_objective_ms,
+            // A time-out within the latency objective says nothing about the server.
+            Ending::TimedOut => elapsed >= pending.rules.latency_objective_ms,
             Ending::Error | Ending::Unreachable | Ending::Reset => true,
             Ending::Cancelled | Ending::NotSent => return,
         };
         let timed = matches!(outcome.ending, Ending::Served | Ending::TimedOut) && !attempt.spans_pause;
         if timed {
-            if self.all.samples >= RECENT {
-                let took = (elapsed / (relative * self.all.latency_ms) - 1.0).min(TOOK_MOST);
-                for ((with, itself), told) in self.bears.iter_mut().zip(attempt.told) {
-                    *with += (told * took - *with) / BEARS;
-                    *itself += (told * told - *itself) / BEARS;
+            if self.overall.samples >= MEAN_SAMPLES {
+                let excess = (elapsed / (relative * self.overall.latency_ms) - 1.0).min(MAX_EXCESS_LATENCIES);
+                for ((product, square), load) in self.load_moments.iter_mut().zip(attempt.load_excess) {
+                    *product += (load * excess - *product) / LOAD_EFFECT_SAMPLES;
+                    *square += (load * load - *square) / LOAD_EFFECT_SAMPLES;
                 }
             }
             if let Some(class) = self.classes.get_mut(class) {
-                class.add(now, f64::INFINITY, 4.0 * RECENT, elapsed, depth);
+                class.record(now, f64::INFINITY, 4.0 * MEAN_SAMPLES, elapsed, depth);
             }
-            self.all.add(now, f64::INFINITY, 4.0 * RECENT, elapsed, depth);
-            server.pace.add(now, half_life, RECENT, elapsed / relative, depth);
+            self.overall.record(now, f64::INFINITY, 4.0 * MEAN_SAMPLES, elapsed, depth);
+            server.latency.record(now, half_life, MEAN_SAMPLES, elapsed / relative, depth);
         }
         if outcome.ending == Ending::Served {
-            server.strikes = if self.sparse { server.strikes / 2 } else { 0 };
+            server.failures = if self.sparse_feedback { server.failures / 2 } else { 0 };
             if server.ejected_until.take().is_some() {
-                to.push(Action::Restored { server: ServerId(at) });
+                actions.push(Action::Restored { server: ServerId(id) });
             }
         } else if failed {
-            // Guards against servers that fail quickly, hang or cannot be reached: counts alone favour them.
-            // Seldom met, it would fail many more for all nodes before each of them had seen three.
-            let sure = self.sparse && outcome.ending == Ending::Error;
-            server.strikes += if sure { STRIKES } else { 1 };
-            let due = server.ejected_until.map_or(server.strikes >= STRIKES, |until| until <= now);
-            let again = (server.strikes / STRIKES).clamp(1, EJECT_MOST) - 1;
-            let times = if self.sparse { f64::from(1 << again) } else { 1.0 };
-            if due && server.ejected_until.replace(now + EJECT * times * self.aim).is_none() {
-                to.push(Action::Ejected { server: ServerId(at) });
+            // Servers that fail quickly, hang or cannot be reached have low counts, so counts alone would
+            // favour them. Where feedback is sparse, a single error ejects: a server that each node meets
+            // seldom would fail many more requests before every node had seen three failures.
+            let eject_at_once = self.sparse_feedback && outcome.ending == Ending::Error;
+            server.failures += if eject_at_once { EJECTION_FAILURES } else { 1 };
+            let due = server.ejected_until.map_or(server.failures >= EJECTION_FAILURES, |until| until <= now);
+            let doublings = (server.failures / EJECTION_FAILURES).clamp(1, MAX_EJECTION_STEPS) - 1;
+            let factor = if self.sparse_feedback { f64::from(1 << doublings) } else { 1.0 };
+            if due
+                && server
+                    .ejected_until
+                    .replace(now + EJECTION_OBJECTIVES * factor * self.mean_objective)
+                    .is_none()
+            {
+                actions.push(Action::Ejected { server: ServerId(id) });
             }
         }
     }
 }
 
-/// Whether a request that may have run on `first` may be sent to `other`.
-fn may_move(effect: Effect, first: &Attempt, other: &ServerEntry) -> bool {
+/// Returns whether a request that may have run on the server of `first` may be sent to `other`.
+fn may_retry_on(effect: Effect, first: &Attempt, other: &ServerEntry) -> bool {
     match effect {
         Effect::Safe | Effect::Keyed { group: Group::All, .. } => true,
         Effect::Keyed { group: Group::Zone, .. } => first.zone == other.zone,
