--- a/crates/spurdrum-lab/src/main.rs
+++ b/crates/spurdrum-lab/src/main.rs
@@ -17,7 +17,7 @@
 use spurdrum_lab::rollout::Went;
 use spurdrum_lab::spread::{self, Figures, Way as Choice};
 use spurdrum_rollout::judge::Settings as JudgeSettings;
-use spurdrum_sources::follower::{Settings, StartEnd};
+use spurdrum_sources::follower::{Settings, StartupResult};
 use spurdrum_sources::registry::follower::{Interface, Settings as Watching};
 
 /// Experiments in simulated time.
@@ -128,7 +128,7 @@
         times.sort_by(f64::total_cmp);
         let within =
             |part: f64| times.get((part * (times.len() - 1) as f64) as usize).copied().unwrap_or(f64::NAN);
-        let late = ends.iter().filter(|(end, _)| *end == StartEnd::TimedOut).count();
+        let late = ends.iter().filter(|(end, _)| *end == StartupResult::TimedOut).count();
         println!(
             "| {nodes} | {round_ms} | {:.2} | {:.2} | {:.2} | {late} | {} |",
             within(0.5),
@@ -357,7 +357,7 @@
     println!("From a commit to a node's knowing, in ms: over all, and where nothing befell the node or the registry.\n");
     println!("| fault | kind | p50 | p99 | worst | connected p99 | whole reads a node | wrong |");
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
-    let kinds = [("streams", Interface::Streams), ("blocking", Interface::Blocking)];
+    let kinds = [("streams", Interface::WatchStreams), ("blocking", Interface::BlockingQueries)];
     let cases: Vec<_> = cases.iter().flat_map(|case| kinds.iter().map(move |kind| (case, kind))).collect();
     let rows: Vec<String> = cases
         .par_iter()
@@ -365,7 +365,7 @@
             let settings = registry::settings(*interface, false);
             let plan = registry::Plan { settings, faults: faults.clone(), ..base.clone() };
             let played = registry::play(&plan);
-            let reads: u64 = played.counts.iter().map(|counts| counts.reads).sum();
+            let reads: u64 = played.counts.iter().map(|counts| counts.full_reads).sum();
             format!(
                 "| {name} | {kind} | {:.2} | {:.1} | {:.0} | {:.2} | {:.1} | {} |",
                 played.within_ms(0.5),
@@ -417,7 +417,7 @@
         for every in [ms(10), s(1), s(100)] {
             for kind in &kinds {
                 // A whole answer of 10,000 servers for each change takes the lab too long to be of interest.
-                if kind.1 == Interface::Streams || servers < 10_000 || every > ms(10) {
+                if kind.1 == Interface::WatchStreams || servers < 10_000 || every > ms(10) {
                     cases.push((servers, every, kind));
                 }
             }
--- a/crates/spurdrum/src/merge.rs
+++ b/crates/spurdrum/src/merge.rs
@@ -6,9 +6,9 @@
 use spurdrum_core::{unix_ms, Node};
 use spurdrum_http::Upstream;
 use spurdrum_sources::reconciler::{Action, Event, Reconciler, Settings};
-use spurdrum_sources::registry::schema::{Compiled, Mapper};
-use spurdrum_sources::registry::shell::{News, Shell, Wire};
-use spurdrum_sources::{Alarm, List, Member};
+use spurdrum_sources::registry::schema::{CompiledSchema, Mapper};
+use spurdrum_sources::registry::shell::{RegistryClient, RegistryEvent, Shell};
+use spurdrum_sources::{List, Member, Timer};
 
 use crate::list::{self, Places};
 
@@ -25,7 +25,7 @@
     node: Rc<Node<Upstream>>,
     places: Rc<Places>,
     reconciler: RefCell<Reconciler>,
-    alarm: Alarm,
+    timer: Timer,
 }
 
 impl Merged {
@@ -33,7 +33,7 @@
     pub fn new(node: Rc<Node<Upstream>>, places: Rc<Places>, settings: Settings) -> Result<Rc<Self>, String> {
         let reconciler = Reconciler::new(settings, NAMES.len(), unix_ms()?);
         let reconciler = reconciler.map_err(|(key, why)| format!("`sources.merge.{key}`: {why}"))?;
-        Ok(Rc::new(Self { node, places, reconciler: RefCell::new(reconciler), alarm: Alarm::default() }))
+        Ok(Rc::new(Self { node, places, reconciler: RefCell::new(reconciler), timer: Timer::default() }))
     }
 
     /// A source tells a list, whole or of changes.
@@ -48,29 +48,33 @@
     /// Something has happened.
     pub fn tell(&self, event: Event) {
         let mut actions = Vec::new();
-        self.reconciler.borrow_mut().handle(self.alarm.now(), event, &mut actions);
+        self.reconciler.borrow_mut().handle(self.timer.now(), event, &mut actions);
         for action in actions {
             match action {
                 Action::Suspect { source, before, now } => tracing::warn!(
                     "{} had {before} servers and has {now} at once: it is doubted, and they stay",
                     NAMES[source]
                 ),
-                Action::Settled(source) => tracing::info!("{} is believed again", NAMES[source]),
+                Action::Trusted(source) => tracing::info!("{} is believed again", NAMES[source]),
                 Action::Flapping(id, hold) => {
                     tracing::warn!("server {id} comes and goes: nothing new for {} ms", hold.as_millis());
                 }
-                Action::Counted { source, counts } => tracing::info!(
+                Action::Included { source, included } => tracing::info!(
                     "the servers of {} {}",
                     NAMES[source],
-                    if counts { "count again" } else { "do not count any more: it has been blind for long" }
+                    if included {
+                        "count again"
+                    } else {
+                        "do not count any more: it has been blind for long"
+                    }
                 ),
                 Action::Apply(members) => {
                     let list = List { revision: 0, complete: false, members };
-                    self.node.listed(list.complete, self.places.listed(&list));
+                    self.node.update_servers(list.complete, self.places.listed(&list));
                 }
             }
         }
-        self.alarm.sooner(self.reconciler.borrow().next_wake());
+        self.timer.wake_no_later_than(self.reconciler.borrow().next_wake());
     }
 
     /// Keeps time for as long as this is awaited.
@@ -78,27 +82,27 @@
         loop {
             self.tell(Event::Tick);
             let wake = self.reconciler.borrow().next_wake();
-            self.alarm.sleep(wake).await;
+            self.timer.sleep(wake).await;
         }
     }
 
     /// Follows a registry for as long as this is awaited.
-    pub async fn follow<W: Wire>(self: Rc<Self>, registry: Rc<Shell<W>>, schema: Compiled) {
+    pub async fn follow<W: RegistryClient>(self: Rc<Self>, registry: Rc<Shell<W>>, schema: CompiledSchema) {
         let mapper = RefCell::new(Mapper::new(schema));
         let shown = Rc::clone(&registry);
         let news = move |news| match news {
-            News::Change(change) => {
+            RegistryEvent::Change(change) => {
                 let mapped = mapper.borrow_mut().map(&change);
-                for (key, fault) in mapped.faults {
+                for (key, fault) in mapped.errors {
                     tracing::warn!("the registry's key {key} holds no server: {fault}");
                 }
-                self.update(REGISTRY, false, mapped.put, mapped.gone);
+                self.update(REGISTRY, false, mapped.updated, mapped.gone);
             }
-            News::View { from, to, cause } => {
+            RegistryEvent::FreshnessChanged { from, to, cause } => {
                 tracing::info!("the registry: {from} -> {to}, {cause}; {}", status(&shown));
-                self.tell(Event::View { source: REGISTRY, view: to });
+                self.tell(Event::Freshness { source: REGISTRY, freshness: to });
             }
-            News::Note(note) => tracing::warn!("the registry: {note}"),
+            RegistryEvent::Note(note) => tracing::warn!("the registry: {note}"),
         };
         registry.follow(news).await;
     }
@@ -106,7 +110,7 @@
     /// What operators are shown of it.
     pub fn status(&self) -> String {
         let reconciler = self.reconciler.borrow();
-        let (standing, kept) = reconciler.of_source(REGISTRY);
+        let (standing, kept) = reconciler.source_counts(REGISTRY);
         format!(
             "servers {}, of the registry {standing}, kept in doubt {kept}, held back {}",
             reconciler.list().count(),
@@ -116,7 +120,7 @@
 }
 
 /// The state of a registry's copy in one line, for operators.
-pub fn status<W: Wire>(registry: &Shell<W>) -> String {
+pub fn status<W: RegistryClient>(registry: &Shell<W>) -> String {
     let (view, age, revision, counts) = registry.status();
     let (age, revision) = list::shown(age, revision);
     format!("registry {view}, proved {age}, revision {revision}; {counts}")
