--- a/crates/spurdrum-admission/src/admission.rs
+++ b/crates/spurdrum-admission/src/admission.rs
@@ -1,4 +1,4 @@
-//! The decisions.
+//! The state machine that decides on client connections.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
@@ -6,24 +6,25 @@
 use crate::counts::{Counts, Reason};
 use crate::peers::{PeerKey, Peers};
 use crate::settings::{Settings, Shares, TransferTimeout};
-use crate::worth::{kind, Worth};
+use crate::worth::{cohort, ReuseEstimator};
 use crate::{Action, Candidate, ConnId, Event, Level, Limits, State, Verdict};
 
-/// Memory that a connection holds whatever it does: buffers, its task, its entries here. Measured by
-/// `benches/idle_connections.rs`.
-const BASE: u64 = 20 * 1024;
-/// Times are looked at this late, so that many connections share a tick.
-const GRAIN: Duration = Duration::from_millis(10);
-/// While it is not calm, the level is looked at this often.
-const LOOK: Duration = Duration::from_millis(250);
-/// So many are closed at once at most where the table is full.
-const RELIEF_MOST: usize = 64;
-/// Connections closed early are remembered in so many parts of the time that they would have stayed.
-const GHOST_SLOTS: usize = 16;
-/// Worth below which nothing is kept under the least pressure, and under the most.
-const THRESHOLD: (f64, f64) = (0.3, 0.9);
-
-/// Ranks of those that may be shed; lower goes first. Idle ones have a rank for each kind of worth.
+/// The memory that every connection uses: buffers, its task and its entries here. The program's
+/// `benches/idle_connections.rs` measures it.
+const BASE_MEMORY: u64 = 20 * 1024;
+/// Timers fire this much later than they are due, so that many connections share a tick.
+const TIMER_SLACK: Duration = Duration::from_millis(10);
+/// How often the level is checked while it is above [`Level::Calm`] or the descriptor budget is reduced.
+const LEVEL_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// How many connections are closed at once at most while the level is [`Level::Full`].
+const MAX_SHED_WHEN_FULL: usize = 64;
+/// The number of buckets into which the time that early-closed connections would have stayed is divided.
+const EARLY_CLOSE_BUCKETS: usize = 16;
+/// The probability of reuse below which a connection is not kept, at the lowest pressure and at the highest.
+const KEEP_THRESHOLD: (f64, f64) = (0.3, 0.9);
+
+/// Ranks of connections that may be shed; the lowest rank is shed first. Idle connections have one rank for
+/// each cohort.
 const RANK_SILENT: u8 = 0;
 const RANK_IDLE: u8 = 1;
 const RANK_NEW: u8 = 5;
@@ -33,176 +34,185 @@
 #[derive(Debug)]
 struct Conn {
     state: State,
-    since: Duration,
-    /// From when the time for a request counts: its connection's start for the first, else its first byte.
-    start: Duration,
+    state_since: Duration,
+    /// When the time limit of a request starts: for the first request when its connection was accepted, later
+    /// at its first byte.
+    request_start: Duration,
     peer: PeerKey,
-    asked: u32,
-    /// Bytes that have come, or gone out, in this state.
+    requests: u32,
+    /// Bytes received or sent in this state.
     bytes: u64,
     memory: u64,
     candidate: Option<Candidate>,
-    due: Option<Duration>,
-    queued: Option<Duration>,
-    /// It has a place only to be refused from.
-    lobby: bool,
-    /// What comes or goes in this state is longer than is held.
-    long: bool,
-    /// Time in this state that was not its client's, and since when it is not.
-    waited: Duration,
-    waits: Option<Duration>,
-    /// The next answer is its last.
-    last: bool,
-    /// Whether it comes back is known already.
-    observed: bool,
-    /// Whether that tells of all, and not of its peer alone.
-    pooled: bool,
+    /// When the time limit of this state ends.
+    timeout_at: Option<Duration>,
+    /// The time of the entry in `timers`, which may be earlier than `timeout_at`.
+    timer_at: Option<Duration>,
+    /// The connection was accepted only to be refused.
+    refuse_only: bool,
+    /// The transfer in this state is longer than the node buffers and is streamed.
+    streaming: bool,
+    /// The time in this state during which the streamed transfer was suspended, and since when it is
+    /// suspended now. This time does not count against the client.
+    suspended_total: Duration,
+    suspended_since: Option<Duration>,
+    /// The next response is the last on this connection.
+    close_after_response: bool,
+    /// Whether reuse, or the lack of it, has been recorded for this idle time.
+    reuse_recorded: bool,
+    /// Whether that record counts in the estimate over all peers and not only in its own peer's.
+    counts_globally: bool,
     half_closed: bool,
-    /// It has been told to close at once and is not counted any more.
-    gone: bool,
+    /// The front was told to close the connection immediately; it does not count any more.
+    aborted: bool,
 }
 
-/// Connections that were closed early and would still be open otherwise. Guards against a level that swings:
-/// what pressure has closed still counts as pressure until it would have ended by itself.
+/// Counts connections that were closed early and would otherwise still be open. Connections that pressure has
+/// closed count as pressure until they would have ended by themselves; without this the level would
+/// oscillate.
 #[derive(Debug, Default)]
-struct Ghosts {
-    slots: [usize; GHOST_SLOTS],
+struct EarlyCloses {
+    buckets: [usize; EARLY_CLOSE_BUCKETS],
     sum: usize,
-    turn: u64,
+    bucket_index: u64,
 }
 
-impl Ghosts {
-    fn turn_to(&mut self, now: Duration, stay: Duration) {
-        let turn = (now.div_duration_f64(stay) * GHOST_SLOTS as f64) as u64;
-        for passed in 0..(turn.saturating_sub(self.turn)).min(GHOST_SLOTS as u64) {
-            let slot = ((self.turn + 1 + passed) % GHOST_SLOTS as u64) as usize;
-            self.sum -= std::mem::take(&mut self.slots[slot]);
+impl EarlyCloses {
+    fn advance_to(&mut self, now: Duration, stay: Duration) {
+        let bucket_index = (now.div_duration_f64(stay) * EARLY_CLOSE_BUCKETS as f64) as u64;
+        for elapsed in 0..(bucket_index.saturating_sub(self.bucket_index)).min(EARLY_CLOSE_BUCKETS as u64) {
+            let bucket = ((self.bucket_index + 1 + elapsed) % EARLY_CLOSE_BUCKETS as u64) as usize;
+            self.sum -= std::mem::take(&mut self.buckets[bucket]);
         }
-        self.turn = self.turn.max(turn);
+        self.bucket_index = self.bucket_index.max(bucket_index);
     }
 
     fn add(&mut self) {
-        self.slots[(self.turn % GHOST_SLOTS as u64) as usize] += 1;
+        self.buckets[(self.bucket_index % EARLY_CLOSE_BUCKETS as u64) as usize] += 1;
         self.sum += 1;
     }
 }
 
-/// The one that has been longest in the lowest of these ranks.
-fn first_in(set: &BTreeSet<Candidate>, from: u8, to: u8) -> Option<(Duration, ConnId)> {
-    let start = |rank| (rank, Duration::ZERO, ConnId(0));
-    set.range(start(from)..start(to)).next().map(|(_, since, id)| (*since, *id))
+/// Returns the connection that has been longest in the lowest rank of the range that has any.
+fn first_in_ranks(set: &BTreeSet<Candidate>, from: u8, to: u8) -> Option<(Duration, ConnId)> {
+    let range_start = |rank| (rank, Duration::ZERO, ConnId(0));
+    set.range(range_start(from)..range_start(to)).next().map(|(_, since, id)| (*since, *id))
 }
 
-/// The decisions on one node's connections.
+/// Decides which client connections one node accepts, keeps and closes.
 #[derive(Debug)]
 pub struct Admission {
     settings: Settings,
     shares: Shares,
     sockets: usize,
-    /// All descriptors in use may be so many: less than `shares.total` while the system has no more.
-    total: usize,
-    regained: Duration,
+    /// How many descriptors may be in use: less than `shares.total` while the operating system has no more.
+    budget: usize,
+    budget_grown_at: Duration,
     conns: HashMap<ConnId, Conn>,
     candidates: BTreeSet<Candidate>,
-    /// Those that are half-closed already, by since when. One that is only chosen for closing may turn out to have
-    /// a request on it.
-    lingering: BTreeSet<(Duration, ConnId)>,
-    dues: BTreeSet<(Duration, ConnId)>,
+    /// Half-closed connections, by when they were half-closed. Connections that are only chosen for closing
+    /// are not among them: a request may turn out to have arrived on them.
+    half_closed_since: BTreeSet<(Duration, ConnId)>,
+    timers: BTreeSet<(Duration, ConnId)>,
     peers: Peers,
-    worth: Worth,
+    reuse: ReuseEstimator,
     counts: Counts,
-    lobby: usize,
+    refuse_only_count: usize,
     servers: usize,
     memory: u64,
-    ghosts: Ghosts,
+    early_closes: EarlyCloses,
     level: Level,
     level_since: Duration,
-    /// Until then somebody with less than a fair share wants a place.
-    wanted_until: Duration,
-    explored: u32,
-    ending: bool,
-    passing: bool,
-    /// What all descriptors in use may be where another process of this node has the rest.
-    part: usize,
+    /// Until this time a peer with less than its fair share wants a connection.
+    contended_until: Duration,
+    explore_counter: u32,
+    shutting_down: bool,
+    handing_over: bool,
+    /// The limit of descriptors in use while another process of this node holds the rest.
+    share_limit: usize,
     now: Duration,
 }
 
 impl Admission {
-    /// Budgets for these limits. The error names the setting at fault.
+    /// Creates the state machine with the budgets that follow from these limits. The error names the wrong
+    /// setting.
     pub fn new(settings: Settings, limits: Limits) -> Result<Self, (&'static str, String)> {
         settings.validate()?;
         let shares = Shares::new(&settings, &limits);
         Ok(Self {
-            total: shares.total,
-            regained: Duration::ZERO,
+            budget: shares.total,
+            budget_grown_at: Duration::ZERO,
             sockets: limits.sockets,
             shares,
             conns: HashMap::new(),
             candidates: BTreeSet::new(),
-            lingering: BTreeSet::new(),
-            dues: BTreeSet::new(),
+            half_closed_since: BTreeSet::new(),
+            timers: BTreeSet::new(),
             peers: Peers::new(settings.peers),
-            worth: Worth::default(),
+            reuse: ReuseEstimator::default(),
             counts: Counts::default(),
-            lobby: 0,
+            refuse_only_count: 0,
             servers: 0,
             memory: 0,
-            ghosts: Ghosts::default(),
+            early_closes: EarlyCloses::default(),
             level: Level::Calm,
             level_since: Duration::ZERO,
-            wanted_until: Duration::ZERO,
-            explored: 0,
-            ending: false,
-            passing: false,
-            part: usize::MAX,
+            contended_until: Duration::ZERO,
+            explore_counter: 0,
+            shutting_down: false,
+            handing_over: false,
+            share_limit: usize::MAX,
             now: Duration::ZERO,
             settings,
         })
     }
 
-    /// Handles an event. Times never run backwards.
+    /// Handles an event and pushes the actions that follow from it. `now` must never run backwards.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) -> Verdict {
         self.now = self.now.max(now);
-        self.ghosts.turn_to(self.now, self.settings.idle);
+        self.early_closes.advance_to(self.now, self.settings.idle);
         match event {
             Event::Accepted { id, peer } => {
                 let verdict = self.accepted(id, PeerKey::new(peer, self.settings.peer_prefix), actions);
-                self.look_at_level(actions);
+                self.update_level(actions);
                 return verdict;
             }
             Event::Received { id, bytes } => self.received(id, bytes),
-            Event::HeadComplete { id, body } => return self.head(id, body),
-            Event::Streaming { id } => self.long(id),
+            Event::HeadComplete { id, body } => return self.head_complete(id, body),
+            Event::Streaming { id } => self.start_streaming(id),
             Event::TransferSuspended { id, suspended } => self.transfer_suspended(id, suspended),
-            Event::RequestComplete { id } => self.taken(id),
-            Event::ResponseReady { id, bytes, pipelined } => return self.answer(id, bytes, pipelined),
+            Event::RequestComplete { id } => self.request_complete(id),
+            Event::ResponseReady { id, bytes, pipelined } => {
+                return self.response_ready(id, bytes, pipelined)
+            }
             Event::ResponseProgress { id, bytes } => self.progress(id, State::Writing, bytes),
-            Event::ResponseWritten { id } => self.written(id, actions),
+            Event::ResponseWritten { id } => self.response_written(id, actions),
             Event::HalfClosed { id } => self.half_closed(id, actions),
             Event::Closed { id } => {
                 self.closed(id);
-                self.look_at_level(actions);
+                self.update_level(actions);
             }
-            Event::ServerConnectionRequested => return self.server_wanted(actions),
+            Event::ServerConnectionRequested => return self.server_connection_requested(actions),
             Event::ServerConnectionClosed => self.servers = self.servers.saturating_sub(1),
-            Event::ResourcesExhausted => self.starved(actions),
-            Event::ShutdownStarted => self.ending = true,
+            Event::ResourcesExhausted => self.resources_exhausted(actions),
+            Event::ShutdownStarted => self.shutting_down = true,
             Event::HandoverStarted => {
-                self.passing = true;
-                // Its connections go on at the other process, also where that is known only by now.
-                self.ending = false;
-                actions.extend(self.resting().into_iter().map(Action::HandOver));
+                self.handing_over = true;
+                // Connections continue in the incoming process, even if this becomes known only after the
+                // shutdown has started.
+                self.shutting_down = false;
+                actions.extend(self.without_request().into_iter().map(Action::HandOver));
             }
-            Event::HandoverEnded => self.passing = false,
+            Event::HandoverEnded => self.handing_over = false,
             Event::DescriptorShare { max } => {
-                self.part = max.max(6);
-                self.total = self.whole();
+                self.share_limit = max.max(6);
+                self.budget = self.full_budget();
             }
-            Event::AcceptingStopped => self.none_comes(actions),
+            Event::AcceptingStopped => self.accepting_stopped(actions),
             Event::ShutdownImminent => {
-                // What rests is on its way to the other process, where there is one.
-                if !self.passing {
-                    self.none_comes(actions);
+                // With a handover, connections between two requests are on their way to the incoming process.
+                if !self.handing_over {
+                    self.accepting_stopped(actions);
                 }
                 for id in self.in_state(|state| matches!(state, State::Head | State::Body)) {
                     self.expire(id, Reason::Ending, actions);
@@ -210,259 +220,276 @@
             }
             Event::Tick => {
                 self.tick(actions);
-                self.keep_shares(actions);
-                self.look_at_level(actions);
-                self.relieve(actions);
+                self.enforce_shares(actions);
+                self.update_level(actions);
+                self.relieve_pressure(actions);
             }
         }
         Verdict::Nothing
     }
 
-    /// When it wants the next tick.
+    /// Returns when the next [`Event::Tick`] is needed.
     pub fn next_wake(&self) -> Option<Duration> {
-        let due = self.dues.first().map(|(due, _)| *due + GRAIN);
-        let look = (self.level > Level::Calm || self.total < self.whole()).then(|| self.now + LOOK);
-        due.into_iter().chain(look).min()
+        let timeout_at = self.timers.first().map(|(timeout_at, _)| *timeout_at + TIMER_SLACK);
+        let look = (self.level > Level::Calm || self.budget < self.full_budget())
+            .then(|| self.now + LEVEL_CHECK_INTERVAL);
+        timeout_at.into_iter().chain(look).min()
     }
 
-    /// What operators see.
+    /// Returns the counters for operators.
     pub fn counts(&self) -> &Counts {
         &self.counts
     }
 
-    /// The present level.
+    /// Returns the current level.
     pub fn level(&self) -> Level {
         self.level
     }
 
-    /// Where a connection stands.
+    /// Returns the state of a connection that is not closed.
     pub fn state(&self, id: ConnId) -> Option<State> {
-        self.conns.get(&id).filter(|conn| !conn.gone).map(|conn| conn.state)
+        self.conns.get(&id).filter(|conn| !conn.aborted).map(|conn| conn.state)
     }
 
-    /// Descriptors that clients and servers use together, and the most they may.
+    /// Returns how many descriptors clients and servers use together, and how many they may use.
     pub fn descriptor_usage(&self) -> (usize, usize) {
         (self.counts.open() + self.servers, self.shares.total)
     }
 
-    /// Bytes that connections are counted with, and the most that may be promised.
+    /// Returns the memory charged to connections in bytes, and the most that may be charged.
     pub fn memory_usage(&self) -> (u64, u64) {
         (self.memory, self.shares.memory)
     }
 
-    /// Entries in the table of peers.
+    /// Returns the number of entries in the table of peers.
     pub fn peer_count(&self) -> usize {
         self.peers.len()
     }
 
-    /// Descriptors that clients may hold now, with what the servers don't use.
+    /// Returns how many descriptors clients may hold now, including those that connections to servers don't
+    /// use.
     pub fn client_limit(&self) -> usize {
-        let own = self.shares.clients.min(self.total);
-        let lent = self.total.saturating_sub((self.servers + self.headroom()).max(self.shares.server_floor));
-        own.max(lent).min(self.total.saturating_sub(self.servers))
+        let own = self.shares.clients.min(self.budget);
+        let borrowable =
+            self.budget.saturating_sub((self.servers + self.headroom()).max(self.shares.server_floor));
+        own.max(borrowable).min(self.budget.saturating_sub(self.servers))
     }
 
-    /// Descriptors that connections to servers may hold now, with what clients don't use.
+    /// Returns how many descriptors connections to servers may hold now, including those that clients don't
+    /// use.
     pub fn server_limit(&self) -> usize {
-        let lent =
-            self.total.saturating_sub((self.counts.open() + self.headroom()).max(self.shares.client_floor));
-        self.shares.servers.min(self.total).max(lent).min(self.total.saturating_sub(self.counts.open()))
+        let borrowable =
+            self.budget.saturating_sub((self.counts.open() + self.headroom()).max(self.shares.client_floor));
+        self.shares
+            .servers
+            .min(self.budget)
+            .max(borrowable)
+            .min(self.budget.saturating_sub(self.counts.open()))
     }
 
-    /// What is lent is called back while so many are still free.
+    /// Returns the number of free descriptors at or below which borrowed ones are reclaimed.
     fn headroom(&self) -> usize {
-        (self.total / 32).max(2)
+        (self.budget / 32).max(2)
     }
 
-    /// Connections that may be served at once.
-    fn most(&self) -> usize {
-        self.client_limit().saturating_sub(2 * self.shares.lobby).max(1)
+    /// Returns how many connections may be served at once.
+    fn max_served(&self) -> usize {
+        self.client_limit().saturating_sub(2 * self.shares.side_pool).max(1)
     }
 
-    fn serving(&self) -> usize {
-        self.counts.open() - self.counts.in_state(State::Closing) - self.lobby
+    fn served_count(&self) -> usize {
+        self.counts.open() - self.counts.in_state(State::Closing) - self.refuse_only_count
     }
 
-    /// Connections that clients can be expected to hold open here.
-    fn expected(&self) -> usize {
-        ((self.sockets as f64 * self.settings.clients_hold) as usize).clamp(1, self.most())
+    /// Returns how many connections clients can be expected to hold open at this node.
+    fn expected_connections(&self) -> usize {
+        ((self.sockets as f64 * self.settings.clients_hold) as usize).clamp(1, self.max_served())
     }
 
-    fn fill(&self) -> f64 {
-        self.serving() as f64 / self.expected() as f64
+    fn occupancy(&self) -> f64 {
+        self.served_count() as f64 / self.expected_connections() as f64
     }
 
-    // ---- A connection's way
+    // ---- The life of a connection
 
     fn accepted(&mut self, id: ConnId, peer: PeerKey, actions: &mut Vec<Action>) -> Verdict {
-        let mut room = self.has_place();
-        if room && self.over_fair_share(peer) {
-            // Kept for who has less.
-            room = false;
-        } else if !room {
+        let mut has_room = self.has_capacity();
+        if has_room && self.over_fair_share(peer) {
+            // The capacity is reserved for peers that have less.
+            has_room = false;
+        } else if !has_room {
             if self.servers > self.shares.servers && self.settings.adaptive {
                 actions.push(Action::CloseServerConnection);
             }
             if let Some(victim) = self.victim(Some(peer), RANK_BODY) {
                 self.shed(victim, Reason::Shed, actions);
-                room = self.has_place();
+                has_room = self.has_capacity();
             } else if self.settings.adaptive && self.peers.open(peer) < self.fair_share() {
-                self.wanted_until = self.now + self.settings.coming;
+                self.contended_until = self.now + self.settings.coming;
             }
         }
-        // Descriptors of closing connections are the first to be taken back.
+        // The descriptors of half-closed connections are reclaimed first.
         if self.counts.open() >= self.client_limit() {
-            if let Some((_, oldest)) = self.lingering.first().copied() {
+            if let Some((_, oldest)) = self.half_closed_since.first().copied() {
                 self.abort(oldest, Reason::Lingered, actions);
             }
         }
-        if self.counts.open() >= self.client_limit() || !room && self.lobby >= self.shares.lobby {
+        if self.counts.open() >= self.client_limit()
+            || !has_room && self.refuse_only_count >= self.shares.side_pool
+        {
             self.count(Reason::Dropped);
             return Verdict::Drop;
         }
-        self.memory += BASE;
+        self.memory += BASE_MEMORY;
         self.peers.opened(self.now, peer);
         let conn = Conn {
             state: State::New,
-            since: self.now,
-            start: self.now,
+            state_since: self.now,
+            request_start: self.now,
             peer,
-            asked: 0,
+            requests: 0,
             bytes: 0,
-            memory: BASE,
+            memory: BASE_MEMORY,
             candidate: None,
-            due: None,
-            queued: None,
-            lobby: !room,
-            long: false,
-            waited: Duration::ZERO,
-            waits: None,
-            last: false,
-            observed: true,
-            pooled: false,
+            timeout_at: None,
+            timer_at: None,
+            refuse_only: !has_room,
+            streaming: false,
+            suspended_total: Duration::ZERO,
+            suspended_since: None,
+            close_after_response: false,
+            reuse_recorded: true,
+            counts_globally: false,
             half_closed: false,
-            gone: false,
+            aborted: false,
         };
         self.conns.insert(id, conn);
         self.counts.states[State::New as usize] += 1;
-        self.lobby += usize::from(!room);
+        self.refuse_only_count += usize::from(!has_room);
         self.enter(id, State::New);
-        if !room {
+        if !has_room {
             return Verdict::Refuse;
         }
-        self.keep_shares(actions);
-        self.relieve(actions);
+        self.enforce_shares(actions);
+        self.relieve_pressure(actions);
         Verdict::Serve
     }
 
-    /// Keeps those that say nothing, and those whose requests are half sent, within their parts of the places: the
-    /// oldest go first, and no half-sent one that has just begun.
-    fn keep_shares(&mut self, actions: &mut Vec<Action>) {
+    /// Keeps silent connections and half-sent requests within their shares of the capacity: the oldest are
+    /// shed first, but no half-sent request that has only just begun.
+    fn enforce_shares(&mut self, actions: &mut Vec<Action>) {
         if !self.settings.adaptive {
             return;
         }
-        let part = |part: f64| ((self.most() as f64 * part) as usize).max(1);
-        let (silent, sending) = (part(self.settings.silent_share), part(self.settings.sending_share));
+        let limit = |share: f64| ((self.max_served() as f64 * share) as usize).max(1);
+        let (silent, sending) = (limit(self.settings.silent_share), limit(self.settings.sending_share));
         loop {
-            let over = match () {
+            let excess = match () {
                 () if self.counts.in_state(State::Silent) > silent => {
-                    first_in(&self.candidates, RANK_SILENT, RANK_IDLE)
+                    first_in_ranks(&self.candidates, RANK_SILENT, RANK_IDLE)
                 }
                 () if self.counts.in_state(State::Head) + self.counts.in_state(State::Body) > sending => {
                     self.half_sent(&self.candidates, RANK_BODY)
                 }
                 () => None,
             };
-            let Some((_, over)) = over else { return };
-            self.shed(over, Reason::Shed, actions);
+            let Some((_, excess)) = excess else { return };
+            self.shed(excess, Reason::Shed, actions);
         }
     }
 
-    /// Whether one more can be served, without anybody's leaving.
-    fn has_place(&self) -> bool {
-        self.serving() < self.most()
+    /// Returns whether another connection can be served without closing one.
+    fn has_capacity(&self) -> bool {
+        self.served_count() < self.max_served()
             && self.counts.open() < self.client_limit()
-            && self.memory + BASE <= self.memory_most()
+            && self.memory + BASE_MEMORY <= self.max_memory()
     }
 
     fn fair_share(&self) -> usize {
-        // There are two at least where there is anything to share.
-        (self.most() / self.peers.active().max(2)).max(1)
+        // Where there is anything to share there are at least two peers.
+        (self.max_served() / self.peers.active().max(2)).max(1)
     }
 
-    /// The peer that crowds out others, if one does: it has a quarter of all places, and more than a fair share.
-    fn crowding(&self) -> Option<PeerKey> {
+    /// Returns the peer that crowds out others, if there is one: it holds a quarter of the capacity or more,
+    /// and more than a fair share.
+    fn dominant_peer(&self) -> Option<PeerKey> {
         let (open, key) =
             self.peers.heaviest().filter(|_| self.settings.adaptive && self.peers.active() > 1)?;
-        (open * 4 >= self.most() && open * 4 > self.fair_share() * 5).then_some(key)
+        (open * 4 >= self.max_served() && open * 4 > self.fair_share() * 5).then_some(key)
     }
 
     fn over_fair_share(&self, peer: PeerKey) -> bool {
-        self.settings.adaptive && self.now < self.wanted_until && self.peers.open(peer) >= self.fair_share()
+        self.settings.adaptive
+            && self.now < self.contended_until
+            && self.peers.open(peer) >= self.fair_share()
     }
 
-    /// Under pressure, closes the first of those that are worth too little: one for each that comes, and where
-    /// the table is full as many as it takes.
-    /// Guards against waiting for clients to come: where they hold all that they can, none comes any more.
-    fn relieve(&mut self, actions: &mut Vec<Action>) {
-        let most = match self.level {
+    /// Sheds connections that are not worth keeping while the node is under pressure: one for each accepted
+    /// connection at [`Level::Pressed`], as many as it takes at [`Level::Full`]. This must not wait for
+    /// clients to connect: when they already hold all the connections they can, no new ones arrive.
+    fn relieve_pressure(&mut self, actions: &mut Vec<Action>) {
+        let max_shed = match self.level {
             Level::Calm => return,
             Level::Pressed => 1,
-            Level::Full => RELIEF_MOST,
+            Level::Full => MAX_SHED_WHEN_FULL,
         };
-        for _ in 0..most {
-            if self.fill() < self.settings.pressed_at {
+        for _ in 0..max_shed {
+            if self.occupancy() < self.settings.pressed_at {
                 return;
             }
             let Some(victim) = self.victim(None, RANK_NEW - 1) else { return };
             let conn = &self.conns[&victim];
-            if conn.state == State::Idle && self.worth(conn) >= self.threshold() {
+            if conn.state == State::Idle && self.reuse_probability(conn) >= self.keep_threshold() {
                 return;
             }
             self.shed(victim, Reason::Shed, actions);
         }
     }
 
-    /// The first to be shed, up to a rank. Where one peer holds more than the one who wants a place, it is one
-    /// of that peer's, and none where that has none.
-    fn victim(&self, wants: Option<PeerKey>, up_to: u8) -> Option<ConnId> {
-        // Who wants a place may have none yet.
-        let others = |key| self.peers.active() > 1 || wants.is_some_and(|wants| wants != key);
-        let heaviest = self.peers.heaviest().filter(|(_, key)| self.settings.adaptive && others(*key));
-        let heavy = heaviest.filter(|(open, key)| match wants {
-            Some(wants) => *key == wants || *open > self.peers.open(wants) + 1,
-            None => self.crowding() == Some(*key),
+    /// Returns the connection to be shed first, up to a rank. If one peer holds more connections than the
+    /// peer that wants one, the victim is one of its connections, and there is no victim if it has none to
+    /// shed.
+    fn victim(&self, requester: Option<PeerKey>, up_to: u8) -> Option<ConnId> {
+        // The peer that wants a connection may have none yet and thus not count as active.
+        let has_others = |key| self.peers.active() > 1 || requester.is_some_and(|requester| requester != key);
+        let heaviest = self.peers.heaviest().filter(|(_, key)| self.settings.adaptive && has_others(*key));
+        let heavy = heaviest.filter(|(open, key)| match requester {
+            Some(requester) => *key == requester || *open > self.peers.open(requester) + 1,
+            None => self.dominant_peer() == Some(*key),
         });
-        let own = heavy.and_then(|(_, key)| self.peers.get(key));
-        // Who holds the most gives, and gets nobody else's.
-        let from = own.map_or(&self.candidates, |peer| &peer.candidates);
-        // One that has just come is closed only for somebody who has less.
-        let lighter = matches!((heavy, wants), (Some((_, key)), Some(wants)) if key != wants);
-        // Whoever they are from, those that say nothing go first.
-        first_in(&self.candidates, RANK_SILENT, RANK_IDLE)
-            .or_else(|| first_in(from, RANK_IDLE, RANK_NEW))
-            .or_else(|| first_in(from, RANK_NEW, RANK_HEAD).filter(|_| lighter && up_to >= RANK_NEW))
+        let heavy_peer = heavy.and_then(|(_, key)| self.peers.get(key));
+        // The heaviest peer gives up its own connection, and never takes another peer's.
+        let from = heavy_peer.map_or(&self.candidates, |peer| &peer.candidates);
+        // A new connection is shed only for a peer that has fewer.
+        let for_lighter_peer =
+            matches!((heavy, requester), (Some((_, key)), Some(requester)) if key != requester);
+        // Silent connections are shed first, whichever peer they belong to.
+        first_in_ranks(&self.candidates, RANK_SILENT, RANK_IDLE)
+            .or_else(|| first_in_ranks(from, RANK_IDLE, RANK_NEW))
+            .or_else(|| {
+                first_in_ranks(from, RANK_NEW, RANK_HEAD).filter(|_| for_lighter_peer && up_to >= RANK_NEW)
+            })
             .or_else(|| self.half_sent(from, up_to))
             .map(|(_, id)| id)
     }
 
-    /// The first whose request has been half sent for a while.
+    /// Returns the first connection whose request has been half-sent for at least [`Settings::coming`].
     fn half_sent(&self, from: &BTreeSet<Candidate>, up_to: u8) -> Option<(Duration, ConnId)> {
-        let old = |(since, _): &(Duration, ConnId)| *since + self.settings.coming <= self.now;
+        let is_old_enough = |(since, _): &(Duration, ConnId)| *since + self.settings.coming <= self.now;
         let ranks = [RANK_HEAD, RANK_BODY].into_iter().filter(|rank| *rank <= up_to);
-        ranks.filter_map(|rank| first_in(from, rank, rank + 1)).find(old)
+        ranks.filter_map(|rank| first_in_ranks(from, rank, rank + 1)).find(is_old_enough)
     }
 
-    /// Closes one that owes nothing, or answers one whose request is half sent.
+    /// Closes a connection without a request, or answers one whose request is half-sent.
     fn shed(&mut self, id: ConnId, reason: Reason, actions: &mut Vec<Action>) {
         let Some(conn) = self.conns.get(&id) else { return };
         match conn.state {
             State::Head | State::Body => self.expire(id, reason, actions),
             State::New | State::Silent | State::Idle => {
                 if conn.state == State::Idle {
-                    self.observe(id, false);
+                    self.record_reuse(id, false);
                 }
-                self.ghosts.add();
+                self.early_closes.add();
                 self.close(id, reason, actions);
             }
             State::Waiting | State::Writing | State::Closing => {}
@@ -478,15 +505,15 @@
 
     fn expire(&mut self, id: ConnId, reason: Reason, actions: &mut Vec<Action>) {
         self.count(reason);
-        let due = self.now + self.settings.linger;
+        let timeout_at = self.now + self.settings.linger;
         let conn = self.conns.get_mut(&id).expect("known");
-        conn.last = true;
+        conn.close_after_response = true;
         let body = conn.state == State::Body;
         match body {
-            // The answer comes from whoever reads the body; until then it keeps its place.
+            // The reader of the body sends the response; until then the connection keeps its capacity.
             true => {
                 self.enter(id, State::Waiting);
-                self.set_due(id, Some(due));
+                self.set_timeout(id, Some(timeout_at));
             }
             false => self.enter(id, State::Closing),
         }
@@ -497,58 +524,59 @@
     fn abort(&mut self, id: ConnId, reason: Reason, actions: &mut Vec<Action>) {
         self.count(reason);
         self.release(id);
-        self.conns.get_mut(&id).expect("known").gone = true;
+        self.conns.get_mut(&id).expect("known").aborted = true;
         actions.push(Action::Abort(id, reason));
     }
 
-    /// Keeps those that are closing within their share.
+    /// Keeps the closing connections within their pool.
     fn trim_closing(&mut self, actions: &mut Vec<Action>) {
-        while self.counts.in_state(State::Closing) > self.shares.lobby {
-            let Some((_, oldest)) = self.lingering.first().copied() else { return };
+        while self.counts.in_state(State::Closing) > self.shares.side_pool {
+            let Some((_, oldest)) = self.half_closed_since.first().copied() else { return };
             self.abort(oldest, Reason::Lingered, actions);
         }
     }
 
     fn received(&mut self, id: ConnId, bytes: u64) {
-        let Some(conn) = self.conns.get_mut(&id).filter(|conn| !conn.gone && !conn.half_closed) else {
+        let Some(conn) = self.conns.get_mut(&id).filter(|conn| !conn.aborted && !conn.half_closed) else {
             return;
         };
         match conn.state {
             State::New | State::Silent | State::Idle | State::Closing => {
                 if conn.state == State::Idle {
-                    self.observe(id, true);
+                    self.record_reuse(id, true);
                 }
                 let conn = self.conns.get_mut(&id).expect("known");
-                // Chosen for closing, but it asks again: that is answered, and is the last.
-                conn.last |= conn.state == State::Closing;
-                conn.start = if conn.asked == 0 { conn.start } else { self.now };
+                // The connection was chosen for closing but sent another request: this is answered, and is
+                // the last.
+                conn.close_after_response |= conn.state == State::Closing;
+                conn.request_start = if conn.requests == 0 { conn.request_start } else { self.now };
                 self.enter(id, State::Head);
                 self.progress(id, State::Head, bytes);
             }
             state @ (State::Head | State::Body) => self.progress(id, state, bytes),
-            // What a client sends ahead of its answer is looked at after that.
+            // Bytes that a client sends ahead of its response are processed after the response.
             State::Waiting | State::Writing => {}
         }
     }
 
-    fn head(&mut self, id: ConnId, body: u64) -> Verdict {
-        // A head that hyper had already: no byte has come since the last answer.
+    fn head_complete(&mut self, id: ConnId, body: u64) -> Verdict {
+        // hyper may have had the head already: then no byte has been received since the last response.
         self.received(id, 0);
         let Some(conn) = self.conns.get_mut(&id).filter(|conn| conn.state == State::Head) else {
             return Verdict::Refuse;
         };
-        conn.asked = conn.asked.saturating_add(1);
-        let place = self.serving() < self.most();
+        conn.requests = conn.requests.saturating_add(1);
+        let capacity_free = self.served_count() < self.max_served();
         let conn = self.conns.get_mut(&id).expect("known");
-        // Its place may have come free meanwhile.
-        if conn.lobby && place {
-            conn.lobby = false;
-            self.lobby -= 1;
+        // Capacity may have become free since the connection was accepted.
+        if conn.refuse_only && capacity_free {
+            conn.refuse_only = false;
+            self.refuse_only_count -= 1;
         }
-        let fits = self.memory + body <= self.memory_most();
+        let fits = self.memory + body <= self.max_memory();
         let conn = self.conns.get_mut(&id).expect("known");
-        if conn.lobby || !fits {
-            conn.last = true;
+        if conn.refuse_only || !fits {
+            conn.close_after_response = true;
             self.count(Reason::Refused);
             self.enter(id, State::Waiting);
             return Verdict::Refuse;
@@ -558,29 +586,29 @@
         Verdict::Serve
     }
 
-    fn taken(&mut self, id: ConnId) {
-        // It may have come whole just when its time was over: that counts.
+    fn request_complete(&mut self, id: ConnId) {
+        // The body may have completed just as its time expired: that counts as complete.
         if matches!(self.state(id), Some(State::Body | State::Waiting)) {
             self.enter(id, State::Waiting);
         }
     }
 
-    fn answer(&mut self, id: ConnId, bytes: u64, more: bool) -> Verdict {
-        let Some(conn) = self.conns.get(&id).filter(|conn| !conn.gone) else {
+    fn response_ready(&mut self, id: ConnId, bytes: u64, pipelined: bool) -> Verdict {
+        let Some(conn) = self.conns.get(&id).filter(|conn| !conn.aborted) else {
             return Verdict::CloseAfterResponse;
         };
-        let crowds = self.over_fair_share(conn.peer);
-        let ends = conn.last || self.ending || crowds;
-        let worthless = !ends && !more && self.is_worthless(id);
-        let keep = more || !(ends || worthless);
-        if worthless || crowds && !more {
-            self.count(if worthless { Reason::Early } else { Reason::Shed });
-            self.ghosts.add();
+        let over_share = self.over_fair_share(conn.peer);
+        let is_last = conn.close_after_response || self.shutting_down || over_share;
+        let closes_early = !is_last && !pipelined && self.should_close_early(id);
+        let keep = pipelined || !(is_last || closes_early);
+        if closes_early || over_share && !pipelined {
+            self.count(if closes_early { Reason::Early } else { Reason::Shed });
+            self.early_closes.add();
         }
         self.charge(id, bytes);
         self.enter(id, State::Writing);
         let conn = self.conns.get_mut(&id).expect("known");
-        conn.last = !keep;
+        conn.close_after_response = !keep;
         if keep {
             Verdict::KeepAlive
         } else {
@@ -588,107 +616,110 @@
         }
     }
 
-    /// Whether a connection is not worth its place after this answer.
-    fn is_worthless(&mut self, id: ConnId) -> bool {
+    /// Returns whether a connection should be closed after this response because it is unlikely to be reused.
+    fn should_close_early(&mut self, id: ConnId) -> bool {
         let conn = &self.conns[&id];
-        // Others don't pay for the pressure that one peer makes.
-        let spared = self.crowding().is_some_and(|crowd| crowd != conn.peer);
-        if self.level == Level::Calm || spared || self.worth(conn) >= self.threshold() {
+        // Other peers do not pay for the pressure that one peer causes.
+        let spared = self.dominant_peer().is_some_and(|dominant| dominant != conn.peer);
+        if self.level == Level::Calm || spared || self.reuse_probability(conn) >= self.keep_threshold() {
             return false;
         }
-        self.explored = (self.explored + 1) % self.settings.explore;
-        self.explored != 0 || self.settings.explore == 1
+        self.explore_counter = (self.explore_counter + 1) % self.settings.explore;
+        self.explore_counter != 0 || self.settings.explore == 1
     }
 
-    fn worth(&self, conn: &Conn) -> f64 {
-        let (half_life, kind) = (self.settings.half_life, kind(conn.asked));
-        let own = self.peers.get(conn.peer).map(|peer| &peer.worth);
-        let known = own.filter(|worth| worth.tells(self.now, half_life, kind)).unwrap_or(&self.worth);
-        known.of(self.now, half_life, kind, self.settings.return_within)
+    fn reuse_probability(&self, conn: &Conn) -> f64 {
+        let (half_life, cohort) = (self.settings.half_life, cohort(conn.requests));
+        let own = self.peers.get(conn.peer).map(|peer| &peer.reuse);
+        let estimator =
+            own.filter(|reuse| reuse.has_enough_samples(self.now, half_life, cohort)).unwrap_or(&self.reuse);
+        estimator.probability(self.now, half_life, cohort, self.settings.return_within)
     }
 
-    /// What a connection must be worth to keep its place.
-    fn threshold(&self) -> f64 {
+    /// Returns the probability of reuse that a connection needs to be kept.
+    fn keep_threshold(&self) -> f64 {
         if self.level == Level::Calm {
             return 0.0;
         }
-        let over = (self.fill() - self.settings.pressed_at) / (1.0 - self.settings.pressed_at).max(0.01);
-        THRESHOLD.0 + (THRESHOLD.1 - THRESHOLD.0) * over.clamp(0.0, 1.0)
-    }
-
-    /// Notes whether one that stood idle came back.
-    fn observe(&mut self, id: ConnId, returned: bool) {
-        let Some(conn) = self.conns.get_mut(&id).filter(|conn| !conn.observed) else { return };
-        conn.observed = true;
-        let (peer, kind, since) = (conn.peer, kind(conn.asked), conn.since);
-        let pooled = conn.pooled;
-        self.rise(peer, kind, since, pooled);
-        let stood = (self.now - since).div_duration_f64(self.settings.return_within).min(1.0);
+        let excess =
+            (self.occupancy() - self.settings.pressed_at) / (1.0 - self.settings.pressed_at).max(0.01);
+        KEEP_THRESHOLD.0 + (KEEP_THRESHOLD.1 - KEEP_THRESHOLD.0) * excess.clamp(0.0, 1.0)
+    }
+
+    /// Records whether an idle connection was reused.
+    fn record_reuse(&mut self, id: ConnId, returned: bool) {
+        let Some(conn) = self.conns.get_mut(&id).filter(|conn| !conn.reuse_recorded) else { return };
+        conn.reuse_recorded = true;
+        let (peer, cohort, since) = (conn.peer, cohort(conn.requests), conn.state_since);
+        let counts_globally = conn.counts_globally;
+        self.end_idle(peer, cohort, since, counts_globally);
+        let idle_time = (self.now - since).div_duration_f64(self.settings.return_within).min(1.0);
         let (now, half_life) = (self.now, self.settings.half_life);
-        if pooled {
-            self.worth.note(now, half_life, kind, returned, stood);
+        if counts_globally {
+            self.reuse.record(now, half_life, cohort, returned, idle_time);
         }
-        self.peers.get_mut(peer).worth.note(now, half_life, kind, returned, stood);
+        self.peers.get_mut(peer).reuse.record(now, half_life, cohort, returned, idle_time);
     }
 
-    fn rise(&mut self, peer: PeerKey, kind: usize, since: Duration, pooled: bool) {
-        self.peers.get_mut(peer).worth.rise(since, kind);
-        if pooled {
-            self.worth.rise(since, kind);
+    fn end_idle(&mut self, peer: PeerKey, cohort: usize, since: Duration, counts_globally: bool) {
+        self.peers.get_mut(peer).reuse.end_idle(since, cohort);
+        if counts_globally {
+            self.reuse.end_idle(since, cohort);
         }
     }
 
-    fn written(&mut self, id: ConnId, actions: &mut Vec<Action>) {
-        let Some(conn) = self.conns.get(&id).filter(|conn| conn.state == State::Writing && !conn.gone) else {
+    fn response_written(&mut self, id: ConnId, actions: &mut Vec<Action>) {
+        let Some(conn) = self.conns.get(&id).filter(|conn| conn.state == State::Writing && !conn.aborted)
+        else {
             return;
         };
-        let next = if conn.last { State::Closing } else { State::Idle };
+        let next = if conn.close_after_response { State::Closing } else { State::Idle };
         self.enter(id, next);
         self.charge(id, 0);
-        if self.passing && next == State::Idle {
+        if self.handing_over && next == State::Idle {
             actions.push(Action::HandOver(id));
         }
     }
 
     fn half_closed(&mut self, id: ConnId, actions: &mut Vec<Action>) {
-        if self.conns.get(&id).is_none_or(|conn| conn.gone) {
+        if self.conns.get(&id).is_none_or(|conn| conn.aborted) {
             return;
         }
         self.enter(id, State::Closing);
         self.charge(id, 0);
         self.conns.get_mut(&id).expect("known").half_closed = true;
-        self.lingering.insert((self.now, id));
+        self.half_closed_since.insert((self.now, id));
         self.trim_closing(actions);
     }
 
     fn closed(&mut self, id: ConnId) {
         let Some(conn) = self.conns.get(&id) else { return };
-        if !conn.gone {
+        if !conn.aborted {
             if conn.state == State::Idle {
-                self.observe(id, false);
+                self.record_reuse(id, false);
             }
             self.release(id);
         }
         self.conns.remove(&id);
     }
 
-    /// Takes a connection out of every count.
+    /// Removes a connection from all counts.
     fn release(&mut self, id: ConnId) {
         self.set_candidate(id, None);
         let conn = self.conns.get_mut(&id).expect("known");
-        conn.due = None;
-        if let Some(queued) = conn.queued.take() {
-            self.dues.remove(&(queued, id));
+        conn.timeout_at = None;
+        if let Some(timer_at) = conn.timer_at.take() {
+            self.timers.remove(&(timer_at, id));
         }
         let conn = &self.conns[&id];
-        let (peer, lobby, memory) = (conn.peer, conn.lobby, conn.memory);
+        let (peer, refuse_only, memory) = (conn.peer, conn.refuse_only, conn.memory);
         self.counts.states[conn.state as usize] -= 1;
-        self.lingering.remove(&(conn.since, id));
-        self.lobby -= usize::from(lobby);
+        self.half_closed_since.remove(&(conn.state_since, id));
+        self.refuse_only_count -= usize::from(refuse_only);
         self.memory -= memory;
         self.peers.closed(self.now, peer);
         let conn = self.conns.get_mut(&id).expect("known");
-        (conn.lobby, conn.memory) = (false, 0);
+        (conn.refuse_only, conn.memory) = (false, 0);
     }
 
     // ---- Bookkeeping
@@ -697,99 +728,108 @@
         self.counts.reasons[reason as usize] += 1;
     }
 
-    /// Counts a connection with so many bytes more than every connection has.
+    /// Charges a connection these bytes on top of what every connection uses.
     fn charge(&mut self, id: ConnId, bytes: u64) {
-        let Some(conn) = self.conns.get_mut(&id).filter(|conn| !conn.gone) else { return };
-        self.memory = self.memory - conn.memory + BASE + bytes;
-        conn.memory = BASE + bytes;
+        let Some(conn) = self.conns.get_mut(&id).filter(|conn| !conn.aborted) else { return };
+        self.memory = self.memory - conn.memory + BASE_MEMORY + bytes;
+        conn.memory = BASE_MEMORY + bytes;
     }
 
     fn enter(&mut self, id: ConnId, state: State) {
         let now = self.now;
-        let Some(conn) = self.conns.get_mut(&id).filter(|conn| !conn.gone) else { return };
-        let (was, since, peer) = (conn.state, conn.since, conn.peer);
-        let kind_of_worth = kind(conn.asked);
-        if was == State::Idle && !conn.observed {
-            let pooled = conn.pooled;
-            self.rise(peer, kind_of_worth, since, pooled);
+        let Some(conn) = self.conns.get_mut(&id).filter(|conn| !conn.aborted) else { return };
+        let (was, since, peer) = (conn.state, conn.state_since, conn.peer);
+        let reuse_cohort = cohort(conn.requests);
+        if was == State::Idle && !conn.reuse_recorded {
+            let counts_globally = conn.counts_globally;
+            self.end_idle(peer, reuse_cohort, since, counts_globally);
         }
         let conn = self.conns.get_mut(&id).expect("known");
         self.counts.states[was as usize] -= 1;
         self.counts.states[state as usize] += 1;
-        (conn.state, conn.since, conn.bytes) = (state, now, 0);
-        (conn.long, conn.waited, conn.waits) = (false, Duration::ZERO, None);
-        conn.observed = state != State::Idle;
+        (conn.state, conn.state_since, conn.bytes) = (state, now, 0);
+        (conn.streaming, conn.suspended_total, conn.suspended_since) = (false, Duration::ZERO, None);
+        conn.reuse_recorded = state != State::Idle;
         if state == State::Idle {
-            let worth = &mut self.peers.get_mut(peer).worth;
-            worth.stand(now, kind_of_worth);
-            // Guards against one peer that decides for all: who is known well speaks for itself alone.
-            conn.pooled = !worth.tells(now, self.settings.half_life, kind_of_worth);
-            if conn.pooled {
-                self.worth.stand(now, kind_of_worth);
+            let reuse = &mut self.peers.get_mut(peer).reuse;
+            reuse.start_idle(now, reuse_cohort);
+            // A peer with enough samples of its own counts only in its own estimate; otherwise it could
+            // determine the estimate for all peers.
+            conn.counts_globally = !reuse.has_enough_samples(now, self.settings.half_life, reuse_cohort);
+            if conn.counts_globally {
+                self.reuse.start_idle(now, reuse_cohort);
             }
         }
-        self.lingering.remove(&(since, id));
-        if state == State::Closing && std::mem::take(&mut conn.lobby) {
-            self.lobby -= 1;
+        self.half_closed_since.remove(&(since, id));
+        if state == State::Closing && std::mem::take(&mut conn.refuse_only) {
+            self.refuse_only_count -= 1;
         }
         let rank = match state {
             State::Silent => Some(RANK_SILENT),
-            State::Idle => Some(RANK_IDLE + kind(conn.asked) as u8),
+            State::Idle => Some(RANK_IDLE + cohort(conn.requests) as u8),
             State::New => Some(RANK_NEW),
             State::Head => Some(RANK_HEAD),
             State::Body => Some(RANK_BODY),
             State::Waiting | State::Writing | State::Closing => None,
         };
-        // What only waits to be refused makes no room.
-        let rank = rank.filter(|_| !conn.lobby);
+        // A connection that only waits to be refused frees no serving capacity.
+        let rank = rank.filter(|_| !conn.refuse_only);
         self.set_candidate(id, rank.map(|rank| (rank, now, id)));
-        let due = self.due_in_state(&self.conns[&id]);
-        self.set_due(id, due);
+        let timeout_at = self.timeout_in_state(&self.conns[&id]);
+        self.set_timeout(id, timeout_at);
     }
 
-    fn due_in_state(&self, conn: &Conn) -> Option<Duration> {
+    fn timeout_in_state(&self, conn: &Conn) -> Option<Duration> {
         let s = &self.settings;
         let silent = if self.level > Level::Calm { s.silent_pressed.min(s.silent) } else { s.silent };
         match conn.state {
-            State::New => Some(conn.since + s.coming),
-            State::Silent => Some((conn.start + silent).max(conn.since)),
-            State::Head => {
-                Some((conn.since + s.head.allowed(conn.bytes)).min(conn.start + s.head.max).max(conn.since))
-            }
-            State::Body if conn.long => self.long_due(conn, &s.body),
+            State::New => Some(conn.state_since + s.coming),
+            State::Silent => Some((conn.request_start + silent).max(conn.state_since)),
+            State::Head => Some(
+                (conn.state_since + s.head.limit(conn.bytes))
+                    .min(conn.request_start + s.head.max)
+                    .max(conn.state_since),
+            ),
+            State::Body if conn.streaming => self.streaming_timeout(conn, &s.body),
             State::Body => {
-                let due = (conn.since + s.body.allowed(conn.bytes)).min(conn.start + s.body.max);
-                // A head that came late leaves its body a moment.
-                Some(due.max(conn.since + s.linger))
+                let timeout_at =
+                    (conn.state_since + s.body.limit(conn.bytes)).min(conn.request_start + s.body.max);
+                // A body whose head arrived late still gets a short time of its own.
+                Some(timeout_at.max(conn.state_since + s.linger))
             }
             State::Waiting => None,
-            State::Writing if conn.long => self.long_due(conn, &s.read),
-            State::Writing => Some(conn.since + s.read.allowed(conn.bytes)),
-            State::Idle if !conn.observed => Some(conn.since + s.return_within.min(s.idle)),
-            State::Idle => Some(conn.since + s.idle),
-            State::Closing => Some(conn.since + s.linger),
+            State::Writing if conn.streaming => self.streaming_timeout(conn, &s.read),
+            State::Writing => Some(conn.state_since + s.read.limit(conn.bytes)),
+            State::Idle if !conn.reuse_recorded => Some(conn.state_since + s.return_within.min(s.idle)),
+            State::Idle => Some(conn.state_since + s.idle),
+            State::Closing => Some(conn.state_since + s.linger),
         }
     }
 
-    /// No time that its client is given grows without bound where nothing moves, and none ends where all is in pace.
-    fn long_due(&self, conn: &Conn, pace: &TransferTimeout) -> Option<Duration> {
-        conn.waits.is_none().then(|| conn.since + conn.waited + pace.allowed_long(conn.bytes))
+    /// Returns the time limit of a streamed transfer: it expires if nothing is transferred, and never while
+    /// the transfer keeps to the minimum rate. A suspended transfer has none.
+    fn streaming_timeout(&self, conn: &Conn, timeout: &TransferTimeout) -> Option<Duration> {
+        conn.suspended_since
+            .is_none()
+            .then(|| conn.state_since + conn.suspended_total + timeout.streaming_limit(conn.bytes))
     }
 
-    fn long(&mut self, id: ConnId) {
-        let Some(conn) = self.conns.get_mut(&id).filter(|conn| !conn.gone) else { return };
-        conn.long = matches!(conn.state, State::Body | State::Writing);
+    fn start_streaming(&mut self, id: ConnId) {
+        let Some(conn) = self.conns.get_mut(&id).filter(|conn| !conn.aborted) else { return };
+        conn.streaming = matches!(conn.state, State::Body | State::Writing);
         self.progress(id, self.conns[&id].state, 0);
     }
 
     fn transfer_suspended(&mut self, id: ConnId, suspended: bool) {
         let now = self.now;
-        let Some(conn) = self.conns.get_mut(&id).filter(|conn| conn.long && !conn.gone) else { return };
-        match (suspended, conn.waits) {
-            (true, None) => conn.waits = Some(now),
+        let Some(conn) = self.conns.get_mut(&id).filter(|conn| conn.streaming && !conn.aborted) else {
+            return;
+        };
+        match (suspended, conn.suspended_since) {
+            (true, None) => conn.suspended_since = Some(now),
             (false, Some(since)) => {
-                conn.waited += now - since;
-                conn.waits = None;
+                conn.suspended_total += now - since;
+                conn.suspended_since = None;
             }
             _ => return,
         }
@@ -797,12 +837,12 @@
     }
 
     fn progress(&mut self, id: ConnId, state: State, bytes: u64) {
-        let Some(conn) = self.conns.get_mut(&id).filter(|conn| conn.state == state && !conn.gone) else {
+        let Some(conn) = self.conns.get_mut(&id).filter(|conn| conn.state == state && !conn.aborted) else {
             return;
         };
         conn.bytes += bytes;
-        let due = self.due_in_state(&self.conns[&id]);
-        self.set_due(id, due);
+        let timeout_at = self.timeout_in_state(&self.conns[&id]);
+        self.set_timeout(id, timeout_at);
     }
 
     fn set_candidate(&mut self, id: ConnId, candidate: Option<Candidate>) {
@@ -819,108 +859,114 @@
         }
     }
 
-    /// Sets when a connection is looked at. A time that moves back costs nothing: it is looked at early, once.
-    fn set_due(&mut self, id: ConnId, due: Option<Duration>) {
+    /// Sets the time limit of a connection. Moving it to a later time leaves the queued timer, which then
+    /// fires early once.
+    fn set_timeout(&mut self, id: ConnId, timeout_at: Option<Duration>) {
         let Some(conn) = self.conns.get_mut(&id) else { return };
-        conn.due = due;
-        if let Some(queued) = conn.queued.filter(|queued| due.is_some_and(|due| due < *queued)) {
-            self.dues.remove(&(queued, id));
-            conn.queued = None;
+        conn.timeout_at = timeout_at;
+        if let Some(timer_at) =
+            conn.timer_at.filter(|timer_at| timeout_at.is_some_and(|timeout_at| timeout_at < *timer_at))
+        {
+            self.timers.remove(&(timer_at, id));
+            conn.timer_at = None;
         }
-        if let (Some(due), None) = (due, conn.queued) {
-            self.dues.insert((due, id));
-            conn.queued = Some(due);
+        if let (Some(timeout_at), None) = (timeout_at, conn.timer_at) {
+            self.timers.insert((timeout_at, id));
+            conn.timer_at = Some(timeout_at);
         }
     }
 
-    // ---- Time
+    // ---- Timers
 
     fn tick(&mut self, actions: &mut Vec<Action>) {
-        if self.total < self.whole() && self.now >= self.regained + Duration::from_secs(1) {
-            self.regained = self.now;
-            self.total = (self.total + (self.shares.total / 16).max(1)).min(self.whole());
-        }
-        while let Some((queued, id)) = self.dues.first().copied().filter(|(queued, _)| *queued <= self.now) {
-            self.dues.remove(&(queued, id));
-            let conn = self.conns.get_mut(&id).expect("those with a time are known");
-            conn.queued = None;
-            match conn.due {
-                Some(due) if due <= self.now => self.overdue(id, actions),
-                due => self.set_due(id, due),
+        if self.budget < self.full_budget() && self.now >= self.budget_grown_at + Duration::from_secs(1) {
+            self.budget_grown_at = self.now;
+            self.budget = (self.budget + (self.shares.total / 16).max(1)).min(self.full_budget());
+        }
+        while let Some((timer_at, id)) =
+            self.timers.first().copied().filter(|(timer_at, _)| *timer_at <= self.now)
+        {
+            self.timers.remove(&(timer_at, id));
+            let conn = self.conns.get_mut(&id).expect("connections with a timer are known");
+            conn.timer_at = None;
+            match conn.timeout_at {
+                Some(timeout_at) if timeout_at <= self.now => self.timed_out(id, actions),
+                timeout_at => self.set_timeout(id, timeout_at),
             }
         }
     }
 
-    fn overdue(&mut self, id: ConnId, actions: &mut Vec<Action>) {
+    fn timed_out(&mut self, id: ConnId, actions: &mut Vec<Action>) {
         let conn = &self.conns[&id];
         match conn.state {
-            // It came only to be refused and has not even asked.
-            State::New if conn.lobby => self.close(id, Reason::Dropped, actions),
+            // It was accepted only to be refused, and has not even sent a request.
+            State::New if conn.refuse_only => self.close(id, Reason::Dropped, actions),
             State::New => self.enter(id, State::Silent),
             State::Silent => {
                 if self.level > Level::Calm {
-                    self.ghosts.add();
+                    self.early_closes.add();
                 }
                 self.close(id, Reason::Silent, actions);
             }
             State::Head => self.expire(id, Reason::SlowHead, actions),
             State::Body => self.expire(id, Reason::SlowBody, actions),
-            // Its body's reader was to answer it and has not.
+            // The reader of its body should have answered it and has not.
             State::Waiting => self.abort(id, Reason::SlowBody, actions),
             State::Writing => self.abort(id, Reason::SlowRead, actions),
-            State::Idle if !conn.observed => {
-                self.observe(id, false);
+            State::Idle if !conn.reuse_recorded => {
+                self.record_reuse(id, false);
                 let conn = &self.conns[&id];
-                if self.worth(conn) < self.threshold() {
+                if self.reuse_probability(conn) < self.keep_threshold() {
                     self.shed(id, Reason::Shed, actions);
                 } else {
-                    let due = self.due_in_state(conn);
-                    self.set_due(id, due);
+                    let timeout_at = self.timeout_in_state(conn);
+                    self.set_timeout(id, timeout_at);
                 }
             }
             State::Idle => self.close(id, Reason::Idle, actions),
             State::Closing if conn.half_closed => self.abort(id, Reason::Lingered, actions),
-            // It has been told already, and has not said that it did.
+            // The front was told to close it already and has not reported doing so.
             State::Closing => {
-                self.set_due(id, Some(self.now + self.settings.linger));
+                self.set_timeout(id, Some(self.now + self.settings.linger));
                 actions.push(Action::Close(id));
             }
         }
     }
 
-    fn look_at_level(&mut self, actions: &mut Vec<Action>) {
+    fn update_level(&mut self, actions: &mut Vec<Action>) {
         if !self.settings.adaptive {
             return;
         }
         let s = &self.settings;
-        let fill = (self.serving() + self.ghosts.sum) as f64 / self.expected() as f64;
+        let occupancy =
+            (self.served_count() + self.early_closes.sum) as f64 / self.expected_connections() as f64;
         let level = match self.level {
-            _ if fill >= s.full_at => Level::Full,
-            Level::Full if fill >= s.pressed_below => Level::Full,
-            _ if fill >= s.pressed_at => Level::Pressed,
-            Level::Pressed | Level::Full if fill >= s.calm_below => Level::Pressed,
+            _ if occupancy >= s.full_at => Level::Full,
+            Level::Full if occupancy >= s.pressed_below => Level::Full,
+            _ if occupancy >= s.pressed_at => Level::Pressed,
+            Level::Pressed | Level::Full if occupancy >= s.calm_below => Level::Pressed,
             _ => Level::Calm,
         };
-        let rested = self.now >= self.level_since + s.dwell;
-        if level > self.level || level < self.level && rested {
+        let dwelled = self.now >= self.level_since + s.dwell;
+        if level > self.level || level < self.level && dwelled {
             actions.push(Action::LevelChanged { from: self.level, to: level });
             let rises = level > self.level;
             (self.level, self.level_since) = (level, self.now);
             if rises {
-                self.relieve(actions);
+                self.relieve_pressure(actions);
             }
         }
     }
 
     // ---- Descriptors
 
-    fn server_wanted(&mut self, actions: &mut Vec<Action>) -> Verdict {
+    fn server_connection_requested(&mut self, actions: &mut Vec<Action>) -> Verdict {
         let granted = self.servers < self.server_limit();
         self.servers += usize::from(granted);
-        let short = self.counts.open() + self.servers + self.headroom() > self.total;
-        // What was lent comes back a little before it is needed.
-        if self.settings.adaptive && self.counts.open() > self.shares.clients && (short || !granted) {
-            if let Some((_, oldest)) = self.lingering.first().copied() {
+        let is_short = self.counts.open() + self.servers + self.headroom() > self.budget;
+        // Borrowed descriptors are reclaimed slightly before they are needed.
+        if self.settings.adaptive && self.counts.open() > self.shares.clients && (is_short || !granted) {
+            if let Some((_, oldest)) = self.half_closed_since.first().copied() {
                 self.abort(oldest, Reason::Lingered, actions);
             } else if let Some(victim) = self.victim(None, RANK_NEW - 1) {
                 self.shed(victim, Reason::Shed, actions);
@@ -933,16 +979,19 @@
         }
     }
 
-    fn starved(&mut self, actions: &mut Vec<Action>) {
+    fn resources_exhausted(&mut self, actions: &mut Vec<Action>) {
         let used = self.counts.open() + self.servers;
-        self.total = used.saturating_sub(1).clamp(6, self.whole());
-        self.regained = self.now;
-        if let Some((_, oldest)) = self.lingering.first().copied() {
+        self.budget = used.saturating_sub(1).clamp(6, self.full_budget());
+        self.budget_grown_at = self.now;
+        if let Some((_, oldest)) = self.half_closed_since.first().copied() {
             self.abort(oldest, Reason::Starved, actions);
         } else if let Some(victim) = self.victim(None, RANK_NEW - 1) {
-            // The budget has shrunk already: one that is sure to be back stays.
+            // The budget has been reduced already, so a connection that is very likely to be reused stays.
             let conn = &self.conns[&victim];
-            if !self.settings.adaptive || conn.state == State::Silent || self.worth(conn) < THRESHOLD.1 {
+            if !self.settings.adaptive
+                || conn.state == State::Silent
+                || self.reuse_probability(conn) < KEEP_THRESHOLD.1
+            {
                 self.shed(victim, Reason::Starved, actions);
             }
         }
@@ -951,30 +1000,31 @@
         }
     }
 
-    /// Those that owe nothing and have not begun to ask, also where they came only to be refused.
-    fn resting(&self) -> Vec<ConnId> {
+    /// Returns the connections without a request, including those accepted only to be refused.
+    fn without_request(&self) -> Vec<ConnId> {
         self.in_state(|state| matches!(state, State::New | State::Silent | State::Idle))
     }
 
     fn in_state(&self, is: impl Fn(State) -> bool) -> Vec<ConnId> {
-        let found = self.conns.iter().filter(|(_, conn)| !conn.gone && is(conn.state));
+        let found = self.conns.iter().filter(|(_, conn)| !conn.aborted && is(conn.state));
         let mut found: Vec<ConnId> = found.map(|(id, _)| *id).collect();
         found.sort_unstable();
         found
     }
 
-    /// Bytes that may be promised: another process of this node has its part of them, too.
-    fn memory_most(&self) -> u64 {
-        self.shares.memory / self.shares.total as u64 * self.whole() as u64
+    /// Returns the bytes that may be charged to connections: another process of this node has its share of
+    /// them.
+    fn max_memory(&self) -> u64 {
+        self.shares.memory / self.shares.total as u64 * self.full_budget() as u64
     }
 
-    /// All descriptors that may be in use while the system has them.
-    fn whole(&self) -> usize {
-        self.shares.total.min(self.part)
+    /// Returns the descriptors that may be in use while the operating system has enough.
+    fn full_budget(&self) -> usize {
+        self.shares.total.min(self.share_limit)
     }
 
-    fn none_comes(&mut self, actions: &mut Vec<Action>) {
-        for id in self.resting() {
+    fn accepting_stopped(&mut self, actions: &mut Vec<Action>) {
+        for id in self.without_request() {
             self.close(id, Reason::Ending, actions);
         }
     }
--- a/crates/spurdrum-admission/src/counts.rs
+++ b/crates/spurdrum-admission/src/counts.rs
@@ -1,41 +1,41 @@
-//! What operators see.
+//! Counters of connections and closing reasons for operators.
 
 use std::fmt;
 
 use crate::State;
 
-/// Why a connection was closed, or a request refused, by the node.
+/// Why the node closed a connection or refused a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// It never asked.
+    /// The client sent no request in time.
     Silent,
-    /// A head came too slowly.
+    /// A request head was received too slowly.
     SlowHead,
-    /// A body came too slowly.
+    /// A request body was received too slowly.
     SlowBody,
-    /// Its answer was not read.
+    /// The client did not read its response in time.
     SlowRead,
-    /// It stood idle for as long as it may.
+    /// The connection was idle for the longest time allowed.
     Idle,
-    /// Its answer was its last: such connections seldom come back.
+    /// The connection was closed after its response: such connections are seldom reused.
     Early,
-    /// It made room for another, or stood idle under pressure.
+    /// The connection made room for another one, or was idle under pressure.
     Shed,
-    /// It was refused for want of a place or memory.
+    /// The request was refused for want of connection capacity or memory.
     Refused,
-    /// It was closed as it came: there was no place to refuse it from.
+    /// The connection was closed on arrival: there was no capacity even to refuse it.
     Dropped,
-    /// It was half-closed for as long as may be, or made room.
+    /// The connection was half-closed for the longest time allowed, or made room while it was.
     Lingered,
-    /// The system had no descriptors.
+    /// The operating system had no descriptors.
     Starved,
-    /// The node is ending.
+    /// The node is shutting down.
     Ending,
 }
 
-/// How many reasons there are.
+/// The number of [`Reason`]s.
 pub const REASON_COUNT: usize = 12;
-/// How many states there are.
+/// The number of [`State`]s.
 pub const STATE_COUNT: usize = 8;
 
 const REASON_NAMES: [&str; REASON_COUNT] = [
@@ -55,7 +55,7 @@
 const STATE_NAMES: [&str; STATE_COUNT] =
     ["new", "silent", "head", "body", "waiting", "writing", "idle", "closing"];
 
-/// Connections by state now, and closings by reason since the start.
+/// The number of connections in each state now, and of closings by reason since the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     pub(crate) states: [usize; STATE_COUNT],
@@ -63,17 +63,17 @@
 }
 
 impl Counts {
-    /// Connections in a state.
+    /// Returns the number of connections in a state.
     pub fn in_state(&self, state: State) -> usize {
         self.states[state as usize]
     }
 
-    /// Closings and refusals for a reason.
+    /// Returns how many connections were closed or requests refused for a reason.
     pub fn for_reason(&self, reason: Reason) -> u64 {
         self.reasons[reason as usize]
     }
 
-    /// All connections.
+    /// Returns the number of all connections.
     pub fn open(&self) -> usize {
         self.states.iter().sum()
     }
--- a/crates/spurdrum-admission/src/lib.rs
+++ b/crates/spurdrum-admission/src/lib.rs
@@ -1,14 +1,16 @@
-//! Which client connections a node lets in, keeps and closes.
+//! Admission control: which client connections a node accepts, keeps and closes.
 //!
-//! An [`Admission`] owns the budgets of descriptors and memory that clients' connections use. It is told what
-//! happens to each with the time it happened at, answers what it is asked with a [`Verdict`], and pushes the
-//! [`Action`]s that the front is to carry out. It has no clock, randomness or I/O.
+//! An [`Admission`] owns the budgets of descriptors and memory for client connections. It is a pure state
+//! machine: it receives an [`Event`] for whatever happens to a connection, together with the time, answers an
+//! event that asks for a decision with a [`Verdict`], and pushes the [`Action`]s that the front has to carry
+//! out. It has no clock, randomness or I/O.
 //!
-//! Descriptors are held in three shares: connections that are served, those that can only be refused, and those
-//! that are being closed. What a connection is worth is learned by counting who asks again soon after an answer.
-//! With room to spare nothing is closed early; under pressure connections go in one order: those that stay
-//! silent, those that stand idle and have asked least, and, where no place at all is left, half-sent requests.
-//! A connection whose request has been taken is never among them.
+//! Client descriptors are accounted in three pools: connections that are served, connections that were
+//! accepted only to be refused, and connections that are closing. How much an idle connection is worth is
+//! learned by counting how many clients send another request soon after a response. While there is spare
+//! capacity no connection is closed early. Under pressure connections are closed in a fixed order: silent
+//! ones first, then idle ones with the fewest requests, and half-sent requests only if there is no capacity
+//! left at all. A connection whose request has been received completely is never closed to make room.
 //!
 //! # Example
 //!
@@ -17,15 +19,15 @@
 //! use spurdrum_admission::{Admission, ConnId, Event, Limits, Settings, Verdict};
 //!
 //! let limits = Limits { sockets: 384, memory: 192 << 20 };
-//! let mut admission = Admission::new(Settings::default(), limits).expect("sound");
+//! let mut admission = Admission::new(Settings::default(), limits).expect("valid settings");
 //! let (mut actions, now, id) = (Vec::new(), Duration::ZERO, ConnId(1));
 //! let peer = "127.0.0.1".parse().expect("an address");
 //! assert_eq!(admission.handle(now, Event::Accepted { id, peer }, &mut actions), Verdict::Serve);
 //! admission.handle(now, Event::Received { id, bytes: 120 }, &mut actions);
 //! assert_eq!(admission.handle(now, Event::HeadComplete { id, body: 0 }, &mut actions), Verdict::Serve);
 //! admission.handle(now, Event::RequestComplete { id }, &mut actions);
-//! let answer = Event::ResponseReady { id, bytes: 512, pipelined: false };
-//! assert_eq!(admission.handle(now, answer, &mut actions), Verdict::KeepAlive);
+//! let response = Event::ResponseReady { id, bytes: 512, pipelined: false };
+//! assert_eq!(admission.handle(now, response, &mut actions), Verdict::KeepAlive);
 //! admission.handle(now, Event::ResponseWritten { id }, &mut actions);
 //! assert!(actions.is_empty());
 //! ```
@@ -43,187 +45,196 @@
 pub use counts::{Counts, Reason, REASON_COUNT, STATE_COUNT};
 pub use settings::{Settings, TransferTimeout};
 
-/// A connection, as the front calls it. Not used again.
+/// The front's identifier of a client connection. An identifier is never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ConnId(pub u64);
 
-/// What the node may use.
+/// The resource limits of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Descriptors, of the whole process.
+    /// The number of descriptors that the whole process may have open.
     pub sockets: usize,
-    /// Bytes, of the whole process.
+    /// The memory limit of the whole process, in bytes.
     pub memory: u64,
 }
 
-/// Where a connection stands.
+/// The state of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// It has just come.
+    /// Accepted within the last [`Settings::coming`]; nothing has been received yet.
     New,
-    /// It has been there for a while and has sent nothing.
+    /// Open for longer than [`Settings::coming`] without having sent anything.
     Silent,
-    /// A request's head has begun to come.
+    /// Part of a request head has been received.
     Head,
-    /// A request's body is coming.
+    /// The request head is complete and its body is being received.
     Body,
-    /// Its request has been taken.
+    /// The request has been received completely and waits for its response.
     Waiting,
-    /// Its answer is being written.
+    /// The response is being written.
     Writing,
-    /// It has been answered and may ask again.
+    /// The response has been written; the client may send another request.
     Idle,
-    /// It has been chosen for closing, or is half-closed.
+    /// Chosen for closing, or half-closed already.
     Closing,
 }
 
-/// What happened.
+/// An event that the front reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A connection was accepted. Verdict: `Serve`, `Refuse` (only a refusal is to be had) or `Drop`.
+    /// A connection was accepted. Verdict: `Serve`, `Refuse` (it may only be sent a refusal) or `Drop`.
     Accepted {
         /// The connection.
         id: ConnId,
-        /// Who it comes from.
+        /// The client's address.
         peer: IpAddr,
     },
-    /// Bytes have been read, of a head or a body.
+    /// Bytes of a request head or body were read.
     Received {
         /// The connection.
         id: ConnId,
         /// How many.
         bytes: u64,
     },
-    /// A request's head is whole. Verdict: `Serve` or `Refuse`.
+    /// A request head is complete. Verdict: `Serve` or `Refuse`.
     HeadComplete {
         /// The connection.
         id: ConnId,
-        /// The body's length, or the most that it may have.
+        /// The body's length, or the longest that it may be.
         body: u64,
     },
-    /// The body that is coming, or the answer that is going, is longer than is held: its pace alone bounds its time.
+    /// The request body being received, or the response being written, is longer than the node buffers and is
+    /// streamed. From now on only its transfer rate limits how long it may take.
     Streaming {
         /// The connection.
         id: ConnId,
     },
-    /// Nothing is read of a long body, as there is no room, or a long answer's source has nothing: that time is not the
-    /// client's; or it goes on.
+    /// A streamed transfer was suspended, or was resumed. It is suspended while the node cannot read a
+    /// request body for want of buffer space, or while a response's source provides nothing; this time does
+    /// not count against the client.
     TransferSuspended {
         /// The connection.
         id: ConnId,
-        /// Whether it waits.
+        /// Whether the transfer is suspended now.
         suspended: bool,
     },
-    /// The request is whole: it is owed its answer from now on.
+    /// The request has been received completely: from now on its client is owed a response.
     RequestComplete {
         /// The connection.
         id: ConnId,
     },
-    /// The answer is known. Verdict: `Keep`, or `Last` where it is to say that the connection ends with it.
+    /// The response is known. Verdict: `KeepAlive`, or `CloseAfterResponse` if the response has to announce
+    /// that the connection is closed after it.
     ResponseReady {
         /// The connection.
         id: ConnId,
-        /// The answer's length.
+        /// The response's length.
         bytes: u64,
-        /// Whether something of a next request has come already.
+        /// Whether part of the next request has been received already.
         pipelined: bool,
     },
-    /// Bytes of the answer have been written.
+    /// Bytes of the response were written.
     ResponseProgress {
         /// The connection.
         id: ConnId,
         /// How many.
         bytes: u64,
     },
-    /// The last byte of the answer has been written.
+    /// The last byte of the response was written.
     ResponseWritten {
         /// The connection.
         id: ConnId,
     },
-    /// The node has ended its sending; what comes now is thrown away.
+    /// The node shut down its sending side; whatever the client still sends is read and discarded.
     HalfClosed {
         /// The connection.
         id: ConnId,
     },
-    /// The connection's descriptor is free.
+    /// The connection's descriptor was closed.
     Closed {
         /// The connection.
         id: ConnId,
     },
-    /// A connection to a server is wanted. Verdict: `Serve`, counted as open from then on, or `Refuse`.
+    /// A new connection to a server is requested. Verdict: `Serve`, in which case it counts as open from now
+    /// on, or `Refuse`.
     ServerConnectionRequested,
-    /// A connection to a server is closed.
+    /// A connection to a server was closed.
     ServerConnectionClosed,
-    /// The system had no descriptor, or no memory, for one more socket.
+    /// The operating system had no descriptor or memory for another socket.
     ResourcesExhausted,
-    /// The node is ending: each answer is its connection's last.
+    /// The node is shutting down: each response is the last on its connection.
     ShutdownStarted,
-    /// Another process takes over: what rests between two requests is passed on to it, and no answer ends its connection any more.
+    /// The incoming process is ready to receive connections: connections between two requests are handed over
+    /// to it, and responses no longer end their connections.
     HandoverStarted,
-    /// There is none to pass to any more.
+    /// There is no incoming process any more to hand connections over to.
     HandoverEnded,
-    /// Clients and servers together may hold so many descriptors: another process of this node holds the rest.
+    /// Limits the descriptors of clients and servers together: the other process of this node holds the rest.
     DescriptorShare {
-        /// So many.
+        /// The number of descriptors that this process may hold.
         max: usize,
     },
-    /// The node is ending and none comes any more: what owes nothing is closed.
+    /// The node is shutting down and accepts no more connections: connections without a request are closed.
     AcceptingStopped,
-    /// The node ends in a moment: what has not been taken by now is answered or closed.
+    /// The node exits in a moment: requests that have not been received completely are answered, and
+    /// connections without a request are closed.
     ShutdownImminent,
-    /// The time that [`Admission::next_wake`] told has come.
+    /// The time returned by [`Admission::next_wake`] has come.
     Tick,
 }
 
-/// The answer to an event that asks something.
+/// The decision on an event that asks for one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Nothing was asked.
+    /// The event asks for no decision.
     Nothing,
-    /// Go on.
+    /// Continue.
     Serve,
-    /// Answer that there is no place.
+    /// Respond that there is no capacity.
     Refuse,
-    /// Close it now: there is not even a place to refuse it from.
+    /// Close the connection immediately: there is not even capacity to send it a refusal.
     Drop,
-    /// The connection may ask again.
+    /// The client may send another request on the connection.
     KeepAlive,
-    /// The answer says that the connection ends.
+    /// The response announces that the connection is closed after it.
     CloseAfterResponse,
 }
 
-/// What the front is to do.
+/// What the front has to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Half-close it, unless something has come: then that is read and answered, as the last request.
+    /// Half-close the connection, unless something has been received: that is then read and answered as the
+    /// last request.
     Close(ConnId),
-    /// Pass it on to the process that takes over, unless something has come.
+    /// Hand the connection over to the incoming process, unless something has been received.
     HandOver(ConnId),
-    /// Answer what is half sent, 408 for one that is too slow and 503 for one that makes room or that the end cuts off; then close.
+    /// Answer a half-sent request and close the connection: 408 if it is too slow, 503 if it makes room for
+    /// others or the shutdown interrupts it.
     Expire(ConnId, Reason),
-    /// Close it at once, whatever is unsent.
+    /// Close the connection immediately, whatever has not been sent.
     Abort(ConnId, Reason),
-    /// Close the connection to a server that has stood idle longest.
+    /// Close the connection to a server that has been idle longest.
     CloseServerConnection,
-    /// The level has changed: operators want to see it.
+    /// The pressure level has changed, logged for operators.
     LevelChanged {
-        /// It was this.
+        /// The previous level.
         from: Level,
-        /// It is this.
+        /// The new level.
         to: Level,
     },
 }
 
-/// How much connections press.
+/// How much pressure client connections put on the node's capacity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Level {
-    /// There is room: nothing is closed early.
+    /// There is spare capacity: nothing is closed early.
     Calm,
-    /// Connections that have proved to be worth little are closed early.
+    /// Connections that are unlikely to be reused soon are closed early.
     Pressed,
-    /// And more is closed than comes.
+    /// As [`Level::Pressed`], and more connections are closed than are accepted.
     Full,
 }
 
-/// A connection that may be shed: its rank, since when, itself.
+/// A connection that may be shed: its rank (the lowest is shed first), when it entered its state, and its
+/// identifier.
 type Candidate = (u8, Duration, ConnId);
--- a/crates/spurdrum-admission/src/peers.rs
+++ b/crates/spurdrum-admission/src/peers.rs
@@ -1,13 +1,13 @@
-//! Who the connections come from: a bounded table of peer addresses.
+//! A bounded table of the addresses that connections come from.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::IpAddr;
 use std::time::Duration;
 
-use crate::worth::Worth;
+use crate::worth::ReuseEstimator;
 use crate::Candidate;
 
-/// One address, or all of one IPv6 prefix.
+/// The key of a peer: an IPv4 address, or an IPv6 prefix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(crate) struct PeerKey(pub IpAddr);
 
@@ -15,13 +15,14 @@
     pub fn new(address: IpAddr, prefix: u8) -> Self {
         match address {
             IpAddr::V4(_) => Self(address),
-            // A mapped address is the IPv4 one; else a /64 would hold all of IPv4.
-            IpAddr::V6(six) => six.to_ipv4_mapped().map_or_else(
+            // An IPv4-mapped address counts as its IPv4 address; otherwise a single /64 would contain all of
+            // IPv4.
+            IpAddr::V6(v6) => v6.to_ipv4_mapped().map_or_else(
                 || {
                     let mask = u128::MAX << (128 - u32::from(prefix));
-                    Self(IpAddr::V6((u128::from(six) & mask).into()))
+                    Self(IpAddr::V6((u128::from(v6) & mask).into()))
                 },
-                |four| Self(IpAddr::V4(four)),
+                |v4| Self(IpAddr::V4(v4)),
             ),
         }
     }
@@ -30,26 +31,27 @@
 #[derive(Debug, Default)]
 pub(crate) struct Peer {
     pub open: usize,
-    /// Its connections that may be shed, first the first.
+    /// The peer's connections that may be shed, in the order in which they are.
     pub candidates: BTreeSet<Candidate>,
-    pub worth: Worth,
-    seen: Duration,
+    pub reuse: ReuseEstimator,
+    last_seen: Duration,
 }
 
-/// Peers with connections are always in it, as many as connections at most; of the others, those seen last.
+/// The table of peers. Peers with open connections are always in it, so these can exceed the bound; of the
+/// others, the most recently seen are kept within it.
 #[derive(Debug, Default)]
 pub(crate) struct Peers {
     table: HashMap<PeerKey, Peer>,
-    /// Those with connections, by how many.
+    /// Peers with open connections, ordered by their number.
     by_open: BTreeSet<(usize, PeerKey)>,
-    /// Those without, by when they were last seen.
-    gone: BTreeSet<(Duration, PeerKey)>,
-    most: usize,
+    /// Peers without open connections, ordered by when they were last seen.
+    inactive: BTreeSet<(Duration, PeerKey)>,
+    max_peers: usize,
 }
 
 impl Peers {
-    pub fn new(most: usize) -> Self {
-        Self { most, ..Self::default() }
+    pub fn new(max_peers: usize) -> Self {
+        Self { max_peers, ..Self::default() }
     }
 
     pub fn get(&self, key: PeerKey) -> Option<&Peer> {
@@ -66,10 +68,10 @@
 
     pub fn opened(&mut self, now: Duration, key: PeerKey) {
         let peer = self.table.entry(key).or_default();
-        self.gone.remove(&(peer.seen, key));
+        self.inactive.remove(&(peer.last_seen, key));
         self.by_open.remove(&(peer.open, key));
         peer.open += 1;
-        peer.seen = now;
+        peer.last_seen = now;
         self.by_open.insert((peer.open, key));
     }
 
@@ -77,24 +79,24 @@
         let Some(peer) = self.table.get_mut(&key) else { return };
         self.by_open.remove(&(peer.open, key));
         peer.open -= 1;
-        peer.seen = now;
+        peer.last_seen = now;
         if peer.open > 0 {
             self.by_open.insert((peer.open, key));
             return;
         }
-        self.gone.insert((now, key));
-        while self.table.len() > self.most {
-            let Some((_, oldest)) = self.gone.pop_first() else { return };
+        self.inactive.insert((now, key));
+        while self.table.len() > self.max_peers {
+            let Some((_, oldest)) = self.inactive.pop_first() else { return };
             self.table.remove(&oldest);
         }
     }
 
-    /// How many have connections.
+    /// Returns the number of peers with open connections.
     pub fn active(&self) -> usize {
         self.by_open.len()
     }
 
-    /// The one with the most connections.
+    /// Returns the peer with the most open connections, and their number.
     pub fn heaviest(&self) -> Option<(usize, PeerKey)> {
         self.by_open.last().copied()
     }
@@ -109,7 +111,7 @@
     use super::*;
 
     #[test]
-    fn the_table_holds_its_bound_and_forgets_who_was_seen_longest_ago() {
+    fn the_table_keeps_its_bound_and_evicts_the_least_recently_seen_peer() {
         let mut peers = Peers::new(10);
         let key = |n: u32| PeerKey::new(IpAddr::V4(n.into()), 64);
         for n in 0..1000 {
@@ -127,13 +129,13 @@
     }
 
     #[test]
-    fn one_prefix_is_one_peer_and_a_mapped_address_is_its_own() {
+    fn an_ipv6_prefix_is_one_peer_and_mapped_addresses_are_distinct_peers() {
         let key = |text: &str| PeerKey::new(text.parse().expect("an address"), 64);
         assert_eq!(key("2001:db8::1"), key("2001:db8::ffff:2"));
         assert_ne!(key("2001:db8::1"), key("2001:db8:0:1::1"));
         assert_eq!(key("::ffff:10.0.0.1"), key("10.0.0.1"));
         assert_ne!(key("::ffff:10.0.0.1"), key("::ffff:10.0.0.2"));
-        let whole = PeerKey::new("2001:db8::1".parse().expect("an address"), 128);
-        assert_ne!(whole, key("2001:db8::1"));
+        let single_address = PeerKey::new("2001:db8::1".parse().expect("an address"), 128);
+        assert_ne!(single_address, key("2001:db8::1"));
     }
 }
--- a/crates/spurdrum-admission/src/settings.rs
+++ b/crates/spurdrum-admission/src/settings.rs
@@ -1,88 +1,93 @@
-//! What the budgets are, and what may be set about them.
+//! The settings of admission control, and the budgets that follow from them.
 
 use std::time::Duration;
 
 use crate::Limits;
 
-/// What can be set. [`Settings::default`] is what an installation gets that names none of them.
+/// The settings of admission control. [`Settings::default`] holds the values of settings that the
+/// configuration does not name.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Whether pressure closes connections early, peers have shares, and unused descriptors are lent. Without
-    /// it there are only budgets and times.
+    /// Whether connections are closed early under pressure, capacity is divided fairly among peers, and
+    /// unused descriptors are lent. Without it there are only fixed budgets and time limits.
     pub adaptive: bool,
-    /// Part of all descriptors that clients can be expected to hold open at this node: past it they cannot
-    /// connect, however much room the node has.
+    /// The share of all descriptors that clients can be expected to hold open at this node. Beyond it they
+    /// cannot connect, however much capacity the node has.
     pub clients_hold: f64,
-    /// Part of the descriptors in use (all less the reserve) that is the clients'; the rest is the servers'.
+    /// The clients' share of the usable descriptors (all of them without the reserve); the rest is for
+    /// connections to servers.
     pub client_share: f64,
-    /// Part of each side's share that the other can never borrow.
+    /// The fraction of each side's share that the other side can never borrow.
     pub floor: f64,
-    /// Part of the memory limit that client connections may hold.
+    /// The share of the memory limit that client connections may use.
     pub memory_share: f64,
-    /// Part of the places that connections which say nothing may hold.
+    /// The share of the serving capacity that silent connections may hold.
     pub silent_share: f64,
-    /// Part of the places that half-sent requests may hold.
+    /// The share of the serving capacity that half-sent requests may hold.
     pub sending_share: f64,
-    /// Fill (connections open and closed early, over those expected) at which the node is pressed.
+    /// The occupancy (served connections and those recently closed early, relative to the expected number) at
+    /// which the level rises to [`Level::Pressed`](crate::Level::Pressed).
     pub pressed_at: f64,
-    /// Fill below which it is calm again.
+    /// The occupancy below which the level falls back to [`Level::Calm`](crate::Level::Calm).
     pub calm_below: f64,
-    /// Fill at which it is full.
+    /// The occupancy at which the level rises to [`Level::Full`](crate::Level::Full).
     pub full_at: f64,
-    /// Fill below which it is only pressed again.
+    /// The occupancy below which the level falls from `Full` to `Pressed`.
     pub pressed_below: f64,
-    /// A level lasts this long at least.
+    /// The shortest time for which a level is kept before it may fall.
     pub dwell: Duration,
-    /// A request that follows an answer within this time made keeping the connection worth it.
+    /// A connection counts as reused if its next request arrives within this time after a response.
     pub return_within: Duration,
-    /// Time in which what was learned of returns counts half.
+    /// The half-life of what was learned about connection reuse.
     pub half_life: Duration,
-    /// Of the connections that would be closed after their answer, one in so many is kept, to go on learning.
+    /// One in this many connections that would be closed after their response is kept open, so that learning
+    /// continues.
     pub explore: u32,
     /// A new connection counts as silent after this time.
     pub coming: Duration,
-    /// A connection may stay silent for so long.
+    /// How long a connection may stay silent.
     pub silent: Duration,
-    /// And for so long while the node is pressed.
+    /// How long a connection may stay silent while the node is under pressure.
     pub silent_pressed: Duration,
-    /// A connection may stay idle after an answer for so long.
+    /// How long a connection may stay idle after a response.
     pub idle: Duration,
-    /// Time for a head, and how it grows and ends.
+    /// The time limit for receiving a request head.
     pub head: TransferTimeout,
-    /// Time for a body.
+    /// The time limit for receiving a request body.
     pub body: TransferTimeout,
-    /// Time for a client to read an answer.
+    /// The time limit for a client to read a response.
     pub read: TransferTimeout,
-    /// A connection that has been half-closed waits so long for its client's end.
+    /// How long a half-closed connection waits for its client to close its side.
     pub linger: Duration,
-    /// Peer addresses that are remembered.
+    /// How many peer addresses are remembered.
     pub peers: usize,
-    /// Bits of an IPv6 address that make one peer.
+    /// The prefix length, in bits, that identifies a peer by its IPv6 address.
     pub peer_prefix: u8,
-    /// Refusals for want of a place say that the client may come back after this time.
+    /// The delay after which a client refused for want of capacity is told to retry.
     pub retry_after: Duration,
 }
 
-/// A time that grows with what comes: `first`, and a second more for every `rate` bytes, up to `most`.
+/// A time limit that grows with the bytes transferred: `initial`, plus a second for every `min_rate` bytes,
+/// up to `max`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TransferTimeout {
-    /// Before anything has come.
+    /// The limit before any byte has been transferred.
     pub initial: Duration,
-    /// Bytes a second that are enough after it.
+    /// The transfer rate in bytes per second that is sufficient from then on.
     pub min_rate: f64,
-    /// However fast it is.
+    /// The limit however fast the transfer is.
     pub max: Duration,
 }
 
 impl TransferTimeout {
-    /// For what is long: `most` is only for its beginning.
-    pub(crate) fn allowed_long(&self, bytes: u64) -> Duration {
+    /// Returns the limit of a streamed transfer: `max` applies only until it is streamed.
+    pub(crate) fn streaming_limit(&self, bytes: u64) -> Duration {
         self.initial + Duration::from_secs_f64((bytes as f64 / self.min_rate).min(1e9))
     }
 
-    pub(crate) fn allowed(&self, bytes: u64) -> Duration {
-        let more = bytes as f64 / self.min_rate;
-        (self.initial + Duration::from_secs_f64(more.min(self.max.as_secs_f64()))).min(self.max)
+    pub(crate) fn limit(&self, bytes: u64) -> Duration {
+        let extra = bytes as f64 / self.min_rate;
+        (self.initial + Duration::from_secs_f64(extra.min(self.max.as_secs_f64()))).min(self.max)
     }
 }
 
@@ -121,9 +126,9 @@
 }
 
 impl Settings {
-    /// What is wrong with a value: the setting's name and the reason.
+    /// Checks the values. The error is the name of the wrong setting and the reason.
     pub fn validate(&self) -> Result<(), (&'static str, String)> {
-        let parts = [
+        let shares = [
             ("clients_hold", self.clients_hold),
             ("client_share", self.client_share),
             ("floor", self.floor),
@@ -131,24 +136,24 @@
             ("silent_share", self.silent_share),
             ("sending_share", self.sending_share),
         ];
-        for (name, part) in parts {
-            let all = name == "clients_hold" && part == 1.0;
-            if !(all || part > 0.0 && part < 1.0) {
-                return Err((name, format!("{part} is no part between 0 and 1")));
+        for (name, share) in shares {
+            let whole_allowed = name == "clients_hold" && share == 1.0;
+            if !(whole_allowed || share > 0.0 && share < 1.0) {
+                return Err((name, format!("{share} is not between 0 and 1")));
             }
         }
-        let levels = [
+        let thresholds = [
             ("calm_below", self.calm_below, 0.0, self.pressed_at),
             ("pressed_at", self.pressed_at, self.calm_below, self.full_at),
             ("pressed_below", self.pressed_below, self.calm_below, self.full_at),
             ("full_at", self.full_at, self.pressed_below, 1.0 + f64::EPSILON),
         ];
-        for (name, level, over, under) in levels {
-            if !(level > over && level < under) {
-                return Err((name, format!("{level} is not between {over} and {under}")));
+        for (name, threshold, lower, upper) in thresholds {
+            if !(threshold > lower && threshold < upper) {
+                return Err((name, format!("{threshold} is not between {lower} and {upper}")));
             }
         }
-        let times = [
+        let durations = [
             ("return_within_ms", self.return_within),
             ("half_life_ms", self.half_life),
             ("coming_ms", self.coming),
@@ -157,14 +162,15 @@
             ("idle_ms", self.idle),
             ("linger_ms", self.linger),
         ];
-        for (name, time) in times {
-            if time.is_zero() || time > Duration::from_secs(86_400) {
-                return Err((name, "no time above 0 and up to a day".into()));
+        for (name, duration) in durations {
+            if duration.is_zero() || duration > Duration::from_secs(86_400) {
+                return Err((name, "must be above 0 and at most a day".into()));
             }
         }
-        for (name, pace) in [("head", self.head), ("body", self.body), ("read", self.read)] {
-            let sound = !pace.initial.is_zero() && pace.initial <= pace.max && pace.min_rate >= 1.0;
-            if !sound || pace.max > Duration::from_secs(86_400) {
+        for (name, timeout) in [("head", self.head), ("body", self.body), ("read", self.read)] {
+            let valid =
+                !timeout.initial.is_zero() && timeout.initial <= timeout.max && timeout.min_rate >= 1.0;
+            if !valid || timeout.max > Duration::from_secs(86_400) {
                 return Err((name, "needs 0 < first_ms <= most_ms <= a day and rate >= 1".into()));
             }
         }
@@ -179,27 +185,28 @@
     }
 }
 
-/// How the descriptors are shared out, from what may be held in all.
+/// How the descriptors and the memory that the process may use are divided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Shares {
-    /// Clients' and servers' together.
+    /// Usable descriptors of clients and servers together.
     pub total: usize,
-    /// The clients' own.
+    /// The clients' own share of `total`.
     pub clients: usize,
-    /// The servers' own.
+    /// The servers' own share of `total`.
     pub servers: usize,
-    /// What the clients keep when the servers borrow, and the reverse.
+    /// What the clients keep when the servers borrow from them, and the reverse.
     pub client_floor: usize,
     pub server_floor: usize,
-    /// Places for those that can only be refused, and for those that are half-closed.
-    pub lobby: usize,
-    /// Bytes.
+    /// How many connections may be open only to be refused, and how many may be closing.
+    pub side_pool: usize,
+    /// Bytes that client connections may use.
     pub memory: u64,
 }
 
 impl Shares {
     pub fn new(settings: &Settings, limits: &Limits) -> Self {
-        // Standard streams, event loop, signals, listener, discovery, a file that is read again, and slack.
+        // The reserve covers the standard streams, event loop, signals, listener, discovery, a file that is
+        // reloaded, and slack.
         let reserve = (limits.sockets / 10).clamp(12, 64);
         let total = limits.sockets.saturating_sub(reserve).max(6);
         let clients = ((total as f64 * settings.client_share) as usize).clamp(4, total - 2);
@@ -214,7 +221,7 @@
             servers,
             client_floor: floor(clients).max(4),
             server_floor: floor(servers),
-            lobby: (clients / 12).max(1),
+            side_pool: (clients / 12).max(1),
             memory: (limits.memory as f64 * settings.memory_share) as u64,
         }
     }
