--- a/crates/spurdrum-core/src/connections.rs
+++ b/crates/spurdrum-core/src/connections.rs
@@ -1,4 +1,5 @@
-//! Carries out what `spurdrum_admission` decides on connections: the one owner of the node's descriptors.
+//! Carries out the decisions of `spurdrum_admission` on client connections. [`Connections`] is the only owner
+//! of the node's descriptors.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -15,61 +16,62 @@
 
 use crate::pause::{sleep_and_catch_up, PauseAdjustedClock};
 
-/// While the level is not calm, the log says how things stand this often.
-const REPORT_EVERY: Duration = Duration::from_secs(10);
+/// How often the counters are logged while the level is not [`Level::Calm`].
+const REPORT_INTERVAL: Duration = Duration::from_secs(10);
 
-/// What a connection's task has been told to do.
+/// A command to a connection's task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionCommand {
-    /// Half-close, unless something has come.
+    /// Half-close the connection, unless something has been received.
     Close,
-    /// Pass it on to the process that takes over, unless something has come.
+    /// Hand the connection over to the incoming process, unless something has been received.
     HandOver,
-    /// Answer what is half sent, then close.
+    /// Answer the half-sent request, then close the connection.
     Expire(Reason),
-    /// Close at once.
+    /// Close the connection immediately.
     Abort(Reason),
 }
 
-/// A connection as its own task and this module share it.
+/// The right to a descriptor for a client connection, shared by the connection's task and this module. The
+/// descriptor is free again when the permit is dropped.
 pub struct ConnectionPermit {
-    /// What the decisions call it.
+    /// The connection's identifier in admission control.
     pub id: ConnId,
-    /// Where it comes from.
+    /// The client's address.
     pub peer: IpAddr,
     connections: Rc<Connections>,
-    order: Cell<Option<ConnectionCommand>>,
-    /// Raised with an order.
+    command: Cell<Option<ConnectionCommand>>,
+    /// Notified when a command is pending.
     pub command_ready: Notify,
-    /// Whether the body of a request is being read now: an expiry is then that reader's to answer.
+    /// Whether a request body is being read now: its reader then has to answer an expiry.
     pub reading_body: Cell<bool>,
-    /// Raised for the body's reader.
-    body_late: Notify,
+    /// Notified when the body being read has expired; for its reader.
+    body_timeout: Notify,
 }
 
 impl ConnectionPermit {
-    /// Tells the decisions what has happened to it.
+    /// Reports an event of this connection to admission control and returns the verdict.
     pub fn handle_event(&self, event: Event) -> Verdict {
         self.connections.handle_event(event)
     }
 
-    /// Waits until the body that is being read has had its time.
+    /// Waits until the time limit of the body being read has expired.
     pub async fn body_expired(&self) -> Reason {
         loop {
-            self.body_late.notified().await;
-            // Guards against an expiry that came just as an earlier body was whole.
+            self.body_timeout.notified().await;
+            // A notification may be left over from an expiry that arrived just as an earlier body completed.
             if let Some(ConnectionCommand::Expire(reason)) = self.take_command() {
                 return reason;
             }
         }
     }
 
-    /// The order that has come, once.
+    /// Takes the pending command, if there is one.
     pub fn take_command(&self) -> Option<ConnectionCommand> {
-        self.order.take()
+        self.command.take()
     }
 
-    /// Where it stands.
+    /// Returns the connection's state.
     pub fn state(&self) -> Option<State> {
         self.connections.admission.borrow().state(self.id)
     }
@@ -77,173 +79,174 @@
 
 impl Drop for ConnectionPermit {
     fn drop(&mut self) {
-        self.connections.seats.borrow_mut().remove(&self.id);
+        self.connections.permits.borrow_mut().remove(&self.id);
         self.handle_event(Event::Closed { id: self.id });
     }
 }
 
-/// The budgets of descriptors, and those who hold client connections.
+/// The budgets of descriptors, and the permits of open client connections.
 pub struct Connections {
     admission: RefCell<Admission>,
-    /// Clients are not judged by what they did while this process stood still.
-    attention: Rc<PauseAdjustedClock>,
-    seats: RefCell<HashMap<ConnId, std::rc::Weak<ConnectionPermit>>>,
+    /// Timeouts of clients go by this clock, so that pauses of this process do not count against them.
+    clock: Rc<PauseAdjustedClock>,
+    permits: RefCell<HashMap<ConnId, std::rc::Weak<ConnectionPermit>>>,
     last_id: Cell<u64>,
-    /// Until when the timer sleeps.
-    sleeps_until: Cell<Option<Duration>>,
-    changed: Notify,
-    /// Raised when a connection to a server is to be closed.
+    /// When the timer task will wake up.
+    wakes_at: Cell<Option<Duration>>,
+    wake_changed: Notify,
+    /// Notified when a connection to a server should be closed.
     pub server_close_requested: Notify,
-    /// An answer that its client does not read is held for so long.
+    /// The longest time for which an unread response is held.
     pub max_unread_time: Duration,
-    /// What refusals for want of a place say.
+    /// The retry-after time of refusals for want of capacity; none if they name none.
     retry_after_ms: Cell<Option<f64>>,
-    /// What it says at the most where settings allow it.
-    retry_after_own_ms: f64,
-    reported: Cell<Instant>,
+    /// The configured retry-after time, before the limit is applied.
+    configured_retry_after_ms: f64,
+    reported_at: Cell<Instant>,
 }
 
 impl Connections {
-    /// Budgets from these limits. Clients are told to come back after `retry_after_most_ms` at the latest; none: they are told
-    /// nothing.
+    /// Creates the budgets from these limits. Refusals tell clients to retry after `max_retry_after_ms` at
+    /// the latest; if it is none, they name no time.
     ///
     /// # Errors
     ///
-    /// The first setting that makes no sense, and why.
+    /// The first wrong setting, and the reason.
     pub fn new(
         settings: Settings,
         limits: Limits,
-        retry_after_most_ms: Option<f64>,
+        max_retry_after_ms: Option<f64>,
     ) -> Result<Rc<Self>, (&'static str, String)> {
-        let after = settings.retry_after.as_secs_f64() * 1000.0;
+        let configured_ms = settings.retry_after.as_secs_f64() * 1000.0;
         let max_unread_time = settings.read.max;
         let admission = Admission::new(settings, limits)?;
         Ok(Rc::new(Self {
             admission: RefCell::new(admission),
             max_unread_time,
-            attention: PauseAdjustedClock::new(),
-            seats: RefCell::default(),
+            clock: PauseAdjustedClock::new(),
+            permits: RefCell::default(),
             last_id: Cell::new(0),
-            sleeps_until: Cell::new(None),
-            changed: Notify::new(),
+            wakes_at: Cell::new(None),
+            wake_changed: Notify::new(),
             server_close_requested: Notify::new(),
-            retry_after_ms: Cell::new(retry_after_most_ms.map(|most| most.min(after))),
-            retry_after_own_ms: after,
-            reported: Cell::new(Instant::now()),
+            retry_after_ms: Cell::new(max_retry_after_ms.map(|max_ms| max_ms.min(configured_ms))),
+            configured_retry_after_ms: configured_ms,
+            reported_at: Cell::new(Instant::now()),
         }))
     }
 
-    /// The clock by which this node judges others.
+    /// Returns the clock by which this node measures timeouts of others.
     pub fn clock(&self) -> &Rc<PauseAdjustedClock> {
-        &self.attention
+        &self.clock
     }
 
-    /// What a refusal for want of a place says.
+    /// Returns the retry-after time of refusals for want of capacity.
     pub fn retry_after_ms(&self) -> Option<f64> {
         self.retry_after_ms.get()
     }
 
-    /// Clients may be told to come back after so long at the latest, from now on.
-    pub fn set_max_retry_after(&self, most_ms: Option<f64>) {
-        self.retry_after_ms.set(most_ms.map(|most| most.min(self.retry_after_own_ms)));
+    /// Limits the retry-after time of refusals from now on.
+    pub fn set_max_retry_after(&self, max_ms: Option<f64>) {
+        self.retry_after_ms.set(max_ms.map(|max_ms| max_ms.min(self.configured_retry_after_ms)));
     }
 
-    /// Tells the decisions what has happened, and carries out what they say.
+    /// Reports an event to admission control, carries out the resulting actions and returns the verdict.
     pub fn handle_event(&self, event: Event) -> Verdict {
         let mut actions = Vec::new();
-        let verdict = self.admission.borrow_mut().handle(self.attention.now(), event, &mut actions);
+        let verdict = self.admission.borrow_mut().handle(self.clock.now(), event, &mut actions);
         for action in actions {
             match action {
-                Action::Close(id) => self.order(id, ConnectionCommand::Close),
-                Action::HandOver(id) => self.order(id, ConnectionCommand::HandOver),
-                Action::Expire(id, reason) => self.order(id, ConnectionCommand::Expire(reason)),
-                Action::Abort(id, reason) => self.order(id, ConnectionCommand::Abort(reason)),
+                Action::Close(id) => self.send_command(id, ConnectionCommand::Close),
+                Action::HandOver(id) => self.send_command(id, ConnectionCommand::HandOver),
+                Action::Expire(id, reason) => self.send_command(id, ConnectionCommand::Expire(reason)),
+                Action::Abort(id, reason) => self.send_command(id, ConnectionCommand::Abort(reason)),
                 Action::CloseServerConnection => self.server_close_requested.notify_one(),
                 Action::LevelChanged { from, to } => self.report(&format!("level {from:?} -> {to:?}")),
             }
         }
         let wake = self.admission.borrow().next_wake();
-        if wake.is_some_and(|wake| self.sleeps_until.get().is_none_or(|until| wake < until)) {
-            self.changed.notify_one();
+        if wake.is_some_and(|wake| self.wakes_at.get().is_none_or(|wakes_at| wake < wakes_at)) {
+            self.wake_changed.notify_one();
         }
         verdict
     }
 
-    /// Descriptors in use, and the most that may be.
+    /// Returns the number of descriptors in use, and the limit.
     pub fn descriptor_usage(&self) -> (usize, usize) {
         self.admission.borrow().descriptor_usage()
     }
 
-    fn order(&self, id: ConnId, order: ConnectionCommand) {
-        let Some(seat) = self.seats.borrow().get(&id).and_then(std::rc::Weak::upgrade) else { return };
-        seat.order.set(Some(order));
-        let to_body = matches!(order, ConnectionCommand::Expire(_)) && seat.reading_body.get();
-        if to_body { &seat.body_late } else { &seat.command_ready }.notify_one();
+    fn send_command(&self, id: ConnId, command: ConnectionCommand) {
+        let Some(permit) = self.permits.borrow().get(&id).and_then(std::rc::Weak::upgrade) else { return };
+        permit.command.set(Some(command));
+        let to_body_reader = matches!(command, ConnectionCommand::Expire(_)) && permit.reading_body.get();
+        if to_body_reader { &permit.body_timeout } else { &permit.command_ready }.notify_one();
     }
 
-    /// A connection has been accepted: its seat, and whether it can only be refused. `None` where there is not
-    /// even a place for that.
+    /// Registers an accepted connection and returns its permit; [`ConnectionPermit::state`] and the verdict
+    /// on its request tell whether it is served. Returns `None` if there is no capacity even to refuse it.
     pub fn accept(self: &Rc<Self>, peer: IpAddr) -> Option<Rc<ConnectionPermit>> {
         let id = ConnId(self.last_id.get() + 1);
         self.last_id.set(id.0);
         if self.handle_event(Event::Accepted { id, peer }) == Verdict::Drop {
             return None;
         }
-        let seat = Rc::new(ConnectionPermit {
+        let permit = Rc::new(ConnectionPermit {
             id,
             peer,
             connections: Rc::clone(self),
-            order: Cell::new(None),
+            command: Cell::new(None),
             command_ready: Notify::new(),
             reading_body: Cell::new(false),
-            body_late: Notify::new(),
+            body_timeout: Notify::new(),
         });
-        self.seats.borrow_mut().insert(id, Rc::downgrade(&seat));
-        Some(seat)
+        self.permits.borrow_mut().insert(id, Rc::downgrade(&permit));
+        Some(permit)
     }
 
-    /// Client connections that are open.
+    /// Returns the number of open client connections.
     pub fn open_connections(&self) -> usize {
-        self.seats.borrow().len()
+        self.permits.borrow().len()
     }
 
-    /// Whether some have been told to close: their tasks need a turn to do so.
+    /// Returns whether some connections are closing: their tasks need to be scheduled to do so.
     pub fn has_closing(&self) -> bool {
         self.admission.borrow().counts().in_state(State::Closing) > 0
     }
 
-    fn report(&self, what: &str) {
+    fn report(&self, headline: &str) {
         let counts: Counts = self.admission.borrow().counts().clone();
-        tracing::info!("connections: {what}; {counts}");
-        self.reported.set(Instant::now());
+        tracing::info!("connections: {headline}; {counts}");
+        self.reported_at.set(Instant::now());
     }
 
-    /// Wakes the decisions when they want it, for as long as the node runs.
+    /// Runs the timer of admission control, for as long as the node runs.
     pub async fn run_timer(self: Rc<Self>) {
         loop {
             let wake = self.admission.borrow().next_wake();
-            self.sleeps_until.set(wake);
+            self.wakes_at.set(wake);
             match wake {
-                None => self.changed.notified().await,
+                None => self.wake_changed.notified().await,
                 Some(wake) => tokio::select! {
-                    () = self.changed.notified() => continue,
-                    () = sleep_and_catch_up(wake.saturating_sub(self.attention.now())) => {}
+                    () = self.wake_changed.notified() => continue,
+                    () = sleep_and_catch_up(wake.saturating_sub(self.clock.now())) => {}
                 },
             }
             self.handle_event(Event::Tick);
             let pressed = self.admission.borrow().level() > Level::Calm;
-            if pressed && self.reported.get().elapsed() >= REPORT_EVERY {
-                self.report("still pressed");
+            if pressed && self.reported_at.get().elapsed() >= REPORT_INTERVAL {
+                self.report("still under pressure");
             }
         }
     }
 }
 
-/// A place for a connection to a server, free again when it is dropped with its socket.
+/// The right to a descriptor for a connection to a server. The descriptor is free again when the permit is
+/// dropped together with the socket.
 pub struct ServerConnectionPermit(Rc<Connections>);
 
 impl ServerConnectionPermit {
-    /// Takes a place, where there is one.
+    /// Acquires a permit, if there is capacity.
     pub fn acquire(connections: &Rc<Connections>) -> Option<Self> {
         let granted = connections.handle_event(Event::ServerConnectionRequested) == Verdict::Serve;
         granted.then(|| Self(Rc::clone(connections)))
@@ -256,9 +259,9 @@
     }
 }
 
-/// Whether an error says that the system has no descriptor or memory for one more socket.
+/// Returns whether an error means that the operating system has no descriptor or memory for another socket.
 pub fn is_resource_exhausted(error: &io::Error) -> bool {
     use rustix::io::Errno;
-    let starved = [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM];
-    error.raw_os_error().is_some_and(|code| starved.iter().any(|errno| errno.raw_os_error() == code))
+    let exhausted = [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM];
+    error.raw_os_error().is_some_and(|code| exhausted.iter().any(|errno| errno.raw_os_error() == code))
 }
--- a/crates/spurdrum-core/src/lib.rs
+++ b/crates/spurdrum-core/src/lib.rs
@@ -1,7 +1,8 @@
-//! One node without a protocol. A front turns what its clients ask into requests of a class, a tenant and a budget, and
-//! [submits](Node::accept) them; the core owes each one final answer. The decisions of `spurdrum_policy`, which only the core
-//! calls, say where they go; a [`Transport`] carries each attempt out and tells how it ended. Neither a front nor a transport
-//! chooses, retries or refuses.
+//! One node, independent of the protocol. A front turns its clients' requests into requests with a class, a
+//! tenant and a budget, and [submits](Node::accept) them; the core owes each of them exactly one final
+//! answer. The decisions of `spurdrum_policy`, which only the core calls, choose the server of each attempt;
+//! a [`Transport`] sends the attempt and reports how it ended. Neither a front nor a transport chooses
+//! servers, retries or refuses.
 //!
 //! [`Connections`] owns the descriptors that fronts and transports share.
 
--- a/crates/spurdrum-core/src/node.rs
+++ b/crates/spurdrum-core/src/node.rs
@@ -1,4 +1,4 @@
-//! The node itself: it feeds the decisions what happens and carries out what they say.
+//! The node: reports events to the decisions of `spurdrum_policy` and carries out the resulting actions.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -18,162 +18,164 @@
 use crate::figures::NodeMetrics;
 use crate::pause::sleep_and_catch_up;
 use crate::transport::{Cancellation, Reply, Transport, TransportRequest};
-use crate::waiting::Line;
+use crate::waiting::StartupQueue;
 use crate::Connections;
 
-/// What a node is told before its first event.
+/// The configuration of a node.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// For random numbers.
+    /// The seed of the random number generator.
     pub seed: u64,
-    /// What the decisions go by at first.
+    /// The initial settings of the decisions.
     pub settings: Settings,
-    /// Requests that it may hold at once.
+    /// The maximum number of pending requests.
     pub max_pending: usize,
-    /// Idle connections to servers are looked at this often.
+    /// How often idle connections to servers are checked.
     pub idle_check_interval: Duration,
 }
 
-/// A server as a list has it.
+/// A server as it appears in a list.
 #[derive(Clone, Debug)]
 pub struct ListedServer {
-    /// The same at every node.
+    /// The server's identifier, the same at every node.
     pub id: String,
-    /// Where it listens, as seen from this node.
+    /// The address at which this node reaches it.
     pub address: SocketAddr,
-    /// What the decisions are told; its number is the core's to give.
+    /// The server's entry for the decisions. The core replaces the number in it by its own.
     pub entry: ServerEntry,
 }
 
-/// What the servers show of the list.
+/// What the behaviour of servers indicates about whether the list is current.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListEvidence {
     /// A listed server cannot be reached.
     Unreachable(ServerId),
-    /// A listed server turns work away.
+    /// A listed server refuses work.
     Refused {
-        /// It told that nothing waits there.
+        /// Whether it reported at the same time that no requests wait there.
         idle: bool,
     },
-    /// The decisions took a server out.
+    /// The decisions ejected a server.
     Ejected,
-    /// A server says that it was started later than the list has it.
+    /// A server reports a start time later than the list does.
     Restarted,
 }
 
-/// Of the servers that leave by one list, so many at the most have a line of their own in the log.
-const LOGGED_LEAVING_MOST: usize = 16;
+/// At most this many of the servers that leave by one list get a log line of their own.
+const MAX_LOGGED_LEAVING: usize = 16;
 
-/// Starts that differ by less than this, in milliseconds, are one: clocks and lists round.
-const SAME_START: f64 = 1000.0;
+/// Start times that differ by less than this, in milliseconds, count as equal, because clocks and lists
+/// round.
+const START_TOLERANCE_MS: f64 = 1000.0;
 
-/// The one final answer to a request.
+/// The final answer to a request.
 pub enum Answer<B> {
-    /// A server's body.
+    /// The response body of a server.
     Served(B),
-    /// Not taken: trying again is harmless, and best after this time.
+    /// Refused: retrying is harmless, preferably after this time in milliseconds.
     Refused(Option<f64>),
-    /// Failed, perhaps with an effect.
+    /// Failed, possibly after it had an effect.
     Failed,
 }
 
-/// Why a request is not taken.
+/// Why a request is rejected on arrival.
 pub enum NotAccepted {
-    /// As many are held as may be.
+    /// The maximum number of requests is pending.
     Full,
-    /// One of the same id is held.
+    /// A request with the same identifier is pending.
     DuplicateId,
 }
 
-/// An attempt that is out.
-struct OpenAttempt {
+/// An attempt in flight.
+struct InFlightAttempt {
     server: ServerId,
-    begun: Instant,
+    started_at: Instant,
     cancellation: Rc<Cancellation>,
 }
 
-/// A request that is held: until it is answered and its attempts have ended.
-struct Held<T: Transport> {
+/// An accepted request, pending until it is answered and all of its attempts have ended.
+struct PendingRequest<T: Transport> {
     request: Rc<T::Request>,
-    /// Taken by the final answer, or when the client leaves.
+    /// Used up by the final answer, or when the client leaves.
     answer: Option<oneshot::Sender<Answer<T::Body>>>,
-    /// Each attempt, while it is out.
-    attempts: Vec<Option<OpenAttempt>>,
-    /// Any of an attempt that has ended may have been written.
+    /// All attempts; `None` for those that have ended.
+    attempts: Vec<Option<InFlightAttempt>>,
+    /// Whether any part of an attempt that has ended may have been written.
     has_begun: bool,
 }
 
-impl<T: Transport> Held<T> {
-    /// Whether a server may have been sent any of it.
+impl<T: Transport> PendingRequest<T> {
+    /// Returns whether any part of the request may have been sent to a server.
     fn may_have_been_sent(&self) -> bool {
-        self.has_begun || self.attempts.iter().flatten().any(|open| open.cancellation.has_begun())
+        self.has_begun || self.attempts.iter().flatten().any(|attempt| attempt.cancellation.has_begun())
     }
 
-    /// What its client calls it, as traces have it.
-    fn shown(&self) -> String {
+    /// Returns the client's identifier of the request as text for traces and logs.
+    fn display_id(&self) -> String {
         String::from_utf8_lossy(self.request.client_request_id().as_ref()).into_owned()
     }
 }
 
-/// Where what happens is noted, and what was noted of the servers that are listed.
-struct Traced {
-    to: Trace,
+/// The trace that events are written to, and the state of each listed server that was written last.
+struct NodeTrace {
+    sink: Trace,
     servers: RefCell<HashMap<ServerId, (String, State)>>,
 }
 
-impl Traced {
-    /// A listed server's id; nothing where it is not listed any more.
-    fn name_of(&self, server: ServerId) -> String {
+impl NodeTrace {
+    /// Returns a listed server's identifier; empty if it is no longer listed.
+    fn server_id(&self, server: ServerId) -> String {
         self.servers.borrow().get(&server).map_or_else(String::new, |(name, _)| name.clone())
     }
 }
 
-/// One node; all of its parts hold it.
+/// One node, shared by all of its parts.
 pub struct Node<T: Transport> {
-    tidy_every: Duration,
+    idle_check_interval: Duration,
     settings: RefCell<Rc<Settings>>,
-    most_held: Cell<usize>,
-    /// Who holds the node's descriptors.
+    max_pending: Cell<usize>,
+    /// The client connections, and the budgets of the node's descriptors.
     pub connections: Rc<Connections>,
-    /// What operators see of it.
+    /// The metrics for operators.
     pub metrics: Rc<NodeMetrics>,
     transport: T,
-    /// Hears what the servers show of the list.
-    signs: Box<dyn Fn(ListEvidence)>,
+    /// Called with what servers indicate about the list.
+    on_evidence: Box<dyn Fn(ListEvidence)>,
     balancer: RefCell<Balancer>,
-    /// Which server keys are bound to, where that is on.
+    /// The servers that affinity keys are bound to, if affinity is enabled.
     affinity: Option<Rc<RefCell<Affinity>>>,
-    requests: RefCell<HashMap<RequestId, Held<T>>>,
-    /// What clients call them. Guards against two requests that servers would take for one.
-    names: RefCell<HashSet<<T::Request as TransportRequest>::ClientRequestId>>,
-    last_id: Cell<u64>,
-    /// The numbers of the servers that are listed.
-    ids: RefCell<HashMap<String, ServerId>>,
-    last_server: Cell<usize>,
-    /// When the servers that are listed were started, as far as the list says.
-    starts: RefCell<HashMap<ServerId, f64>>,
-    /// Where what happens is noted, where it is.
-    trace: Option<Traced>,
+    requests: RefCell<HashMap<RequestId, PendingRequest<T>>>,
+    /// The client's identifiers of the pending requests. Without this, servers could take two requests with
+    /// one identifier for the same request.
+    client_ids: RefCell<HashSet<<T::Request as TransportRequest>::ClientRequestId>>,
+    last_request_id: Cell<u64>,
+    /// The numbers of the listed servers.
+    server_numbers: RefCell<HashMap<String, ServerId>>,
+    last_server_number: Cell<usize>,
+    /// When the listed servers were started, as far as the list says.
+    listed_starts: RefCell<HashMap<ServerId, f64>>,
+    /// The trace, if it is enabled.
+    trace: Option<NodeTrace>,
     started: Instant,
     started_unix_ms: f64,
-    /// Pauses of this process that the decisions have been told of.
-    told_stood_still: Cell<Duration>,
-    /// Requests that came before the list was confirmed; none once they go on as they come.
-    line: RefCell<Option<Line>>,
+    /// The total of the pauses of this process that have been reported to the decisions.
+    reported_pause: Cell<Duration>,
+    /// Requests that arrive before the list is confirmed; `None` once requests are passed on as they arrive.
+    startup_queue: RefCell<Option<StartupQueue>>,
 }
 
 impl<T: Transport> Node<T> {
-    /// A node that knows no server yet.
+    /// Creates a node that knows no servers yet.
     ///
     /// # Errors
     ///
-    /// A setting that makes no sense, or a clock before 1970.
+    /// A wrong setting, or a system clock before 1970.
     pub fn new(
         config: Config,
         connections: Rc<Connections>,
         metrics: Rc<NodeMetrics>,
         transport: T,
-        signs: impl Fn(ListEvidence) + 'static,
+        on_evidence: impl Fn(ListEvidence) + 'static,
         affinity: Option<Rc<RefCell<Affinity>>>,
         trace: Option<Trace>,
     ) -> Result<Rc<Self>, String> {
@@ -181,45 +183,47 @@
             Balancer::new(config.settings.clone(), config.seed).map_err(|e| format!("`settings`: {e}"))?;
         let started_unix_ms = unix_ms()?;
         Ok(Rc::new(Self {
-            tidy_every: config.idle_check_interval,
+            idle_check_interval: config.idle_check_interval,
             settings: RefCell::new(Rc::new(config.settings)),
-            most_held: Cell::new(config.max_pending),
+            max_pending: Cell::new(config.max_pending),
             connections,
             metrics,
             transport,
-            signs: Box::new(signs),
+            on_evidence: Box::new(on_evidence),
             balancer: RefCell::new(balancer),
             affinity,
             requests: RefCell::default(),
-            names: RefCell::default(),
-            last_id: Cell::new(0),
-            ids: RefCell::default(),
-            last_server: Cell::new(0),
-            starts: RefCell::default(),
-            trace: trace.map(|to| Traced { to, servers: RefCell::default() }),
+            client_ids: RefCell::default(),
+            last_request_id: Cell::new(0),
+            server_numbers: RefCell::default(),
+            last_server_number: Cell::new(0),
+            listed_starts: RefCell::default(),
+            trace: trace.map(|sink| NodeTrace { sink, servers: RefCell::default() }),
             started: Instant::now(),
             started_unix_ms,
-            told_stood_still: Cell::default(),
-            line: RefCell::new(None),
+            reported_pause: Cell::default(),
+            startup_queue: RefCell::new(None),
         }))
     }
 
-    /// Notes something of a request, where that is on.
-    fn saw(&self, id: RequestId, seen: impl FnOnce(String) -> Seen) {
+    /// Traces an event of a pending request, if tracing is enabled.
+    fn trace_request(&self, id: RequestId, seen: impl FnOnce(String) -> Seen) {
         let Some(trace) = &self.trace else { return };
-        if let Some(held) = self.requests.borrow().get(&id) {
-            trace.to.note(self.now(), seen(held.shown()));
+        if let Some(pending) = self.requests.borrow().get(&id) {
+            trace.sink.note(self.now(), seen(pending.display_id()));
         }
     }
 
-    /// Unix time in milliseconds that never runs backwards: starts of servers are told in it.
+    /// Returns the Unix time in milliseconds, which never runs backwards. Start times of servers are
+    /// expressed in it.
     pub fn now(&self) -> f64 {
         self.started_unix_ms + self.started.elapsed().as_secs_f64() * 1000.0
     }
 
+    /// Reports an event to the decisions, after any pause of this process since the previous event.
     fn handle(self: &Rc<Self>, event: Event) {
-        let stood_still = self.connections.clock().total_pause();
-        let pause = stood_still - self.told_stood_still.replace(stood_still);
+        let total_pause = self.connections.clock().total_pause();
+        let pause = total_pause - self.reported_pause.replace(total_pause);
         if !pause.is_zero() {
             self.decide(Event::Resumed { paused_ms: pause.as_secs_f64() * 1000.0 });
         }
@@ -230,37 +234,39 @@
         let mut actions = Vec::new();
         self.balancer.borrow_mut().handle(self.now(), event, &mut actions);
         for action in actions {
-            self.carry_out(action);
+            self.execute(action);
         }
     }
 
-    fn carry_out(self: &Rc<Self>, action: Action) {
+    fn execute(self: &Rc<Self>, action: Action) {
         match action {
             Action::Send { request, server } => {
                 let mut requests = self.requests.borrow_mut();
-                let Some(held) = requests.get_mut(&request) else { return };
+                let Some(pending) = requests.get_mut(&request) else { return };
                 let cancellation = Rc::new(Cancellation::default());
-                let attempt = held.attempts.len();
+                let attempt = pending.attempts.len();
                 if let Some(trace) = &self.trace {
-                    let (id, server) = (held.shown(), trace.name_of(server));
-                    trace.to.note(self.now(), Seen::Placed { id, attempt, server });
+                    let (id, server) = (pending.display_id(), trace.server_id(server));
+                    trace.sink.note(self.now(), Seen::Placed { id, attempt, server });
                 }
-                let begun = Instant::now();
-                let open = OpenAttempt { server, begun, cancellation: Rc::clone(&cancellation) };
-                held.attempts.push(Some(open));
-                let (node, asked) = (Rc::clone(self), Rc::clone(&held.request));
+                let started_at = Instant::now();
+                let in_flight =
+                    InFlightAttempt { server, started_at, cancellation: Rc::clone(&cancellation) };
+                pending.attempts.push(Some(in_flight));
+                let (node, transport_request) = (Rc::clone(self), Rc::clone(&pending.request));
                 tokio::task::spawn_local(async move {
-                    let mut reply = node.transport.attempt(server, &asked, &cancellation).await;
-                    let took = reply.server_time.unwrap_or_else(|| begun.elapsed());
-                    if let Some(rest) = reply.body_end.take() {
+                    let mut reply = node.transport.attempt(server, &transport_request, &cancellation).await;
+                    let elapsed = reply.server_time.unwrap_or_else(|| started_at.elapsed());
+                    if let Some(body_end) = reply.body_end.take() {
                         node.handle(Event::StreamStarted { request, attempt });
                         if let Some(body) = reply.body.take() {
                             node.answer(request, Answer::Served(body));
                         }
-                        // Dropped unheard, it was given up with its client.
-                        reply.ending = rest.await.unwrap_or(Ending::Cancelled);
+                        // The sender was dropped without a result: the attempt was abandoned together with
+                        // its client.
+                        reply.ending = body_end.await.unwrap_or(Ending::Cancelled);
                     }
-                    node.ended(request, server, attempt, took, reply);
+                    node.attempt_ended(request, server, attempt, elapsed, reply);
                 });
             }
             Action::Probe { server } => {
@@ -271,22 +277,22 @@
                 });
             }
             Action::Cancel { request, attempt } => {
-                self.saw(request, |id| Seen::GivenUp { id, attempt });
+                self.trace_request(request, |id| Seen::GivenUp { id, attempt });
                 let requests = self.requests.borrow();
-                let out = requests.get(&request).and_then(|held| held.attempts.get(attempt));
-                if let Some(Some(open)) = out {
-                    open.cancellation.cancel();
+                let attempt = requests.get(&request).and_then(|pending| pending.attempts.get(attempt));
+                if let Some(Some(in_flight)) = attempt {
+                    in_flight.cancellation.cancel();
                 }
             }
             Action::Refuse { request, retry_after_ms } => {
                 self.answer(request, Answer::Refused(retry_after_ms));
             }
             Action::Fail { request } => self.answer(request, Answer::Failed),
-            // The list is followed whether they ask for it or not.
+            // The list is followed whether the decisions ask for it or not.
             Action::Subscribe => {}
             Action::Ejected { server } => {
-                tracing::info!("server {} is taken out", self.shown(server));
-                (self.signs)(ListEvidence::Ejected);
+                tracing::info!("server {} is ejected", self.display_server(server));
+                (self.on_evidence)(ListEvidence::Ejected);
             }
             Action::SetTimer { timer, after_ms } => {
                 let node = Rc::clone(self);
@@ -296,185 +302,202 @@
                     node.handle(Event::Timer(timer));
                 });
             }
-            Action::Restored { server } => tracing::info!("server {} is back", self.shown(server)),
+            Action::Restored { server } => {
+                tracing::info!("server {} is restored", self.display_server(server))
+            }
             Action::Note(text) => tracing::info!("{text}"),
         }
     }
 
-    /// What the decisions go by now.
+    /// Returns the current settings of the decisions.
     pub fn settings(&self) -> Rc<Settings> {
         Rc::clone(&self.settings.borrow())
     }
 
-    /// Other settings hold for what comes from now on; what is held keeps the rules it came under.
-    pub fn reload(self: &Rc<Self>, new: NewSettings, most_held: usize) {
+    /// Applies new settings to requests that arrive from now on; pending requests keep the settings under
+    /// which they were accepted.
+    pub fn reload(self: &Rc<Self>, new: NewSettings, max_pending: usize) {
         self.settings.replace(Rc::new(new.settings.clone()));
-        self.most_held.set(most_held);
+        self.max_pending.set(max_pending);
         self.handle(Event::Reload(Box::new(new)));
     }
 
-    /// What the decisions have learned, with the servers' ids.
+    /// Returns what the decisions have learned, and the identifiers of the servers it refers to.
     pub fn export_learned(&self) -> (Vec<String>, LearnedState) {
         let mut learned = self.balancer.borrow().export_learned();
-        let ids = self.ids.borrow();
-        let names: HashMap<ServerId, &String> = ids.iter().map(|(id, server)| (*server, id)).collect();
-        learned.servers.retain(|known| names.contains_key(&known.server));
-        (learned.servers.iter().map(|known| names[&known.server].clone()).collect(), learned)
-    }
-
-    /// Goes on from what another process of this node has learned, whose servers have these ids. For before the first request.
-    pub fn import_learned(self: &Rc<Self>, ids: &[String], mut learned: LearnedState) {
-        let own = self.ids.borrow();
-        let known = std::mem::take(&mut learned.servers).into_iter().zip(ids);
-        learned.servers = known
-            .filter_map(|(known, id)| {
-                own.get(id).map(|server| LearnedServerState { server: *server, ..known })
+        let server_numbers = self.server_numbers.borrow();
+        let server_ids: HashMap<ServerId, &String> =
+            server_numbers.iter().map(|(id, server)| (*server, id)).collect();
+        learned.servers.retain(|state| server_ids.contains_key(&state.server));
+        (learned.servers.iter().map(|state| server_ids[&state.server].clone()).collect(), learned)
+    }
+
+    /// Continues from what another process of this node has learned about the servers with these identifiers.
+    /// To be called before the first request.
+    pub fn import_learned(self: &Rc<Self>, server_ids: &[String], mut learned: LearnedState) {
+        let own_numbers = self.server_numbers.borrow();
+        let states = std::mem::take(&mut learned.servers).into_iter().zip(server_ids);
+        learned.servers = states
+            .filter_map(|(state, id)| {
+                own_numbers.get(id).map(|server| LearnedServerState { server: *server, ..state })
             })
             .collect();
-        drop(own);
+        drop(own_numbers);
         self.handle(Event::ImportLearnedState(Box::new(learned)));
     }
 
-    /// Connections to servers.
+    /// Returns the transport, which owns the connections to servers.
     pub fn transport(&self) -> &T {
         &self.transport
     }
 
     // ---- Requests
 
-    /// Requests wait until [`Node::start_serving`]: nothing confirms the list of servers yet.
+    /// Queues requests until [`Node::start_serving`]: the list of servers has not been confirmed yet.
     pub fn queue_until_serving(&self) {
-        self.line.replace(Some(Line::default()));
+        self.startup_queue.replace(Some(StartupQueue::default()));
     }
 
-    /// Requests that waited go on, and others as they come.
+    /// Passes on the queued requests, and from now on other requests as they arrive.
     pub fn start_serving(self: &Rc<Self>) {
-        let Some(mut line) = self.line.take() else { return };
-        for request in line.release(Instant::now()) {
+        let Some(mut startup_queue) = self.startup_queue.take() else { return };
+        for request in startup_queue.drain_all(Instant::now()) {
             self.handle(Event::Request(request));
         }
     }
 
-    /// Whether the process has just started and requests wait.
+    /// Returns whether the process has just started and requests are queued.
     pub fn is_starting(&self) -> bool {
-        self.line.borrow().is_some()
+        self.startup_queue.borrow().is_some()
     }
 
-    /// Lets a request wait for the list, for a part of its time; then it is refused.
-    fn wait_in_line(self: &Rc<Self>, request: Request) {
+    /// Queues a request until the list is confirmed, for a part of its time; then it is refused.
+    fn queue_request(self: &Rc<Self>, request: Request) {
         let id = request.id;
-        let mut line = self.line.borrow_mut();
-        let Some(most) = line.as_mut().map(|line| line.join(request, Instant::now())) else { return };
+        let mut startup_queue = self.startup_queue.borrow_mut();
+        let Some(max_wait) = startup_queue.as_mut().map(|queue| queue.push(request, Instant::now())) else {
+            return;
+        };
         let node = Rc::clone(self);
         tokio::task::spawn_local(async move {
-            sleep_and_catch_up(most).await;
-            if node.leave_line(id) {
-                let (name, waited) = (node.name_of(id), most.as_secs_f64());
-                tracing::info!("request {name} refused, it waited {waited:.3} s for the list");
+            sleep_and_catch_up(max_wait).await;
+            if node.dequeue(id) {
+                let (client_id, waited) = (node.client_request_id(id), max_wait.as_secs_f64());
+                tracing::info!(
+                    "request {client_id} refused after waiting {waited:.3} s for the list of servers"
+                );
                 let retry_after_ms = node.settings().max_retry_after_ms;
                 node.answer(id, Answer::Refused(retry_after_ms));
             }
         });
     }
 
-    /// A request waits no more. Whether it did.
-    fn leave_line(&self, id: RequestId) -> bool {
-        self.line.borrow_mut().as_mut().is_some_and(|line| line.leave(id))
+    /// Removes a request from the startup queue, and returns whether it was queued.
+    fn dequeue(&self, id: RequestId) -> bool {
+        self.startup_queue.borrow_mut().as_mut().is_some_and(|queue| queue.remove(id))
     }
 
-    /// What its client calls a request that is held.
-    fn name_of(&self, id: RequestId) -> String {
-        self.requests.borrow().get(&id).map_or_else(String::new, Held::shown)
+    /// Returns the client's identifier of a pending request.
+    fn client_request_id(&self, id: RequestId) -> String {
+        self.requests.borrow().get(&id).map_or_else(String::new, PendingRequest::display_id)
     }
 
-    /// Takes a request, where that can be. The answer comes through `answer`.
+    /// Accepts a request if possible. Its final answer is sent through `answer`.
     pub fn accept(
         self: &Rc<Self>,
-        asked: T::Request,
+        transport_request: T::Request,
         request: Request,
         answer: oneshot::Sender<Answer<T::Body>>,
     ) -> Result<RequestId, NotAccepted> {
-        if self.requests.borrow().len() >= self.most_held.get() {
+        if self.requests.borrow().len() >= self.max_pending.get() {
             return Err(NotAccepted::Full);
         }
-        if !self.names.borrow_mut().insert(asked.client_request_id().clone()) {
+        if !self.client_ids.borrow_mut().insert(transport_request.client_request_id().clone()) {
             return Err(NotAccepted::DuplicateId);
         }
-        self.last_id.set(self.last_id.get() + 1);
-        let id = RequestId(self.last_id.get());
-        let preferred_server = self.affinity.as_ref().zip(asked.affinity());
-        let preferred_server =
-            preferred_server.and_then(|(affinity, ask)| affinity.borrow_mut().prefers(self.now(), ask));
-        let held =
-            Held { request: Rc::new(asked), answer: Some(answer), attempts: Vec::new(), has_begun: false };
-        self.requests.borrow_mut().insert(id, held);
-        self.saw(id, |id| Seen::Asked { id, class: request.class });
+        self.last_request_id.set(self.last_request_id.get() + 1);
+        let id = RequestId(self.last_request_id.get());
+        let preferred_server = self.affinity.as_ref().zip(transport_request.affinity());
+        let preferred_server = preferred_server
+            .and_then(|(affinity, affinity_key)| affinity.borrow_mut().prefers(self.now(), affinity_key));
+        let pending = PendingRequest {
+            request: Rc::new(transport_request),
+            answer: Some(answer),
+            attempts: Vec::new(),
+            has_begun: false,
+        };
+        self.requests.borrow_mut().insert(id, pending);
+        self.trace_request(id, |id| Seen::Asked { id, class: request.class });
         let request = Request { id, preferred_server, ..request };
         if self.is_starting() {
-            self.wait_in_line(request);
+            self.queue_request(request);
         } else {
             self.handle(Event::Request(request));
         }
         Ok(id)
     }
 
-    /// The client has left, or its time is up: no answer is owed any more.
+    /// Records that the client has left or its time is up: it is no longer owed an answer.
     pub fn client_gone(self: &Rc<Self>, id: RequestId) {
-        let owed = self.requests.borrow_mut().get_mut(&id).and_then(|held| held.answer.take());
-        if owed.is_some() {
-            self.saw(id, |id| Seen::Left { id });
-            self.leave_line(id);
+        let sender = self.requests.borrow_mut().get_mut(&id).and_then(|pending| pending.answer.take());
+        if sender.is_some() {
+            self.trace_request(id, |id| Seen::Left { id });
+            self.dequeue(id);
             self.handle(Event::ClientGone(id));
-            // Guards against an attempt that begins for nobody where the settings forbid to cancel one that has begun.
-            if let Some(held) = self.requests.borrow().get(&id) {
-                held.attempts.iter().flatten().for_each(|open| open.cancellation.cancel_unsent());
+            // Attempts that have not begun are cancelled here, because settings may forbid cancelling one
+            // that has begun; otherwise an attempt could begin although no client waits for it.
+            if let Some(pending) = self.requests.borrow().get(&id) {
+                pending.attempts.iter().flatten().for_each(|attempt| attempt.cancellation.cancel_unsent());
             }
-            self.forget_if_over(id);
+            self.remove_if_finished(id);
         }
     }
 
-    /// Takes a request back that has surely not been sent to any server: no attempt of it begins any more, and its answer is the
-    /// caller's. `None` where a server may have been sent any of it, or it has been answered.
+    /// Withdraws a request of which certainly nothing was sent to a server: no attempt of it is started any
+    /// more, and the caller has to answer it. Returns `None` if any part of it may have been sent, or if it
+    /// has been answered.
     pub fn withdraw(self: &Rc<Self>, id: RequestId) -> Option<Rc<T::Request>> {
         let requests = self.requests.borrow();
-        let held = requests.get(&id).filter(|held| held.answer.is_some() && !held.may_have_been_sent())?;
-        let request = Rc::clone(&held.request);
+        let pending =
+            requests.get(&id).filter(|pending| pending.answer.is_some() && !pending.may_have_been_sent())?;
+        let request = Rc::clone(&pending.request);
         drop(requests);
         self.client_gone(id);
         Some(request)
     }
 
-    /// Part of its body is gone for good: it cannot be sent again.
+    /// Records that part of the request's body has been consumed and is not buffered: it cannot be sent
+    /// again.
     pub fn body_consumed(self: &Rc<Self>, id: RequestId) {
         self.handle(Event::BodyConsumed(id));
     }
 
-    /// Requests that still wait for something.
+    /// Returns the number of pending requests.
     pub fn pending_requests(&self) -> usize {
         self.requests.borrow().len()
     }
 
-    /// Servers in the list, and those of them that the decisions avoid now.
+    /// Returns the number of listed servers, and how many of them the decisions currently avoid.
     pub fn server_counts(&self) -> (usize, usize) {
-        (self.ids.borrow().len(), self.balancer.borrow().ejected_count(self.now()))
+        (self.server_numbers.borrow().len(), self.balancer.borrow().ejected_count(self.now()))
     }
 
     fn answer(&self, id: RequestId, answer: Answer<T::Body>) {
-        let owed = self.requests.borrow_mut().get_mut(&id).and_then(|held| held.answer.take());
-        if let Some(owed) = owed {
+        let sender = self.requests.borrow_mut().get_mut(&id).and_then(|pending| pending.answer.take());
+        if let Some(sender) = sender {
             let name = match &answer {
                 Answer::Served(_) => "served",
                 Answer::Refused(_) => "refused",
                 Answer::Failed => "failed",
             };
-            self.saw(id, |id| Seen::Answered { id, answer: name.into() });
-            // It fails where the client has just left.
-            let _ = owed.send(answer);
+            self.trace_request(id, |id| Seen::Answered { id, answer: name.into() });
+            // This fails if the client has just left.
+            let _ = sender.send(answer);
         }
-        self.forget_if_over(id);
+        self.remove_if_finished(id);
     }
 
-    fn ended(
+    fn attempt_ended(
         self: &Rc<Self>,
         id: RequestId,
         server: ServerId,
@@ -482,35 +505,41 @@
         elapsed: Duration,
         reply: Reply<T::Body>,
     ) {
-        let mut ask = None;
-        self.saw(id, |id| Seen::Ended { id, attempt, how: format!("{:?}", reply.ending) });
-        if let Some(held) = self.requests.borrow_mut().get_mut(&id) {
-            let ended = held.attempts[attempt].take();
-            held.has_begun |= ended.is_some_and(|ended| ended.cancellation.has_begun());
-            ask = held.request.affinity();
+        let mut affinity_key = None;
+        self.trace_request(id, |id| Seen::Ended { id, attempt, how: format!("{:?}", reply.ending) });
+        if let Some(pending) = self.requests.borrow_mut().get_mut(&id) {
+            let ended_attempt = pending.attempts[attempt].take();
+            pending.has_begun |= ended_attempt.is_some_and(|ended| ended.cancellation.has_begun());
+            affinity_key = pending.request.affinity();
         }
         if let Some(affinity) = self.affinity.as_ref().filter(|_| reply.ending == Ending::Served) {
-            for ask in ask.into_iter().chain(reply.affinity.filter(|names| Some(*names) != ask)) {
-                affinity.borrow_mut().served(self.now(), ask, server);
+            for affinity_key in affinity_key
+                .into_iter()
+                .chain(reply.affinity.filter(|named_key| Some(*named_key) != affinity_key))
+            {
+                affinity.borrow_mut().served(self.now(), affinity_key, server);
             }
         }
-        let listed = self.starts.borrow().get(&server).copied();
-        if listed.zip(reply.started_at).is_some_and(|(listed, said)| said > listed + SAME_START) {
-            (self.signs)(ListEvidence::Restarted);
+        let listed_start = self.listed_starts.borrow().get(&server).copied();
+        if listed_start
+            .zip(reply.started_at)
+            .is_some_and(|(listed, reported)| reported > listed + START_TOLERANCE_MS)
+        {
+            (self.on_evidence)(ListEvidence::Restarted);
         }
-        let waits = |report: LoadReport| report.queued.or(report.in_flight);
+        let load = |report: LoadReport| report.queued.or(report.in_flight);
         match reply.ending {
-            Ending::Unreachable => (self.signs)(ListEvidence::Unreachable(server)),
+            Ending::Unreachable => (self.on_evidence)(ListEvidence::Unreachable(server)),
             Ending::Full => {
-                let idle = reply.report.and_then(waits).is_some_and(|waits| waits < 1.0);
-                (self.signs)(ListEvidence::Refused { idle });
+                let idle = reply.report.and_then(load).is_some_and(|load| load < 1.0);
+                (self.on_evidence)(ListEvidence::Refused { idle });
             }
             _ => {}
         }
         if let Some(body) = reply.body {
             self.answer(id, Answer::Served(body));
         }
-        let complete = self.requests.borrow().get(&id).is_none_or(|held| held.answer.is_none());
+        let complete = self.requests.borrow().get(&id).is_none_or(|pending| pending.answer.is_none());
         self.handle(Event::Outcome(Outcome {
             request: id,
             attempt,
@@ -519,120 +548,130 @@
             complete,
             report: reply.report,
         }));
-        self.forget_if_over(id);
+        self.remove_if_finished(id);
     }
 
-    fn forget_if_over(&self, id: RequestId) {
+    fn remove_if_finished(&self, id: RequestId) {
         let mut requests = self.requests.borrow_mut();
-        let over = |held: &Held<T>| held.answer.is_none() && held.attempts.iter().all(Option::is_none);
-        if requests.get(&id).is_some_and(over) {
-            let held = requests.remove(&id).expect("found");
-            self.names.borrow_mut().remove(held.request.client_request_id());
+        let is_finished = |pending: &PendingRequest<T>| {
+            pending.answer.is_none() && pending.attempts.iter().all(Option::is_none)
+        };
+        if requests.get(&id).is_some_and(is_finished) {
+            let pending = requests.remove(&id).expect("found");
+            self.client_ids.borrow_mut().remove(pending.request.client_request_id());
         }
     }
 
     // ---- The list of servers
 
-    /// The whole list, or what changed in it.
+    /// Applies a complete list of servers, or the changes to it.
     pub fn update_servers(self: &Rc<Self>, complete: bool, servers: Vec<ListedServer>) {
-        self.log_attempts_out_to(&self.leaving(complete, &servers));
+        self.log_in_flight_attempts(&self.leaving(complete, &servers));
         let entries = self.entries(complete, servers);
-        let listing = if complete { ListUpdate::Full(entries) } else { ListUpdate::Changes(entries) };
-        self.handle(Event::Servers(listing));
+        let update = if complete { ListUpdate::Full(entries) } else { ListUpdate::Changes(entries) };
+        self.handle(Event::Servers(update));
     }
 
-    /// The whole list as it was known in an earlier run.
+    /// Loads the complete list as it was known in an earlier run.
     pub fn load_cached_servers(self: &Rc<Self>, servers: Vec<ListedServer>) {
         let entries = self.entries(true, servers);
         self.handle(Event::Servers(ListUpdate::Cached(entries)));
     }
 
-    /// The entries of a list, their servers numbered and their addresses noted.
+    /// Returns the entries of a list, after numbering their servers and passing their addresses to the
+    /// transport.
     fn entries(&self, complete: bool, servers: Vec<ListedServer>) -> Vec<ServerEntry> {
-        let mut bound = Vec::new();
-        let mut ids = self.ids.borrow_mut();
+        let mut affinity_servers = Vec::new();
+        let mut server_numbers = self.server_numbers.borrow_mut();
         if complete {
             let listed: HashSet<_> = servers.iter().map(|server| &server.id).collect();
-            ids.retain(|id, server| {
+            server_numbers.retain(|id, server| {
                 let stays = listed.contains(id);
                 if !stays {
-                    self.told(*server, id, Availability::Gone);
+                    self.trace_availability(*server, id, Availability::Gone);
                     self.transport.remove_server(*server);
-                    self.starts.borrow_mut().remove(server);
+                    self.listed_starts.borrow_mut().remove(server);
                 }
                 stays
             });
         }
         let mut entries = Vec::with_capacity(servers.len());
         for ListedServer { id, address, mut entry } in servers {
-            // Numbers are not used again: what was sent to a server that has gone may end late.
-            let next = ServerId(self.last_server.get() + 1);
-            let number = *ids.entry(id.clone()).or_insert(next);
-            self.last_server.set(self.last_server.get().max(number.0));
-            self.told(number, &id, entry.availability);
+            // Numbers are never reused: an attempt sent to a server that is gone may end late.
+            let next = ServerId(self.last_server_number.get() + 1);
+            let number = *server_numbers.entry(id.clone()).or_insert(next);
+            self.last_server_number.set(self.last_server_number.get().max(number.0));
+            self.trace_availability(number, &id, entry.availability);
             if entry.availability == Availability::Gone {
-                ids.remove(&id);
+                server_numbers.remove(&id);
                 self.transport.remove_server(number);
-                self.starts.borrow_mut().remove(&number);
+                self.listed_starts.borrow_mut().remove(&number);
             } else {
-                self.starts.borrow_mut().insert(number, entry.started_at.unwrap_or(0.0));
+                self.listed_starts.borrow_mut().insert(number, entry.started_at.unwrap_or(0.0));
                 self.transport.set_server(number, address, entry.availability == Availability::Ready);
             }
             entry.server = number;
             if self.affinity.is_some() {
-                bound.push(bindable(id, &entry, self.settings().zone));
+                affinity_servers.push(affinity_server(id, &entry, self.settings().zone));
             }
             entries.push(entry);
         }
         if let Some(affinity) = &self.affinity {
-            affinity.borrow_mut().listed(self.now(), complete, bound);
+            affinity.borrow_mut().listed(self.now(), complete, affinity_servers);
         }
         entries
     }
 
-    /// A server's id in the list, or its number where no list names it any more.
-    fn shown(&self, server: ServerId) -> String {
-        let ids = self.ids.borrow();
-        let id = ids.iter().find(|(_, listed)| **listed == server);
+    /// Returns a server's identifier in the list, or its number if it is not listed.
+    fn display_server(&self, server: ServerId) -> String {
+        let server_numbers = self.server_numbers.borrow();
+        let id = server_numbers.iter().find(|(_, listed)| **listed == server);
         id.map_or_else(|| server.0.to_string(), |(id, _)| id.clone())
     }
 
-    /// Listed servers that a list is about to tell to be draining or gone.
+    /// Returns the listed servers that a list is about to declare draining or gone.
     fn leaving(&self, complete: bool, servers: &[ListedServer]) -> Vec<ServerId> {
-        let ids = self.ids.borrow();
+        let server_numbers = self.server_numbers.borrow();
         let stays = |server: &&ListedServer| server.entry.availability == Availability::Ready;
         if complete {
             let staying: HashSet<&String> = servers.iter().filter(stays).map(|server| &server.id).collect();
-            return ids.iter().filter(|(id, _)| !staying.contains(id)).map(|(_, server)| *server).collect();
+            return server_numbers
+                .iter()
+                .filter(|(id, _)| !staying.contains(id))
+                .map(|(_, server)| *server)
+                .collect();
         }
         servers
             .iter()
             .filter(|server| !stays(server))
-            .filter_map(|server| ids.get(&server.id).copied())
+            .filter_map(|server| server_numbers.get(&server.id).copied())
             .collect()
     }
 
-    /// Logs which attempts are out to servers that leave, the latest to each by its request.
-    fn log_attempts_out_to(&self, leaving: &[ServerId]) {
-        for server in leaving.iter().take(LOGGED_LEAVING_MOST) {
+    /// Logs how many attempts are in flight to servers that leave, and for each the request of the latest.
+    fn log_in_flight_attempts(&self, leaving: &[ServerId]) {
+        for server in leaving.iter().take(MAX_LOGGED_LEAVING) {
             let requests = self.requests.borrow();
-            let out = requests
+            let in_flight = requests
                 .values()
-                .flat_map(|held| held.attempts.iter().flatten().map(move |open| (held, open)));
-            let out: Vec<_> = out.filter(|(_, open)| open.server == *server).collect();
-            let Some((held, latest)) = out.iter().max_by_key(|(_, open)| open.begun) else { continue };
+                .flat_map(|pending| pending.attempts.iter().flatten().map(move |attempt| (pending, attempt)));
+            let in_flight: Vec<_> = in_flight.filter(|(_, attempt)| attempt.server == *server).collect();
+            let Some((pending, latest)) = in_flight.iter().max_by_key(|(_, attempt)| attempt.started_at)
+            else {
+                continue;
+            };
             tracing::info!(
-                "server {} leaves with {} attempts out, the latest begun {:.3} s ago for request {}",
-                self.shown(*server),
-                out.len(),
-                latest.begun.elapsed().as_secs_f64(),
-                held.shown()
+                "server {} is leaving with {} attempts in flight, the latest started {:.3} s ago for request {}",
+                self.display_server(*server),
+                in_flight.len(),
+                latest.started_at.elapsed().as_secs_f64(),
+                pending.display_id()
             );
         }
     }
 
-    /// Notes what a list says of a server, where that is new.
-    fn told(&self, server: ServerId, id: &str, availability: Availability) {
+    /// Traces the availability of a server according to a list, if it has changed.
+    fn trace_availability(&self, server: ServerId, id: &str, availability: Availability) {
         let Some(trace) = &self.trace else { return };
         let state = match availability {
             Availability::Ready => State::Ready,
@@ -645,11 +684,12 @@
             _ => servers.insert(server, (id.to_owned(), state)).map(|(_, state)| state),
         };
         if known != Some(state) {
-            trace.to.note(self.now(), Seen::Told { server: id.to_owned(), state });
+            trace.sink.note(self.now(), Seen::Told { server: id.to_owned(), state });
         }
     }
 
-    /// Closes connections to servers whose places others need, for as long as the node runs.
+    /// Closes idle connections to servers whenever clients need their descriptors, for as long as the node
+    /// runs.
     pub async fn release_server_connections(self: Rc<Self>) {
         loop {
             self.connections.server_close_requested.notified().await;
@@ -657,27 +697,29 @@
         }
     }
 
-    /// Closes connections to servers before the servers do, for as long as the node runs.
+    /// Closes idle connections to servers before the servers do, for as long as the node runs.
     pub async fn close_idle_connections(self: Rc<Self>) {
         loop {
-            sleep(self.tidy_every).await;
+            sleep(self.idle_check_interval).await;
             self.transport.close_idle();
         }
     }
 }
 
-/// The time, in Unix milliseconds.
+/// Returns the current Unix time in milliseconds.
 ///
 /// # Errors
 ///
-/// A clock before 1970.
+/// A system clock before 1970.
 pub fn unix_ms() -> Result<f64, String> {
-    let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_err(|e| format!("the clock: {e}"))?;
+    let unix = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_err(|e| format!("the system clock is before 1970: {e}"))?;
     Ok(unix.as_secs_f64() * 1000.0)
 }
 
-/// A server as keys are bound to it.
-fn bindable(id: String, entry: &ServerEntry, zone: usize) -> spurdrum_affinity::Listed {
+/// Returns a server as the affinity table sees it.
+fn affinity_server(id: String, entry: &ServerEntry, zone: usize) -> spurdrum_affinity::Listed {
     spurdrum_affinity::Listed {
         id,
         server: entry.server,
--- a/crates/spurdrum-core/src/passed.rs
+++ b/crates/spurdrum-core/src/passed.rs
@@ -1,25 +1,25 @@
-//! A client's connection on its way from one process to the other.
+//! Client connections that are handed over between processes.
 
 use std::net::TcpStream;
 
-/// A client's connection that one process passes to the other.
+/// A client connection that the outgoing process hands over to the incoming process.
 #[derive(Debug)]
 pub struct HandedOverConnection {
     /// The socket.
     pub stream: TcpStream,
-    /// What has been read from it and is still to be served: nothing, or a request that no server has been sent and what came
-    /// behind it.
+    /// Bytes that were read from the socket and have not been served: none, or a request of which nothing was
+    /// sent to a server, followed by the bytes received after it.
     pub read: Vec<u8>,
 }
 
 impl HandedOverConnection {
-    /// A connection of which nothing is left to be served but what its socket holds.
+    /// Creates a connection of which everything read so far has been served.
     #[must_use]
     pub fn idle(stream: TcpStream) -> Self {
         Self { stream, read: Vec::new() }
     }
 
-    /// Whether a request has been read from it that is still to be served.
+    /// Returns whether a request that was read from the connection still has to be served.
     #[must_use]
     pub fn has_request(&self) -> bool {
         !self.read.is_empty()
--- a/crates/spurdrum-core/src/pause.rs
+++ b/crates/spurdrum-core/src/pause.rs
@@ -1,9 +1,11 @@
-//! Pauses of this process: times in which it stood still while the rest of the world went on, as on a machine that is busy, is
-//! suspended, or stops the process by a signal.
+//! Pauses of this process: periods in which it did not run while other processes did, for example on a busy
+//! machine, on one that is suspended, or because a signal stopped the process.
 //!
-//! What others said meanwhile lies unread when the process resumes. So a pause is nobody else's silence: [`PauseAdjustedClock`] is a clock
-//! that leaves pauses out, for judging others by, and [`pause_adjusted_timeout`] bounds a wait by the time in which the process could
-//! have noticed an answer. Promises to others (a client's deadline, the end of the process) go by the monotonic clock.
+//! Messages that others sent during a pause are still unread when the process resumes, so a pause must not be
+//! taken for silence of others. [`PauseAdjustedClock`] is a clock that leaves pauses out, for measuring
+//! timeouts of others, and [`pause_adjusted_timeout`] limits a wait by the time in which the process could
+//! have noticed a response. Promises to others (a client's deadline, the end of the process) go by the
+//! monotonic clock.
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -13,111 +15,113 @@
 
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-/// How often the process looks at the clock.
+/// How often the process checks the clock.
 const TICK: Duration = Duration::from_millis(100);
-/// A look that comes so long after the one before shows a pause.
-const PAUSE_LEAST: Duration = Duration::from_millis(200);
-/// What has come during a pause has been read this long after it. Shorter pauses than [`PAUSE_LEAST`] are not seen, and a pause may
-/// be taken for a tick longer than it was.
-const READ_FIRST: Duration = Duration::from_millis(20);
-/// A pause of this length has a line in the log.
-const LOGGED_LEAST: Duration = Duration::from_millis(500);
-
-/// Finds pauses by when the process was last seen to run. Pure: times are those since its start.
+/// A check that comes this long after the previous one indicates a pause.
+const MIN_PAUSE: Duration = Duration::from_millis(200);
+/// How long after a pause everything that arrived during it has been read. Pauses shorter than [`MIN_PAUSE`]
+/// are not detected, and a pause may be measured up to one tick longer than it was.
+const CATCH_UP_TIME: Duration = Duration::from_millis(20);
+/// Pauses of at least this length are logged.
+const MIN_LOGGED_PAUSE: Duration = Duration::from_millis(500);
+
+/// Detects pauses from the times at which the process was seen running. Pure: times count from its start.
 #[derive(Debug, Default)]
 pub struct PauseDetector {
-    seen_at: Duration,
-    stood_still: Duration,
+    last_seen: Duration,
+    total_pause: Duration,
 }
 
 impl PauseDetector {
-    /// The process runs at `now`. How long it stood still just before, where that was a pause.
+    /// Records that the process runs at `now`. Returns how long it was paused just before, if it was.
     pub fn observe(&mut self, now: Duration) -> Option<Duration> {
-        let unseen = now.saturating_sub(self.seen_at);
-        self.seen_at = self.seen_at.max(now);
-        // It may have run for up to a tick after it was last seen: others get as much more time.
-        let pause = (unseen >= PAUSE_LEAST).then_some(unseen)?;
-        self.stood_still += pause;
+        let since_last_seen = now.saturating_sub(self.last_seen);
+        self.last_seen = self.last_seen.max(now);
+        // The process may have run for up to a tick after it was last seen; others get that much more time.
+        let pause = (since_last_seen >= MIN_PAUSE).then_some(since_last_seen)?;
+        self.total_pause += pause;
         Some(pause)
     }
 
-    /// The time up to `now` without pauses. It does not run backwards.
+    /// Returns the time up to `now` without pauses. It never runs backwards.
     pub fn running_time(&self, now: Duration) -> Duration {
-        now.saturating_sub(self.stood_still)
+        now.saturating_sub(self.total_pause)
     }
 
-    /// All pauses together.
+    /// Returns the total length of all pauses.
     pub fn total_pause(&self) -> Duration {
-        self.stood_still
+        self.total_pause
     }
 }
 
-/// The clock by which others are judged: it stands still while this process does.
+/// The clock for measuring timeouts of others: it stops while this process is paused.
 #[derive(Debug)]
 pub struct PauseAdjustedClock {
     started: Instant,
-    watch: RefCell<PauseDetector>,
-    /// When the last pause was seen to be over.
+    detector: RefCell<PauseDetector>,
+    /// When the end of the last pause was noticed.
     resumed_at: Cell<Option<Instant>>,
-    /// Whether somebody looks at the clock at each tick. Without that a quiet time cannot be told from a pause.
-    is_kept: Cell<bool>,
+    /// Whether [`PauseAdjustedClock::run`] checks the clock at each tick. Without it an idle period cannot be
+    /// told from a pause.
+    is_running: Cell<bool>,
 }
 
 impl PauseAdjustedClock {
-    /// A clock that begins now. Until [`PauseAdjustedClock::run`] runs it finds no pause.
+    /// Creates a clock that starts now. It detects no pauses until [`PauseAdjustedClock::run`] is running.
     #[must_use]
     pub fn new() -> Rc<Self> {
         Rc::new(Self {
             started: Instant::now(),
-            watch: RefCell::default(),
+            detector: RefCell::default(),
             resumed_at: Cell::default(),
-            is_kept: Cell::new(false),
+            is_running: Cell::new(false),
         })
     }
 
-    /// Time since its start, without pauses.
+    /// Returns the running time: the time since the clock's start, without pauses.
     pub fn now(&self) -> Duration {
         let now = self.observe();
-        self.watch.borrow().running_time(now)
+        self.detector.borrow().running_time(now)
     }
 
-    /// All pauses together, up to now.
+    /// Returns the total length of all pauses up to now.
     pub fn total_pause(&self) -> Duration {
         self.observe();
-        self.watch.borrow().total_pause()
+        self.detector.borrow().total_pause()
     }
 
     fn observe(&self) -> Duration {
         let now = self.started.elapsed();
-        if !self.is_kept.get() {
+        if !self.is_running.get() {
             return now;
         }
-        let pause = self.watch.borrow_mut().observe(now);
+        let pause = self.detector.borrow_mut().observe(now);
         if pause.is_some() {
             self.resumed_at.set(Some(Instant::now()));
         }
-        if let Some(pause) = pause.filter(|pause| *pause >= LOGGED_LEAST) {
-            tracing::warn!("this process stood still for {:.3} s", pause.as_secs_f64());
+        if let Some(pause) = pause.filter(|pause| *pause >= MIN_LOGGED_PAUSE) {
+            tracing::warn!("this process was paused for {:.3} s", pause.as_secs_f64());
         }
         now
     }
 
-    /// Right after a pause, waits until what has come meanwhile has been read; else returns at once.
+    /// Right after a pause, waits until everything that arrived during it has been read; otherwise returns
+    /// immediately.
     pub async fn caught_up(&self) {
         loop {
             self.observe();
-            let Some(until) = self.resumed_at.get().map(|at| at + READ_FIRST) else { return };
-            if Instant::now() >= until {
+            let Some(caught_up_at) = self.resumed_at.get().map(|at| at + CATCH_UP_TIME) else { return };
+            if Instant::now() >= caught_up_at {
                 return;
             }
-            sleep_until(until).await;
+            sleep_until(caught_up_at).await;
         }
     }
 
-    /// Looks at the clock at each tick, for as long as the process runs.
+    /// Checks the clock at each tick, for as long as the process runs.
     pub async fn run(self: Rc<Self>) {
-        self.watch.borrow_mut().seen_at = self.started.elapsed();
-        self.is_kept.set(true);
+        self.detector.borrow_mut().last_seen = self.started.elapsed();
+        self.is_running.set(true);
         loop {
             sleep(TICK).await;
             self.observe();
@@ -125,70 +129,73 @@
     }
 }
 
-/// Where a process that wakes now for what was due then stood still meanwhile: when to look again, once what has come is read.
-/// After a stop by a signal the event loop heeds its timers before its sockets.
+/// Returns when to check again, if the process was paused between `due` and now: once everything that arrived
+/// meanwhile has been read. Needed because after a stop by a signal the event loop runs its timers before it
+/// reads its sockets.
 #[must_use]
 pub fn catch_up_deadline(due: Instant) -> Option<Instant> {
     let now = Instant::now();
-    (now.saturating_duration_since(due) >= PAUSE_LEAST).then(|| now + READ_FIRST)
+    (now.saturating_duration_since(due) >= MIN_PAUSE).then(|| now + CATCH_UP_TIME)
 }
 
-/// Sleeps, and where the process wakes late, a moment more: what has come meanwhile is read before what became due is judged.
-pub async fn sleep_and_catch_up(most: Duration) {
-    let due = Instant::now() + most;
-    sleep(most).await;
-    if let Some(again) = catch_up_deadline(due) {
-        sleep_until(again).await;
+/// Sleeps, and if the process wakes late a moment longer: what arrived meanwhile is read before the caller
+/// acts on the elapsed time.
+pub async fn sleep_and_catch_up(duration: Duration) {
+    let due = Instant::now() + duration;
+    sleep(duration).await;
+    if let Some(catch_up) = catch_up_deadline(due) {
+        sleep_until(catch_up).await;
     }
 }
 
-/// Pauses may make a wait longer, but not more than so many times.
-const LONGER_MOST: u32 = 2;
+/// The largest factor by which pauses may extend a wait.
+const MAX_PAUSE_FACTOR: u32 = 2;
 
-/// How long others are still waited for, in time in which this process runs. Pure.
+/// The remaining time of a wait for others, measured in time in which this process runs. Pure.
 #[derive(Debug)]
-struct Patience {
-    left: Duration,
-    /// The wait ends by then, however many pauses there are.
-    left_with_pauses: Duration,
+struct RemainingWait {
+    running_left: Duration,
+    /// The remaining time including pauses: the wait ends by then, however many pauses there are.
+    total_left: Duration,
 }
 
-impl Patience {
-    fn new(most: Duration) -> Self {
-        Self { left: most, left_with_pauses: most * LONGER_MOST }
+impl RemainingWait {
+    fn new(max: Duration) -> Self {
+        Self { running_left: max, total_left: max * MAX_PAUSE_FACTOR }
     }
 
-    /// The next part of the wait, a tick at the most; none where the wait is over.
+    /// Returns the next part of the wait, at most one tick; none if the wait is over.
     fn next_step(&self) -> Option<Duration> {
-        let step = self.left.min(TICK);
+        let step = self.running_left.min(TICK);
         (!step.is_zero()).then_some(step)
     }
 
-    /// A part of the wait that was to take `step` took so long. A pause does not count, and leaves a tick at least for what has come
-    /// meanwhile.
-    fn waited(&mut self, step: Duration, took: Duration) {
-        let is_pause = took.saturating_sub(step) >= PAUSE_LEAST;
-        let is_last = self.left_with_pauses.is_zero();
-        self.left_with_pauses = self.left_with_pauses.saturating_sub(took);
-        self.left = match () {
+    /// Records that a part of the wait that should have taken `step` took `elapsed`. A pause does not count,
+    /// and leaves at least one tick for reading what arrived meanwhile.
+    fn record(&mut self, step: Duration, elapsed: Duration) {
+        let is_pause = elapsed.saturating_sub(step) >= MIN_PAUSE;
+        let is_last = self.total_left.is_zero();
+        self.total_left = self.total_left.saturating_sub(elapsed);
+        self.running_left = match () {
             () if is_last => Duration::ZERO,
-            () if self.left_with_pauses.is_zero() => TICK,
-            () if is_pause => self.left.max(TICK),
-            () => self.left.saturating_sub(took),
+            () if self.total_left.is_zero() => TICK,
+            () if is_pause => self.running_left.max(TICK),
+            () => self.running_left.saturating_sub(elapsed),
         };
     }
 }
 
-/// Waits for `future`, up to `most` of the time in which this process runs, twice that with pauses. `None` where it has not come by then.
-pub async fn pause_adjusted_timeout<F: Future>(most: Duration, future: F) -> Option<F::Output> {
+/// Waits for `future`, up to `max` of the time in which this process runs, and up to twice that including
+/// pauses. Returns `None` if it has not completed by then.
+pub async fn pause_adjusted_timeout<F: Future>(max: Duration, future: F) -> Option<F::Output> {
     let mut future = pin!(future);
-    let mut patience = Patience::new(most);
-    while let Some(step) = patience.next_step() {
-        let begun = Instant::now();
+    let mut wait = RemainingWait::new(max);
+    while let Some(step) = wait.next_step() {
+        let step_started = Instant::now();
         if let Ok(output) = timeout(step, future.as_mut()).await {
             return Some(output);
         }
-        patience.waited(step, begun.elapsed());
+        wait.record(step, step_started.elapsed());
     }
     None
 }
--- a/crates/spurdrum-core/src/transport.rs
+++ b/crates/spurdrum-core/src/transport.rs
@@ -1,4 +1,4 @@
-//! What the core wants of a protocol towards servers.
+//! The interface between the core and a protocol towards servers.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -10,42 +10,43 @@
 use spurdrum_policy::{Ending, LoadReport, ServerId};
 use tokio::sync::{oneshot, Notify};
 
-/// A request as its transport sends it.
+/// A request as the transport sends it.
 pub trait TransportRequest {
-    /// What the client calls it: no two of one name are held at once.
+    /// The client's identifier of a request: no two pending requests have the same.
     type ClientRequestId: Clone + Eq + Hash + AsRef<[u8]>;
 
-    /// What the client calls it.
+    /// Returns the client's identifier of the request.
     fn client_request_id(&self) -> &Self::ClientRequestId;
 
-    /// The key whose requests had better reach one server, where it has one.
+    /// Returns the key whose requests should preferably reach the same server, if it has one.
     fn affinity(&self) -> Option<Ask> {
         None
     }
 }
 
-/// How far an attempt is cancelled; the later goes further.
+/// How far an attempt is cancelled; a later variant goes further.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-enum Cancelled {
-    /// It is wanted.
+enum CancelState {
+    /// The attempt is not cancelled.
     #[default]
     No,
-    /// Nobody waits for it: it must not begin, but what has begun may go on.
+    /// No client waits for it: it must not be started, but may continue if it has been.
     Unsent,
-    /// It ends, whatever has gone out of it.
+    /// It ends, whatever has been sent of it.
     Whole,
 }
 
-/// The cancellation of one attempt, as the core, which raises it, and the transport, which heeds it, share it.
+/// The cancellation of one attempt, shared by the core, which requests it, and the transport, which obeys it.
 #[derive(Debug, Default)]
 pub struct Cancellation {
-    state: Cell<Cancelled>,
-    raised: Notify,
+    state: Cell<CancelState>,
+    requested: Notify,
     has_begun: Cell<bool>,
 }
 
 impl Cancellation {
-    /// The transport is about to write the first byte of the attempt. Whether it may; if so, the attempt counts as begun.
+    /// Called before the transport writes the first byte of the attempt. Returns whether it may; if so, the
+    /// attempt counts as begun.
     #[must_use]
     pub fn try_begin(&self) -> bool {
         let may_begin = !self.is_requested();
@@ -53,66 +54,67 @@
         may_begin
     }
 
-    /// Whether any of the attempt may have been written.
+    /// Returns whether any part of the attempt may have been written.
     #[must_use]
     pub fn has_begun(&self) -> bool {
         self.has_begun.get()
     }
 
-    /// The attempt must not begin any more. What has begun goes on.
+    /// Cancels the attempt unless it has begun; one that has continues.
     pub fn cancel_unsent(&self) {
-        self.raise(Cancelled::Unsent);
+        self.set_state(CancelState::Unsent);
     }
 
-    /// The attempt ends.
+    /// Cancels the attempt, whether or not it has begun.
     pub fn cancel(&self) {
-        self.raise(Cancelled::Whole);
+        self.set_state(CancelState::Whole);
     }
 
-    fn raise(&self, to: Cancelled) {
-        if to > self.state.get() {
-            self.state.set(to);
-            self.raised.notify_one();
+    fn set_state(&self, new_state: CancelState) {
+        if new_state > self.state.get() {
+            self.state.set(new_state);
+            self.requested.notify_one();
         }
     }
 
-    /// Whether it is cancelled, at least unless it has begun.
+    /// Returns whether the attempt is cancelled, possibly only unless it has begun.
     pub fn is_requested(&self) -> bool {
-        self.state.get() != Cancelled::No
+        self.state.get() != CancelState::No
     }
 
-    /// Waits until the attempt has to end. `sent` tells whether it may have begun at its server. For one waiter.
+    /// Waits until the attempt has to end. `sent` tells whether it may have begun at its server. Only one
+    /// task may wait.
     pub async fn cancelled(&self, sent: &Cell<bool>) {
         loop {
             match self.state.get() {
-                Cancelled::Whole => return,
-                Cancelled::Unsent if !sent.get() => return,
-                Cancelled::No | Cancelled::Unsent => self.raised.notified().await,
+                CancelState::Whole => return,
+                CancelState::Unsent if !sent.get() => return,
+                CancelState::No | CancelState::Unsent => self.requested.notified().await,
             }
         }
     }
 }
 
-/// How an attempt or a probe ended.
+/// The result of an attempt or a probe.
 pub struct Reply<B> {
-    /// The outcome.
+    /// How it ended.
     pub ending: Ending,
-    /// The load report that came along.
+    /// The load report that came with the response.
     pub report: Option<LoadReport>,
-    /// When the server says that it was started, in Unix milliseconds.
+    /// When the server was started according to itself, in Unix milliseconds.
     pub started_at: Option<f64>,
-    /// The key that the server gives to requests that are to come back to it.
+    /// The affinity key that the server names for requests that should return to it.
     pub affinity: Option<Ask>,
-    /// The body, where it was served: all of it, or its beginning.
+    /// The body of a served response: all of it, or its beginning.
     pub body: Option<B>,
-    /// How long the server took, where that is not the attempt's whole time.
+    /// How long the server took, if that is not the whole time of the attempt.
     pub server_time: Option<Duration>,
-    /// Where the body goes on: how it ends. The attempt is out until then.
+    /// If the body is streamed: receives how it ends. The attempt is in flight until then.
     pub body_end: Option<oneshot::Receiver<Ending>>,
 }
 
 impl<B> Reply<B> {
-    /// An end without an answer.
+    /// Creates a reply for an attempt that ended without a response.
     pub fn without_body(ending: Ending) -> Self {
         Self {
             ending,
@@ -126,26 +128,28 @@
     }
 }
 
-/// Connections to servers of one protocol, and the attempts and probes that are made on them.
+/// Connections to the servers of one protocol, and the attempts and probes made on them.
 pub trait Transport: 'static {
-    /// What is sent.
+    /// The request that is sent.
     type Request: TransportRequest + 'static;
-    /// What comes back.
+    /// The body of the response.
     type Body: 'static;
 
-    /// Notes a server of the list. Where it is not ready, nothing new goes to it from now on.
+    /// Adds or updates a listed server. If it is not ready, no new attempt or probe is sent to it from now
+    /// on.
     fn set_server(&self, server: ServerId, address: SocketAddr, ready: bool);
 
-    /// A server is gone: what is out to it may end, and nothing new begins.
+    /// Removes a server: attempts that are in flight to it may end, and no new ones are started.
     fn remove_server(&self, server: ServerId);
 
-    /// Closes what has stood idle for so long that servers may soon close it.
+    /// Closes connections that have been idle for so long that servers may soon close them.
     fn close_idle(&self);
 
-    /// Closes the connection that stood idle longest. Whether there was one.
+    /// Closes the connection that has been idle longest, and returns whether there was one.
     fn close_longest_idle(&self) -> bool;
 
-    /// One attempt of a request. When it is over, nothing of it is out any more, also where it was cancelled.
+    /// Sends one attempt of a request. When the future completes, nothing of the attempt is in flight any
+    /// more, even if it was cancelled.
     fn attempt(
         &self,
         server: ServerId,
@@ -153,6 +157,6 @@
         cancellation: &Cancellation,
     ) -> impl Future<Output = Reply<Self::Body>>;
 
-    /// Asks a server for its load report.
+    /// Requests the load report of a server.
     fn probe(&self, server: ServerId) -> impl Future<Output = Reply<Self::Body>>;
 }
--- a/crates/spurdrum-core/src/waiting.rs
+++ b/crates/spurdrum-core/src/waiting.rs
@@ -1,4 +1,4 @@
-//! Requests that wait until the list of servers has been confirmed after the start of the process.
+//! A queue of requests that arrive before the list of servers has been confirmed after the process started.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -6,41 +6,42 @@
 use spurdrum_policy::{Request, RequestId};
 use tokio::time::Instant;
 
-/// A request waits for this part of its time at the most; refused by then, its client has time to ask elsewhere.
-const WAIT_PART: f64 = 0.4;
+/// The largest share of its time that a request waits. If it is refused by then, its client has time to try
+/// another node.
+const MAX_WAIT_SHARE: f64 = 0.4;
 
-struct Waiting {
+struct QueuedRequest {
     request: Request,
-    came: Instant,
+    arrived: Instant,
 }
 
-/// Requests that wait, in the order they came. Its owner bounds how many.
+/// Queued requests in order of arrival. The owner limits their number.
 #[derive(Default)]
-pub struct Line {
-    waiting: VecDeque<Waiting>,
+pub struct StartupQueue {
+    queue: VecDeque<QueuedRequest>,
 }
 
-impl Line {
-    /// Takes a request; how long it may wait.
-    pub fn join(&mut self, request: Request, now: Instant) -> Duration {
-        let most = request.budget_ms * WAIT_PART / 1000.0;
-        self.waiting.push_back(Waiting { request, came: now });
-        Duration::try_from_secs_f64(most).unwrap_or_default()
+impl StartupQueue {
+    /// Adds a request and returns how long it may wait.
+    pub fn push(&mut self, request: Request, now: Instant) -> Duration {
+        let max_wait = request.budget_ms * MAX_WAIT_SHARE / 1000.0;
+        self.queue.push_back(QueuedRequest { request, arrived: now });
+        Duration::try_from_secs_f64(max_wait).unwrap_or_default()
     }
 
-    /// A request waits no more. Whether it did.
-    pub fn leave(&mut self, id: RequestId) -> bool {
-        let place = self.waiting.iter().position(|waiting| waiting.request.id == id);
-        place.and_then(|place| self.waiting.remove(place)).is_some()
+    /// Removes a request and returns whether it was queued.
+    pub fn remove(&mut self, id: RequestId) -> bool {
+        let position = self.queue.iter().position(|queued| queued.request.id == id);
+        position.and_then(|position| self.queue.remove(position)).is_some()
     }
 
-    /// All that wait, each with the time that is left to it.
-    pub fn release(&mut self, now: Instant) -> Vec<Request> {
-        let left = |Waiting { request, came }: Waiting| {
-            let waited_ms = now.duration_since(came).as_secs_f64() * 1000.0;
+    /// Removes and returns all requests, each with the time that is left to it.
+    pub fn drain_all(&mut self, now: Instant) -> Vec<Request> {
+        let remaining = |QueuedRequest { request, arrived }: QueuedRequest| {
+            let waited_ms = now.duration_since(arrived).as_secs_f64() * 1000.0;
             Request { budget_ms: (request.budget_ms - waited_ms).max(0.0), ..request }
         };
-        self.waiting.drain(..).map(left).collect()
+        self.queue.drain(..).map(remaining).collect()
     }
 }
 
