--- a/crates/spurdrum-sources/src/registry/follower.rs
+++ b/crates/spurdrum-sources/src/registry/follower.rs
@@ -32,8 +32,8 @@
 use std::fmt;
 use std::time::Duration;
 
-use crate::back_off;
-use crate::follower::View;
+use crate::backoff_delay;
+use crate::follower::Freshness;
 
 /// Calls out at once, at most, without those that ask for the true revision: one that is silent, and one beside it.
 pub const MAX_OPEN_CALLS: usize = 2;
@@ -392,9 +392,9 @@
     /// The view is trusted otherwise than before.
     FreshnessChanged {
         /// Before.
-        from: View,
+        from: Freshness,
         /// Now.
-        to: View,
+        to: Freshness,
         /// Why.
         cause: Cause,
     },
@@ -646,7 +646,7 @@
     confirm: (Duration, usize, usize),
     /// Answers in a row that were sound, for the wait of the next query.
     good: u32,
-    view: View,
+    view: Freshness,
     cause: Cause,
     trouble_since: Option<Duration>,
     proved_at: Option<Duration>,
@@ -683,7 +683,7 @@
             way: None,
             confirm: (Duration::ZERO, settings.node_index % settings.endpoints, 0),
             good: 0,
-            view: View::Doubtful,
+            view: Freshness::Doubtful,
             cause: Cause::NotYetRead,
             trouble_since: None,
             proved_at: None,
@@ -733,7 +733,7 @@
             let reach = call.must_reach.filter(|_| !call.left).map(|(_, by)| by);
             [Some(spoken), probe, reach].into_iter().flatten().min().unwrap_or(spoken)
         };
-        let blind = self.trouble_since.filter(|_| self.view != View::Blind);
+        let blind = self.trouble_since.filter(|_| self.view != Freshness::Stale);
         let blind = blind.map(|since| since + settings.stale_after);
         let confirms =
             (self.started && settings.interface == Interface::WatchStreams).then_some(self.confirm.0);
@@ -741,7 +741,7 @@
     }
 
     /// How far the copy can be trusted.
-    pub fn freshness(&self) -> View {
+    pub fn freshness(&self) -> Freshness {
         self.view
     }
 
@@ -790,7 +790,7 @@
             return spread;
         }
         let Settings { min_retry_delay, max_retry_delay, .. } = self.settings;
-        back_off(&mut self.random, min_retry_delay, max_retry_delay, rounds as u32 - 1).max(spread)
+        backoff_delay(&mut self.random, min_retry_delay, max_retry_delay, rounds as u32 - 1).max(spread)
     }
 
     /// How long an answer may take before it is late: as long as is set, and longer where the way is.
@@ -970,16 +970,20 @@
         }
         let blind = self.trouble_since.is_some_and(|since| now >= since + self.settings.stale_after);
         match self.view {
-            View::Fresh | View::Doubtful if blind => self.show(View::Blind, Cause::Unconfirmed, actions),
-            View::Fresh if self.trouble_since.is_some() => self.show(View::Doubtful, self.cause, actions),
-            View::Doubtful | View::Blind if self.trouble_since.is_none() => {
-                self.show(View::Fresh, Cause::Confirmed, actions);
+            Freshness::Fresh | Freshness::Doubtful if blind => {
+                self.show(Freshness::Stale, Cause::Unconfirmed, actions)
+            }
+            Freshness::Fresh if self.trouble_since.is_some() => {
+                self.show(Freshness::Doubtful, self.cause, actions)
+            }
+            Freshness::Doubtful | Freshness::Stale if self.trouble_since.is_none() => {
+                self.show(Freshness::Fresh, Cause::Confirmed, actions);
             }
             _ => {}
         }
     }
 
-    fn show(&mut self, to: View, cause: Cause, actions: &mut Vec<Action>) {
+    fn show(&mut self, to: Freshness, cause: Cause, actions: &mut Vec<Action>) {
         let from = std::mem::replace(&mut self.view, to);
         actions.push(Action::FreshnessChanged { from, to, cause });
     }
