--- a/crates/spurdrum-facts/src/lib.rs
+++ b/crates/spurdrum-facts/src/lib.rs
@@ -1,5 +1,5 @@
-//! What the platform states in JSON and text, read the same way wherever it comes from: the settings of a start, and
-//! the names of servers. And what all files of settings share.
+//! Reads the platform's settings from JSON and hashes server names, in the same way wherever they come from.
+//! Module [`mod@file`] has what all files of settings share.
 
 pub mod file;
 
@@ -8,7 +8,7 @@
 use serde_json::Value;
 use spurdrum_policy::*;
 
-/// A key has a value of a wrong type, or one that means nothing.
+/// A setting whose value has a wrong type, or that is missing and has no default.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingTypeError(String);
 
@@ -20,27 +20,28 @@
 
 impl std::error::Error for SettingTypeError {}
 
-fn wrong<T>(text: impl Into<String>) -> Result<T, SettingTypeError> {
+fn type_error<T>(text: impl Into<String>) -> Result<T, SettingTypeError> {
     Err(SettingTypeError(text.into()))
 }
 
-/// FNV-1a of a server's name: stable over builds and nodes, which a library's default hash is not.
+/// Returns the FNV-1a hash of a server's name. It is the same in all builds and at all nodes, which a
+/// library's default hash is not.
 #[must_use]
 pub fn name_hash(name: &str) -> u64 {
     name.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
 }
 
-/// Text without line breaks.
+/// Returns the text with line breaks replaced by spaces.
 #[must_use]
 pub fn one_line(text: &str) -> String {
     text.replace(['\n', '\r'], " ")
 }
 
-/// The settings of a start; a key that is missing keeps its default.
+/// Reads the settings that the platform gives a node at its start. A missing key keeps its default.
 ///
 /// # Errors
 ///
-/// A key is of a wrong type.
+/// A key has a value of a wrong type, or a class has no deadline.
 pub fn read_settings(facts: &Value) -> Result<Settings, SettingTypeError> {
     let class_list = facts["classes"].as_array().map_or(&[][..], Vec::as_slice);
     let classes = class_list.iter().map(read_class).collect::<Result<Vec<_>, _>>()?;
@@ -74,10 +75,10 @@
     read_index(allowed, "max_attempts", &mut settings.max_attempts)?;
     read_flag(allowed, "second_copies", &mut settings.hedging)?;
     read_flag(allowed, "cancel", &mut settings.cancel)?;
-    let (mut told, mut most) = (false, f64::MAX);
-    read_flag(allowed, "retry_after", &mut told)?;
-    read(allowed, "max_retry_after_ms", &mut most)?;
-    settings.max_retry_after_ms = told.then_some(most);
+    let (mut retry_after, mut max_retry_after_ms) = (false, f64::MAX);
+    read_flag(allowed, "retry_after", &mut retry_after)?;
+    read(allowed, "max_retry_after_ms", &mut max_retry_after_ms)?;
+    settings.max_retry_after_ms = retry_after.then_some(max_retry_after_ms);
     read_flag(allowed, "probes", &mut settings.probes)?;
     read_flag(allowed, "peers", &mut settings.peers)?;
     settings.responses_carry_load = facts["stats"]["source"] == "inline";
@@ -88,13 +89,13 @@
 }
 
 fn read_class(class: &Value) -> Result<Class, SettingTypeError> {
-    // A class must say how long its clients wait; nothing can be guessed in its place.
-    let (mut aim, mut deadline, mut window) = (f64::NAN, f64::NAN, 0.0);
+    // The deadline, how long the clients of a class wait, is required: no default would fit every class.
+    let (mut objective, mut deadline, mut window) = (f64::NAN, f64::NAN, 0.0);
     read(class, "deadline_ms", &mut deadline)?;
     if deadline.is_nan() {
-        return wrong("`facts`: a class has no `deadline_ms`");
+        return type_error("`facts`: a class has no `deadline_ms`");
     }
-    read(class, "promise_ms", &mut aim)?;
+    read(class, "promise_ms", &mut objective)?;
     read(class, "dedup_window_ms", &mut window)?;
     let effect = match class["effect"].as_str() {
         Some("retryable") => Effect::Safe,
@@ -106,13 +107,13 @@
             };
             Effect::Keyed { group, window_ms: window }
         }
-        // An effect that is not known is treated as the one that allows least.
+        // An unknown effect is treated as the strictest one.
         _ => Effect::Unsafe,
     };
-    let mut read_class = Class::new(if aim.is_nan() { deadline } else { aim }, deadline, effect);
-    read(class, "worth", &mut read_class.value)?;
-    read(class, "late_worth", &mut read_class.late_value)?;
-    Ok(read_class)
+    let mut parsed = Class::new(if objective.is_nan() { deadline } else { objective }, deadline, effect);
+    read(class, "worth", &mut parsed.value)?;
+    read(class, "late_worth", &mut parsed.late_value)?;
+    Ok(parsed)
 }
 
 fn read(from: &Value, key: &str, to: &mut f64) -> Result<(), SettingTypeError> {
@@ -132,10 +133,10 @@
 fn read_flag(from: &Value, key: &str, to: &mut bool) -> Result<(), SettingTypeError> {
     match &from[key] {
         Value::Null => Ok(()),
-        value => value.as_bool().map(|x| *to = x).map_or_else(|| mistyped(key, "yes or no"), Ok),
+        value => value.as_bool().map(|x| *to = x).map_or_else(|| mistyped(key, "boolean"), Ok),
     }
 }
 
-fn mistyped(key: &str, what: &str) -> Result<(), SettingTypeError> {
-    wrong(format!("`facts`: `{key}` is no {what}"))
+fn mistyped(key: &str, expected: &str) -> Result<(), SettingTypeError> {
+    type_error(format!("`facts`: `{key}` is not a {expected}"))
 }
--- a/crates/spurdrum-simhost/src/main.rs
+++ b/crates/spurdrum-simhost/src/main.rs
@@ -1,4 +1,5 @@
-//! Drives balancers over the text wire on standard input and output, one for each instance.
+//! Adapter for the simulator: drives balancers, one for each simulated node, over a text protocol on standard
+//! input and output.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, BufRead, Write};
@@ -9,95 +10,103 @@
 use spurdrum_policy::{Action, Balancer};
 
 mod wire;
-use wire::{Dialect, Line, Member, WireError};
+use wire::{Codec, Line, ListEntry, WireError};
 
-/// One instance: its balancer and the names only it has been told.
+/// A simulated node: its balancer, and the codec that maps its server names to ids.
 struct Instance {
     balancer: Balancer,
-    dialect: Dialect,
+    codec: Codec,
 }
 
 #[derive(Default)]
 struct Adapter {
+    /// The simulator's time in milliseconds.
     now: f64,
     instances: BTreeMap<String, Instance>,
-    lists: [Option<Vec<Member>>; 16],
-    /// The list being read: its number, the entries due and those read so far.
-    reading: Option<(usize, usize, Vec<Member>)>,
-    passed_over: BTreeSet<String>,
+    /// Server lists by their number on the wire.
+    lists: [Option<Vec<ListEntry>>; 16],
+    /// The server list being read: its number, the number of entries expected, and the entries read so far.
+    partial_list: Option<(usize, usize, Vec<ListEntry>)>,
+    /// Unknown messages and nodes for which a warning was printed.
+    warned: BTreeSet<String>,
+    /// Lines to be written at the end of the batch.
     reply: String,
     actions: Vec<Action>,
 }
 
+/// What follows a line: more lines of the batch, or its reply.
 enum Step {
     More,
     EndOfBatch,
 }
 
 impl Adapter {
+    /// Handles one input line.
     fn line(&mut self, text: &str) -> Result<Step, WireError> {
-        if let Some((number, due, mut members)) = self.reading.take() {
-            members.push(Member::parse(text)?);
-            if members.len() < due {
-                self.reading = Some((number, due, members));
+        if let Some((number, expected, mut entries)) = self.partial_list.take() {
+            entries.push(ListEntry::parse(text)?);
+            if entries.len() < expected {
+                self.partial_list = Some((number, expected, entries));
             } else {
-                self.lists[number] = Some(members);
+                self.lists[number] = Some(entries);
             }
             return Ok(Step::More);
         }
         let line = Line::parse(text)?;
         match line.message {
-            "CLOCK" => self.now = line.need_figure("wall_ms")?,
+            "CLOCK" => self.now = line.require_number("wall_ms")?,
             "EOB" => {
                 self.reply.push_str("NEXT\n");
                 return Ok(Step::EndOfBatch);
             }
-            "CENSUS" => self.census(&line)?,
+            "CENSUS" => self.start_list(&line)?,
             "BOOT" => {
-                let mut dialect = Dialect::default();
-                let settings = dialect.settings(line.text("facts")?)?;
+                let mut codec = Codec::default();
+                let settings = codec.settings(line.text("facts")?)?;
                 let seed = line.whole("seed")?.unwrap_or(0);
-                let balancer = Balancer::new(settings, seed).map_err(|e| WireError::other(&e))?;
-                self.instances.insert(line.text("node")?.to_owned(), Instance { balancer, dialect });
+                let balancer = Balancer::new(settings, seed).map_err(|e| WireError::from_error(&e))?;
+                self.instances.insert(line.text("node")?.to_owned(), Instance { balancer, codec });
             }
             "TEARDOWN" => drop(self.instances.remove(line.text("node")?)),
             "REGISTRY" | "CALL" | "ACK_FIRST" | "ENDED" | "HANGUP" | "FIRED" | "HEALTH" => {
                 self.event(&line)?
             }
-            "FROM_PEER" => {} // peers tell a balancer nothing
-            other => self.note(other, "passed over an unknown message"),
+            "FROM_PEER" => {} // Balancers do not use messages from other nodes.
+            other => self.warn_once(other, "ignored an unknown message"),
         }
         Ok(Step::More)
     }
 
-    fn census(&mut self, line: &Line<'_>) -> Result<(), WireError> {
-        let need = |name| line.whole(name)?.map_or_else(|| line.text(name).map(|_| 0), Ok);
-        let (number, due) = (need("roster_id")? as usize, need("hosts")? as usize);
+    /// Handles the header of a server list, which its entries follow.
+    fn start_list(&mut self, line: &Line<'_>) -> Result<(), WireError> {
+        let required = |name| line.whole(name)?.map_or_else(|| line.text(name).map(|_| 0), Ok);
+        let (number, expected) = (required("roster_id")? as usize, required("hosts")? as usize);
         if number >= self.lists.len() {
-            return Err(WireError::other(&format!("`roster_id={number}` is out of range")));
+            return Err(WireError::from_error(&format!("`roster_id={number}` is out of range")));
         }
-        if due == 0 {
+        if expected == 0 {
             self.lists[number] = Some(Vec::new());
         } else {
-            self.reading = Some((number, due, Vec::new()));
+            self.partial_list = Some((number, expected, Vec::new()));
         }
         Ok(())
     }
 
+    /// Passes an event to its instance's balancer and appends the balancer's actions to the reply.
     fn event(&mut self, line: &Line<'_>) -> Result<(), WireError> {
         let node = line.text("node")?;
         let Some(instance) = self.instances.get_mut(node) else {
-            self.note(node, "passed over a message to an instance that is not running");
+            self.warn_once(node, "ignored a message to an instance that is not running");
             return Ok(());
         };
-        let Some(event) = instance.dialect.event(line, &self.lists)? else {
+        let Some(event) = instance.codec.event(line, &self.lists)? else {
             return Ok(());
         };
         let (now, actions) = (self.now, &mut self.actions);
         let handled = panic::catch_unwind(AssertUnwindSafe(|| instance.balancer.handle(now, event, actions)));
         if handled.is_ok() {
             for action in self.actions.drain(..) {
-                instance.dialect.print(node, &action, &mut self.reply);
+                instance.codec.print(node, &action, &mut self.reply);
             }
         } else {
             self.actions.clear();
@@ -107,9 +116,10 @@
         Ok(())
     }
 
-    fn note(&mut self, what: &str, why: &str) {
-        if self.passed_over.insert(what.to_owned()) {
-            eprintln!("spurdrum-simhost: {why}: {}", one_line(what));
+    /// Prints a warning about an unknown message or node, once for each.
+    fn warn_once(&mut self, subject: &str, warning: &str) {
+        if self.warned.insert(subject.to_owned()) {
+            eprintln!("spurdrum-simhost: {warning}: {}", one_line(subject));
         }
     }
 }
@@ -130,9 +140,12 @@
             }
         }
         let line = text.trim_end_matches(['\n', '\r']);
-        // A blank line sets batches apart.
-        let step =
-            if line.is_empty() && adapter.reading.is_none() { Ok(Step::More) } else { adapter.line(line) };
+        // A blank line separates batches.
+        let step = if line.is_empty() && adapter.partial_list.is_none() {
+            Ok(Step::More)
+        } else {
+            adapter.line(line)
+        };
         match step {
             Ok(Step::More) => {}
             Ok(Step::EndOfBatch) => {
--- a/crates/spurdrum-simhost/tests/wire.rs
+++ b/crates/spurdrum-simhost/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Round trips through the binary on literal batches.
+//! Runs the binary on literal batches of input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -12,7 +12,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the binary starts");
-    // An adapter that stops early closes its input; what it said before that is what is tested.
+    // An adapter that stops early closes its input. The tests look at what it has written by then.
     let _ = child.stdin.take().expect("piped").write_all(input.as_bytes());
     child.wait_with_output().expect("the binary ends")
 }
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_request_is_sent_and_its_answer_ends_it() {
+fn a_request_is_sent_and_its_answer_completes_it() {
     let input = format!(
         "CLOCK wall_ms=1.0\n{BOOT}\nCENSUS roster_id=0 hosts=1\nM availability=2 server=10.0.0.1:80\n\
          REGISTRY node=node-1 mode=2 roster_id=0 epoch=1\nEOB\n\n\
@@ -50,7 +50,7 @@
     format!("CLOCK wall_ms=1.0\n{BOOT}\n{LIST}EOB\n\n")
 }
 
-/// Every event in one day, and every action they lead to; probes and closes are never asked for.
+/// One run with every event, and every action that they lead to. It never asks for probes or closes.
 #[test]
 fn every_event_is_read_and_every_action_printed() {
     let boot = BOOT.replace("\"n_instances\"", "\"discovery\": \"subscribe\", \"n_instances\"");
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn without_servers_a_request_is_pushed_back() {
+fn without_servers_a_request_is_refused() {
     let input = format!(
         "CLOCK wall_ms=1.0\n{BOOT}\nCENSUS roster_id=3 hosts=0\nREGISTRY node=node-1 mode=2 roster_id=3 epoch=1\n\
          CALL node=node-1 txn=5 grade=0 budget_ms=800.0\nEOB\n"
@@ -89,7 +89,7 @@
     assert_eq!(text(&adapter(&input).stdout), "PUSH_BACK node=node-1 txn=5\nNEXT\n");
 }
 
-/// A list number is resolved where the event stands, not where the batch ends.
+/// The number of a list is resolved at the line of the event, not at the end of the batch.
 #[test]
 fn list_numbers_are_reused_within_a_batch() {
     let second = BOOT.replace("node-1", "node-2");
@@ -106,14 +106,15 @@
     );
 }
 
-/// A day of two instances, and each alone: what one does must not depend on who shares its process.
+/// Runs two instances together and each alone: what an instance does must not depend on the others of its
+/// process.
 #[test]
 fn instances_act_alike_together_and_apart() {
-    let day = |nodes: &[u32]| {
+    let run = |nodes: &[u32]| {
         let mut input = String::from("CLOCK wall_ms=1.0\n");
         for n in nodes {
             input += &BOOT.replace("node-1", &format!("node-{n}")).replace("seed=7", &format!("seed={n}"));
-            // The instances come to know the servers in orders of their own.
+            // Each instance gets the servers in another order.
             let (first, second) = if *n == 1 { (1, 9) } else { (9, 1) };
             input += &format!(
                 "\nCENSUS roster_id=0 hosts=2\nM availability=2 server=10.0.0.{first}:80\n\
@@ -138,32 +139,32 @@
         }
         text(&adapter(&input).stdout).to_owned()
     };
-    let of = |all: &str, n: u32| -> Vec<String> {
+    let actions_of = |all: &str, n: u32| -> Vec<String> {
         let name = format!("node=node-{n} ");
         all.lines().filter(|l| l.contains(&name)).map(str::to_owned).collect()
     };
-    let together = day(&[1, 2]);
+    let together = run(&[1, 2]);
     for n in [1, 2] {
-        let apart = of(&day(&[n]), n);
+        let apart = actions_of(&run(&[n]), n);
         assert!(apart.len() >= 200, "{} actions", apart.len());
-        assert_eq!(of(&together, n), apart);
+        assert_eq!(actions_of(&together, n), apart);
     }
 }
 
-/// What is malformed ends the adapter with one plain line that says where and what.
+/// Malformed input ends the adapter with one line on standard error that names the place and the fault.
 #[test]
-fn malformed_input_ends_it_with_one_line() {
+fn malformed_input_ends_the_adapter_with_one_error_line() {
     let cases = [
         ("CALL node=node-1 grade=0 budget_ms=800.0", "CALL: `txn` is missing"),
         ("CALL node=node-1 txn=5 grade=0", "CALL: `budget_ms` is missing"),
-        ("CALL node=node-1 txn=five grade=0 budget_ms=800.0", "CALL: `txn=five` is no whole number"),
-        ("CALL node=node-1 txn=5 grade=0 budget_ms=soon", "CALL: `budget_ms=soon` is no number"),
-        ("CALL node=node-1 txn=5 grade=0 budget_ms=NaN", "CALL: `budget_ms=NaN` is no number"),
-        ("CALL node=node-1 txn", "CALL: `txn` is no name=value pair"),
-        ("REGISTRY node=node-1 mode=1 roster_id=4 epoch=1", "REGISTRY: `roster_id=4` is no list"),
+        ("CALL node=node-1 txn=five grade=0 budget_ms=800.0", "CALL: `txn=five` is not a whole number"),
+        ("CALL node=node-1 txn=5 grade=0 budget_ms=soon", "CALL: `budget_ms=soon` is not a number"),
+        ("CALL node=node-1 txn=5 grade=0 budget_ms=NaN", "CALL: `budget_ms=NaN` is not a number"),
+        ("CALL node=node-1 txn", "CALL: `txn` is not a name=value pair"),
+        ("REGISTRY node=node-1 mode=1 roster_id=4 epoch=1", "REGISTRY: `roster_id=4` is not a known list"),
         ("REGISTRY node=node-1 mode=7 roster_id=0 epoch=1", "REGISTRY: `mode=7` is unknown"),
         ("CENSUS roster_id=16 hosts=0", "CENSUS: `roster_id=16` is out of range"),
-        ("CENSUS roster_id=0 hosts=1\nEOB", "EOB: `EOB` where an entry of the list was due"),
+        ("CENSUS roster_id=0 hosts=1\nEOB", "EOB: `EOB` where a list entry was expected"),
         ("ENDED node=node-1 txn=5 rtt_ms=7.0 try=0 complete=1 ending=Q", "ENDED: `ending=Q` is unknown"),
         ("BOOT node=node-2 seed=1 facts={\"classes\": []}", "BOOT: setting `classes`"),
         ("BOOT node=node-2 seed=1 facts={\"classes\": [{}]}", "BOOT: `facts`: a class has no `deadline_ms`"),
@@ -174,16 +175,16 @@
         let input = format!("{}CLOCK wall_ms=2.0\n{line}\nEOB\n", started());
         let number = started().lines().count() + 1 + line.lines().count();
         let output = adapter(&input);
-        let said = text(&output.stderr);
+        let errors = text(&output.stderr);
         assert!(!output.status.success(), "{line}");
         assert_eq!(text(&output.stdout), "NEXT\n", "{line}");
-        assert_eq!(said.lines().count(), 1, "{said}");
-        assert!(said.contains(message) && said.contains(&format!("line {number}:")), "{line}: {said}");
+        assert_eq!(errors.lines().count(), 1, "{errors}");
+        assert!(errors.contains(message) && errors.contains(&format!("line {number}:")), "{line}: {errors}");
     }
 }
 
 #[test]
-fn unknown_keys_and_messages_are_passed_over() {
+fn unknown_keys_and_messages_are_ignored() {
     let input = format!(
         "{}CLOCK wall_ms=2.0 mood=fine\nWEATHER node=node-1 sky=blue\nWEATHER node=node-1 sky=grey\n\
          CALL node=node-1 txn=5 grade=0 budget_ms=800.0 colour=red\nEOB\n",
@@ -192,7 +193,7 @@
     let output = adapter(&input);
     assert!(output.status.success());
     assert!(text(&output.stdout).starts_with("NEXT\nPLACE node=node-1 txn=5 server="));
-    assert_eq!(text(&output.stderr).lines().count(), 1, "one note on a kind of message");
+    assert_eq!(text(&output.stderr).lines().count(), 1, "one warning for each unknown message");
 }
 
 #[test]
@@ -200,10 +201,10 @@
     let output =
         adapter(&format!("{}CLOCK wall_ms=2.0\nCALL node=node-1 txn=5 grade=0 budget_ms=800.0\n", started()));
     assert!(output.status.success());
-    assert_eq!(text(&output.stdout), "NEXT\n", "nothing is answered for an unfinished batch");
+    assert_eq!(text(&output.stdout), "NEXT\n", "an unfinished batch gets no reply");
 }
 
-/// Settings that are missing keep a default that allows least; those not known are passed over.
+/// Missing settings keep the strictest default; unknown ones are ignored.
 #[test]
 fn settings_may_be_missing_or_unknown() {
     let boot = r#"BOOT node=node-1 seed=7 facts={"classes": [{"deadline_ms": 800.0, "tone": 3}], "news": {"a": []}}"#;
