--- a/crates/spurdrum-sources/src/registry/consul.rs
+++ b/crates/spurdrum-sources/src/registry/consul.rs
@@ -1,8 +1,10 @@
-//! The health of a service as Consul answers it over HTTP/1.1: a [`Wire`] with blocking queries.
+//! [`RegistryClient`] for the instances of a Consul service, read from the health API over HTTP/1.1 with
+//! blocking queries.
 //!
-//! Each instance of the service is one key, `node:id`. Its value is made of what a list of servers needs and of nothing
-//! else, so that a check whose text changes is no change: `address`, `port`, `weight`, `phase`, and the service's metadata
-//! under `meta`. An instance with a critical check is leaving: it may finish what it has.
+//! Each instance of the service is one key, `node:id`. Its value contains only what a list of servers needs:
+//! `address`, `port`, `weight`, `phase`, and the service's metadata under `meta`. With anything else in it, a
+//! health check whose text changes would count as a change of the server. An instance with a critical check
+//! is leaving: it may finish its requests and gets no new ones.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -26,46 +28,46 @@
 use super::shell::RegistryClient;
 use super::tls::Tls;
 
-/// An answer may be this long: 10,000 instances and some more.
-const ANSWER_MOST: usize = 32 << 20;
-/// A connection may take this long to come up.
-const DIAL_MOST: Duration = Duration::from_millis(500);
+/// Maximum length of an answer: room for more than 10,000 instances.
+const MAX_ANSWER_BYTES: usize = 32 << 20;
+/// Time limit for establishing a connection, and for its TLS handshake.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Where an agent or server is, and who asks for what.
+/// A service and the agents or servers to query for it.
 #[derive(Clone, Debug)]
 pub struct Service {
-    /// Its endpoints.
+    /// Addresses of the agents or servers.
     pub endpoints: Vec<SocketAddr>,
-    /// The service's name.
+    /// Name of the service.
     pub name: String,
-    /// A token, where one is asked for.
+    /// ACL token, if one is required.
     pub token: Option<String>,
-    /// What is spoken instead of plain HTTP.
+    /// TLS settings; `None` uses plain HTTP.
     pub tls: Option<Tls>,
 }
 
 type Sender = SendRequest<Empty<Bytes>>;
 
-/// Asks for one service.
+/// Client that queries the instances of one service.
 pub struct Consul {
     service: Service,
     tls: Option<TlsConnector>,
-    /// Connections whose last query was answered, one for each endpoint.
-    kept: RefCell<Vec<Option<Sender>>>,
+    /// Idle connection of each endpoint, kept after an answered query.
+    idle: RefCell<Vec<Option<Sender>>>,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct Instance {
-    node: NodePart,
-    service: ServicePart,
+    node: InstanceNode,
+    service: InstanceService,
     #[serde(default)]
     checks: Vec<Check>,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-struct NodePart {
+struct InstanceNode {
     node: String,
     #[serde(default)]
     address: String,
@@ -73,7 +75,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-struct ServicePart {
+struct InstanceService {
     #[serde(rename = "ID")]
     id: String,
     #[serde(default)]
@@ -100,65 +102,66 @@
 }
 
 impl Instance {
-    /// Its key and value.
+    /// Returns the instance's key and value.
     fn entry(self) -> (Vec<u8>, Vec<u8>) {
-        let is = |status: &str| self.checks.iter().any(|check| check.status == status);
-        let weight = self.service.weights.map_or(1.0, |weights| match is("warning") {
+        let has_check = |status: &str| self.checks.iter().any(|check| check.status == status);
+        let weight = self.service.weights.map_or(1.0, |weights| match has_check("warning") {
             true => weights.warning,
             false => weights.passing,
         });
         let address =
             if self.service.address.is_empty() { &self.node.address } else { &self.service.address };
-        // Maintenance is a critical check too.
-        let phase = if is("critical") { "leaving" } else { "active" };
+        // Maintenance mode shows up as a critical check too.
+        let phase = if has_check("critical") { "leaving" } else { "active" };
         let value = json!({"address": address, "port": self.service.port, "weight": weight, "phase": phase,
                            "meta": self.service.meta.unwrap_or_default()});
         (format!("{}:{}", self.node.node, self.service.id).into_bytes(), value.to_string().into_bytes())
     }
 }
 
-/// The key and value of what is answered for an instance. One that cannot be read is a key whose value is no server's.
-fn entry((number, found): (usize, Value)) -> (Vec<u8>, Vec<u8>) {
-    let name = |at| found.pointer(at).and_then(Value::as_str);
-    let key = match (name("/Node/Node"), name("/Service/ID")) {
+/// Returns the key and value of one instance in an answer. An instance that cannot be parsed gets an empty
+/// value, which the schema then reports as invalid.
+fn entry((index, instance): (usize, Value)) -> (Vec<u8>, Vec<u8>) {
+    let text = |pointer| instance.pointer(pointer).and_then(Value::as_str);
+    let key = match (text("/Node/Node"), text("/Service/ID")) {
         (Some(node), Some(id)) => format!("{node}:{id}"),
-        _ => format!("unnamed:{number}"),
+        _ => format!("unnamed:{index}"),
     };
-    match Instance::deserialize(found) {
+    match Instance::deserialize(instance) {
         Ok(instance) => instance.entry(),
         Err(_) => (key.into_bytes(), Vec::new()),
     }
 }
 
 impl Consul {
-    /// A way to a service.
+    /// Returns a client for a service.
     ///
     /// # Errors
     ///
-    /// The key that makes no sense, and why.
+    /// Returns the key of the first invalid setting and the reason.
     pub fn new(service: Service) -> Result<Self, (&'static str, &'static str)> {
-        let kept = service.endpoints.iter().map(|_| None).collect();
+        let idle = service.endpoints.iter().map(|_| None).collect();
         let tls = service.tls.as_ref().map(Tls::connector).transpose()?;
-        Ok(Self { service, tls, kept: RefCell::new(kept) })
+        Ok(Self { service, tls, idle: RefCell::new(idle) })
     }
 
     async fn sender(&self, endpoint: usize) -> Result<Sender, Failure> {
-        let kept = self.kept.borrow_mut()[endpoint].take().filter(|kept| !kept.is_closed());
-        if let Some(mut kept) = kept {
-            if kept.ready().await.is_ok() {
-                return Ok(kept);
+        let idle = self.idle.borrow_mut()[endpoint].take().filter(|sender| !sender.is_closed());
+        if let Some(mut sender) = idle {
+            if sender.ready().await.is_ok() {
+                return Ok(sender);
             }
         }
-        let stream = timeout(DIAL_MOST, TcpStream::connect(self.service.endpoints[endpoint])).await;
+        let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(self.service.endpoints[endpoint])).await;
         let stream = stream.ok().and_then(Result::ok).ok_or(Failure::Unreachable)?;
         stream.set_nodelay(true).map_err(|_| Failure::ConnectionLost)?;
         let Some(tls) = &self.tls else { return handshake(stream).await };
-        let named = self.service.tls.as_ref().and_then(|tls| tls.server_name.clone());
-        let name = match named {
+        let configured = self.service.tls.as_ref().and_then(|tls| tls.server_name.clone());
+        let server_name = match configured {
             Some(name) => ServerName::try_from(name).map_err(|_| Failure::Unreachable)?,
             None => ServerName::from(self.service.endpoints[endpoint].ip()),
         };
-        let stream = timeout(DIAL_MOST, tls.connect(name, stream)).await;
+        let stream = timeout(CONNECT_TIMEOUT, tls.connect(server_name, stream)).await;
         handshake(stream.ok().and_then(Result::ok).ok_or(Failure::Unreachable)?).await
     }
 }
@@ -180,7 +183,7 @@
         endpoint: usize,
         query: Query,
         _probes: mpsc::Receiver<()>,
-        _tell: impl Fn(Event),
+        _on_event: impl Fn(Event),
     ) -> Result<Event, Failure> {
         let Query::Blocking { index, wait, allow_stale } = query else { return Err(Failure::ConnectionLost) };
         let mut path = format!("/v1/health/service/{}?", self.service.name);
@@ -203,23 +206,23 @@
         let header = |name: &str| response.headers().get(name).and_then(|value| value.to_str().ok());
         let index: u64 =
             header("X-Consul-Index").and_then(|index| index.parse().ok()).ok_or(Failure::ConnectionLost)?;
-        let led = header("X-Consul-KnownLeader").is_none_or(|known| known == "true");
+        let has_leader = header("X-Consul-KnownLeader").is_none_or(|known| known == "true");
         let leader_contact = header("X-Consul-LastContact").and_then(|ms| ms.parse().ok()).unwrap_or(0);
-        let leader_contact = led.then(|| Duration::from_millis(leader_contact));
-        let body = Limited::new(response.into_body(), ANSWER_MOST).collect().await;
+        let leader_contact = has_leader.then(|| Duration::from_millis(leader_contact));
+        let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES).collect().await;
         let body = body.map_err(|error| match error.is::<http_body_util::LengthLimitError>() {
             true => Failure::TooLong,
             false => Failure::ConnectionLost,
         })?;
         let instances: Vec<Value> =
             serde_json::from_slice(&body.to_bytes()).map_err(|_| Failure::ConnectionLost)?;
-        self.kept.borrow_mut()[endpoint] = Some(sender);
+        self.idle.borrow_mut()[endpoint] = Some(sender);
         let entries = instances.into_iter().enumerate().map(entry).collect();
         let header = Header { cluster: 0, revision: index };
         Ok(Event::Snapshot { call, header, entries, leader_contact })
     }
 
-    fn forget(&self, endpoint: usize, _failure: Option<Failure>) {
-        self.kept.borrow_mut()[endpoint] = None;
+    fn invalidate(&self, endpoint: usize, _failure: Option<Failure>) {
+        self.idle.borrow_mut()[endpoint] = None;
     }
 }
--- a/crates/spurdrum-sources/src/registry/mod.rs
+++ b/crates/spurdrum-sources/src/registry/mod.rs
@@ -1,8 +1,9 @@
-//! A key-value registry that is followed by watches.
+//! Discovery of servers from a key-value registry, followed by watches or blocking queries.
 //!
-//! [`follower`] decides what is asked of whom, and holds a copy of the keys; [`schema`] makes servers of keys and values.
-//! Neither has a clock, sockets or randomness but a seed. [`shell`] carries out what a follower decides, on what
-//! [`etcd`] or [`consul`] speaks.
+//! [`follower`] decides when to query which endpoint, and keeps a copy of the keys. [`schema`] maps keys and
+//! values to servers. [`registrar`] decides how a node registers itself. They do no I/O, have no clock, and
+//! their only randomness comes from a seed. [`shell`] carries out what a follower decides, with a client for
+//! [`etcd`] or [`consul`].
 
 pub mod consul;
 pub mod etcd;
--- a/crates/spurdrum-sources/src/registry/registrar.rs
+++ b/crates/spurdrum-sources/src/registry/registrar.rs
@@ -1,41 +1,44 @@
-//! A node that registers itself: one key under a lease, renewed as long as it lives, drained before it ends.
+//! Pure state machine by which a node registers itself in a registry: one key under a lease, which is renewed
+//! while the node lives, and marked as leaving before the node ends.
 //!
 //! ```
 //! use std::time::Duration;
-//! use spurdrum_sources::registry::registrar::{Action, Operation, Event, Registrar, Settings};
+//! use spurdrum_sources::registry::registrar::{Action, Event, Operation, Registrar, Settings};
 //!
-//! let mut registrar = Registrar::new(Settings::default(), 7).expect("sound settings");
+//! let mut registrar = Registrar::new(Settings::default(), 7).expect("valid settings");
 //! let mut actions = Vec::new();
 //! registrar.handle(Duration::ZERO, Event::Tick, &mut actions);
-//! assert!(matches!(actions[0], Action::Call { ask: Operation::Grant { .. }, .. }));
+//! assert!(matches!(actions[0], Action::Call { operation: Operation::Grant { .. }, .. }));
 //! ```
 //!
-//! The key goes with the lease, so a node that dies is gone once that ends, and one that is cut off comes back under a new
-//! one. A lease counts from when its renewal was *asked for*: the registry may have begun to count no earlier, so the
-//! node never believes in a lease that is over. Only the time that is passed in counts; steps of the wall clock do not.
+//! The registry deletes the key when the lease ends. So the key of a node that dies disappears, and a node
+//! that was cut off registers again under a new lease. The time to live is counted from when the grant or
+//! renewal was *requested*: the registry cannot have started to count earlier, so the node never relies on a
+//! lease that has ended. Only the time passed to [`Registrar::handle`] counts; steps of the wall clock have
+//! no effect.
 
 use std::fmt;
 use std::time::Duration;
 
 use crate::back_off;
 
-/// A lease is renewed after this part of its time.
-const RENEW: u32 = 3;
+/// A lease is renewed after its time to live divided by this.
+const RENEWALS_PER_TTL: u32 = 3;
 
-/// How a node registers itself.
+/// Settings of a [`Registrar`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Endpoints of the registry.
+    /// Number of the registry's endpoints.
     pub endpoints: usize,
-    /// A lease is asked for so long.
+    /// Time to live to request for a lease.
     pub ttl: Duration,
-    /// Before it ends, the node stands as leaving for so long.
+    /// How long the key says that the node is leaving, before it is deleted.
     pub drain: Duration,
-    /// A call that is silent for so long has failed.
+    /// A call without an answer is aborted after this long and counts as failed.
     pub silence_timeout: Duration,
-    /// Between calls that fail: at first, about...
+    /// Delay after the first failed round over the endpoints, approximately.
     pub min_retry_delay: Duration,
-    /// ...and at the most.
+    /// Maximum delay between failed rounds.
     pub max_retry_delay: Duration,
 }
 
@@ -54,124 +57,132 @@
 }
 
 impl Settings {
-    /// Checks that every figure makes sense.
+    /// Checks that each setting is in range and that they are consistent.
     ///
     /// # Errors
     ///
-    /// The first key that does not, and why.
+    /// Returns the key of the first invalid setting and the reason.
     pub fn validate(&self) -> Result<(), (&'static str, &'static str)> {
-        let s = Duration::from_secs;
-        let need = |ok: bool, key, why| if ok { Ok(()) } else { Err((key, why)) };
-        need(self.endpoints > 0, "endpoints", "names none")?;
-        need(self.ttl >= s(2) && self.ttl <= s(3600), "ttl_ms", "is not from 2 s to an hour")?;
-        need(self.drain <= s(60), "drain_ms", "is over a minute")?;
-        need(
-            self.silence_timeout >= Duration::from_millis(1) && self.silence_timeout <= s(60),
+        let seconds = Duration::from_secs;
+        let require = |ok: bool, key, reason| if ok { Ok(()) } else { Err((key, reason)) };
+        require(self.endpoints > 0, "endpoints", "must not be empty")?;
+        require(
+            self.ttl >= seconds(2) && self.ttl <= seconds(3600),
+            "ttl_ms",
+            "must be from 2 seconds to 1 hour",
+        )?;
+        require(self.drain <= seconds(60), "drain_ms", "must be at most 1 minute")?;
+        require(
+            self.silence_timeout >= Duration::from_millis(1) && self.silence_timeout <= seconds(60),
             "give_up_ms",
-            "is no time",
+            "must be from 1 ms to 1 minute",
         )?;
-        need(self.min_retry_delay <= self.max_retry_delay, "retry_least_ms", "is above `retry_most_ms`")
+        require(
+            self.min_retry_delay <= self.max_retry_delay,
+            "retry_least_ms",
+            "must not be above `retry_most_ms`",
+        )
     }
 }
 
-/// A call, by its number.
+/// Identifies a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// What is asked.
+/// What a call asks the registry to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Operation {
-    /// A lease.
+    /// Grant a lease.
     Grant {
-        /// For so long.
+        /// Time to live to request.
         ttl: Duration,
     },
-    /// That the node's key stands under the lease.
+    /// Put the node's key under the lease.
     Put {
-        /// The lease.
+        /// Id of the lease.
         lease: i64,
-        /// Whether it says that the node is leaving.
+        /// Whether the value says that the node is leaving.
         leaving: bool,
     },
-    /// That the lease goes on.
+    /// Renew the lease.
     Renew {
-        /// The lease.
+        /// Id of the lease.
         lease: i64,
     },
-    /// That the lease ends, and the key with it.
+    /// Revoke the lease, which deletes the key.
     Revoke {
-        /// The lease.
+        /// Id of the lease.
         lease: i64,
     },
 }
 
-/// What came of a call.
+/// Result of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallResult {
-    /// A lease, for so long.
+    /// The lease was granted.
     Granted {
-        /// Its number.
+        /// Id of the lease.
         lease: i64,
-        /// Its time to live.
+        /// Granted time to live.
         ttl: Duration,
     },
-    /// It is so.
+    /// The key was put, or the lease revoked.
     Done,
-    /// The lease goes on for so long.
+    /// The lease was renewed.
     Renewed {
-        /// Its time to live.
+        /// Time to live from now on; zero if the lease does not exist.
         ttl: Duration,
     },
-    /// There is no such lease.
+    /// The lease does not exist.
     NoLease,
     /// The call failed.
     Failed,
 }
 
-/// What happens.
+/// Input of the state machine.
 #[derive(Clone, Copy, Debug)]
 pub enum Event {
-    /// Time has passed; the first one begins.
+    /// Time has passed. The first tick starts the registration.
     Tick,
     /// A call has ended.
     Ended {
         /// The call.
         call: CallId,
-        /// How.
+        /// Its result.
         result: CallResult,
     },
-    /// The node is to end.
+    /// The node is about to end.
     Leave,
 }
 
-/// What is to be done.
+/// Output of the state machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Ask an endpoint.
+    /// Start a call.
     Call {
-        /// Its number from now on.
+        /// Id of the new call.
         call: CallId,
-        /// Which endpoint.
+        /// Index of the endpoint to call.
         endpoint: usize,
-        /// What.
-        ask: Operation,
+        /// What to do.
+        operation: Operation,
     },
-    /// Give a call up; nothing more is heard of it.
+    /// Abort a call; its result is no longer accepted.
     Abort(CallId),
-    /// The node stands in the registry otherwise than before.
+    /// The state of the registration has changed.
     State(State),
 }
 
-/// How the node stands in the registry, as far as it knows.
+/// State of the registration, as far as the node knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// Not, or not for certain.
+    /// Not registered, or not for certain.
     Absent,
-    /// Under a lease that holds.
+    /// Registered under a valid lease.
     Present,
-    /// As one that is leaving.
+    /// Registered as leaving.
     Leaving,
-    /// Gone for good: the node may end.
+    /// Removed for good: the node may end.
     Gone,
 }
 
@@ -189,8 +200,8 @@
 struct Call {
     id: CallId,
     endpoint: usize,
-    ask: Operation,
-    begun: Duration,
+    operation: Operation,
+    started_at: Duration,
 }
 
 /// Registers one node.
@@ -198,20 +209,20 @@
     settings: Settings,
     random: fastrand::Rng,
     state: State,
-    /// The lease, and until when it holds for certain.
+    /// Id of the lease, and the time until which it is certain to be valid.
     lease: Option<(i64, Duration)>,
     call: Option<Call>,
-    last_call: u64,
-    /// What comes next, and when.
-    next: Option<(Duration, Next)>,
+    last_call_id: u64,
+    /// The next operation, and when it is due.
+    next: Option<(Duration, Step)>,
     endpoint: usize,
     failures: u32,
-    /// Since when it is to leave.
-    leaves: Option<Duration>,
+    /// When the node was told to leave.
+    leaving_since: Option<Duration>,
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum Next {
+enum Step {
     Grant,
     Put,
     Renew,
@@ -219,11 +230,12 @@
 }
 
 impl Registrar {
-    /// A node that is not registered.
+    /// Returns a registrar of a node that is not registered yet. `seed` drives the choice of the first
+    /// endpoint and the jitter of delays.
     ///
     /// # Errors
     ///
-    /// The first setting that makes no sense, and why.
+    /// Returns the key of the first invalid setting and the reason.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, (&'static str, &'static str)> {
         settings.validate()?;
         let mut random = fastrand::Rng::with_seed(seed);
@@ -233,103 +245,107 @@
             state: State::Absent,
             lease: None,
             call: None,
-            last_call: 0,
-            next: Some((Duration::ZERO, Next::Grant)),
+            last_call_id: 0,
+            next: Some((Duration::ZERO, Step::Grant)),
             failures: 0,
-            leaves: None,
+            leaving_since: None,
             settings,
         })
     }
 
-    /// How it stands.
+    /// Returns the state of the registration.
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// What has happened; adds what is to be done. Times do not run backwards.
+    /// Handles an event and appends the resulting actions. `now` must not decrease.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Tick => {}
-            Event::Ended { call, result } => self.ended(now, call, result, actions),
-            Event::Leave => self.leave(now, actions),
+            Event::Ended { call, result } => self.on_ended(now, call, result, actions),
+            Event::Leave => self.on_leave(now, actions),
         }
-        self.settle(now, actions);
+        self.apply_timers(now, actions);
     }
 
-    /// When the next [`Event::Tick`] is due, at the latest; none once it is gone.
+    /// Returns when the next [`Event::Tick`] is due at the latest; `None` once the state is [`State::Gone`].
     pub fn next_wake(&self) -> Option<Duration> {
         if self.state == State::Gone {
             return None;
         }
-        let call = self.call.as_ref().map(|call| call.begun + self.settings.silence_timeout);
-        let next = self.next.filter(|_| self.call.is_none()).map(|(at, _)| at);
-        let lease = self.lease.filter(|_| self.state != State::Absent).map(|(_, until)| until);
-        let end = self.leaves.map(|since| since + self.longest());
-        [call, next, lease, end].into_iter().flatten().min()
+        let call_timeout = self.call.as_ref().map(|call| call.started_at + self.settings.silence_timeout);
+        let next_step = self.next.filter(|_| self.call.is_none()).map(|(at, _)| at);
+        let lease_end = self.lease.filter(|_| self.state != State::Absent).map(|(_, expires_at)| expires_at);
+        let leave_deadline = self.leaving_since.map(|since| since + self.max_leave_time());
+        [call_timeout, next_step, lease_end, leave_deadline].into_iter().flatten().min()
     }
 
-    /// Leaving takes no longer than this, whatever the registry does: its lease ends by itself.
-    fn longest(&self) -> Duration {
+    /// Returns the maximum time that leaving may take. A registry that does not answer cannot delay it
+    /// longer, since the lease ends by itself.
+    fn max_leave_time(&self) -> Duration {
         self.settings.drain + 2 * self.settings.silence_timeout
     }
 
-    fn settle(&mut self, now: Duration, actions: &mut Vec<Action>) {
+    /// Aborts an overdue call, drops an expired lease and starts the next operation when it is due.
+    fn apply_timers(&mut self, now: Duration, actions: &mut Vec<Action>) {
         if self.state == State::Gone {
             return;
         }
-        if self.leaves.is_some_and(|since| now >= since + self.longest()) {
-            return self.gone(actions);
+        if self.leaving_since.is_some_and(|since| now >= since + self.max_leave_time()) {
+            return self.finish(actions);
         }
         if let Some(call) =
-            self.call.as_ref().filter(|call| now >= call.begun + self.settings.silence_timeout)
+            self.call.as_ref().filter(|call| now >= call.started_at + self.settings.silence_timeout)
         {
             let id = call.id;
             actions.push(Action::Abort(id));
-            self.ended(now, id, CallResult::Failed, actions);
+            self.on_ended(now, id, CallResult::Failed, actions);
         }
-        if self.lease.is_some_and(|(_, until)| now >= until) {
-            // It may be over: what stands in the registry is not this node's any more.
+        if self.lease.is_some_and(|(_, expires_at)| now >= expires_at) {
+            // The lease may have ended, so the key in the registry can no longer be relied on.
             self.lease = None;
-            self.show(State::Absent, actions);
-            if self.leaves.is_some() {
-                return self.gone(actions);
+            self.set_state(State::Absent, actions);
+            if self.leaving_since.is_some() {
+                return self.finish(actions);
             }
             if let Some(call) = self.call.take() {
                 actions.push(Action::Abort(call.id));
             }
-            let wait = self.pause();
-            self.next = Some((now + wait, Next::Grant));
+            let delay = self.retry_delay();
+            self.next = Some((now + delay, Step::Grant));
         }
-        let Some((_, next)) = self.next.filter(|(at, _)| *at <= now && self.call.is_none()) else { return };
+        let Some((_, step)) = self.next.filter(|(at, _)| *at <= now && self.call.is_none()) else { return };
         self.next = None;
-        let leaving = self.leaves.is_some();
-        let ask = match (next, self.lease) {
-            (Next::Put, Some((lease, _))) => Operation::Put { lease, leaving },
-            (Next::Renew, Some((lease, _))) => Operation::Renew { lease },
-            (Next::Revoke, Some((lease, _))) => Operation::Revoke { lease },
-            (Next::Grant, _) | (_, None) => Operation::Grant { ttl: self.settings.ttl },
+        let leaving = self.leaving_since.is_some();
+        let operation = match (step, self.lease) {
+            (Step::Put, Some((lease, _))) => Operation::Put { lease, leaving },
+            (Step::Renew, Some((lease, _))) => Operation::Renew { lease },
+            (Step::Revoke, Some((lease, _))) => Operation::Revoke { lease },
+            (Step::Grant, _) | (_, None) => Operation::Grant { ttl: self.settings.ttl },
         };
-        self.last_call += 1;
-        let call = Call { id: CallId(self.last_call), endpoint: self.endpoint, ask, begun: now };
-        actions.push(Action::Call { call: call.id, endpoint: call.endpoint, ask });
+        self.last_call_id += 1;
+        let call =
+            Call { id: CallId(self.last_call_id), endpoint: self.endpoint, operation, started_at: now };
+        actions.push(Action::Call { call: call.id, endpoint: call.endpoint, operation });
         self.call = Some(call);
     }
 
-    fn show(&mut self, to: State, actions: &mut Vec<Action>) {
+    fn set_state(&mut self, to: State, actions: &mut Vec<Action>) {
         if std::mem::replace(&mut self.state, to) != to {
             actions.push(Action::State(to));
         }
     }
 
-    fn gone(&mut self, actions: &mut Vec<Action>) {
+    fn finish(&mut self, actions: &mut Vec<Action>) {
         if let Some(call) = self.call.take() {
             actions.push(Action::Abort(call.id));
         }
         self.next = None;
-        self.show(State::Gone, actions);
+        self.set_state(State::Gone, actions);
     }
 
-    fn pause(&mut self) -> Duration {
+    /// Returns the delay before the next operation after a failure; the first round over all endpoints has none.
+    fn retry_delay(&mut self) -> Duration {
         let rounds = self.failures as usize / self.settings.endpoints;
         if rounds == 0 {
             return Duration::ZERO;
@@ -338,66 +354,66 @@
         back_off(&mut self.random, min_retry_delay, max_retry_delay, rounds as u32 - 1)
     }
 
-    fn leave(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        if self.leaves.is_some() || self.state == State::Gone {
+    fn on_leave(&mut self, now: Duration, actions: &mut Vec<Action>) {
+        if self.leaving_since.is_some() || self.state == State::Gone {
             return;
         }
-        self.leaves = Some(now);
-        // What is out is not waited for; a lease that was just being granted ends by itself.
+        self.leaving_since = Some(now);
+        // A call in flight is not waited for; a lease that was just being granted ends by itself.
         if let Some(call) = self.call.take() {
             actions.push(Action::Abort(call.id));
         }
         match self.lease {
-            Some(_) => self.next = Some((now, Next::Put)),
-            None => self.gone(actions),
+            Some(_) => self.next = Some((now, Step::Put)),
+            None => self.finish(actions),
         }
     }
 
-    fn ended(&mut self, now: Duration, id: CallId, result: CallResult, actions: &mut Vec<Action>) {
+    fn on_ended(&mut self, now: Duration, id: CallId, result: CallResult, actions: &mut Vec<Action>) {
         let Some(call) = self.call.take_if(|call| call.id == id) else { return };
-        let renew = |ttl: Duration| call.begun + ttl / RENEW;
+        let renew_at = |ttl: Duration| call.started_at + ttl / RENEWALS_PER_TTL;
         if result != CallResult::Failed {
             self.failures = 0;
         }
-        match (call.ask, result) {
+        match (call.operation, result) {
             (Operation::Grant { .. }, CallResult::Granted { lease, ttl }) => {
-                self.lease = Some((lease, call.begun + ttl));
-                self.next = Some((now, Next::Put));
+                self.lease = Some((lease, call.started_at + ttl));
+                self.next = Some((now, Step::Put));
             }
             (Operation::Put { leaving: true, .. }, CallResult::Done) => {
-                self.show(State::Leaving, actions);
-                let until = self.leaves.unwrap_or(now) + self.settings.drain;
-                self.next = Some((until.max(now), Next::Revoke));
+                self.set_state(State::Leaving, actions);
+                let drained_at = self.leaving_since.unwrap_or(now) + self.settings.drain;
+                self.next = Some((drained_at.max(now), Step::Revoke));
             }
             (Operation::Put { .. }, CallResult::Done) => {
-                self.show(State::Present, actions);
-                let until = self.lease.map_or(now, |(_, until)| until);
-                self.next = Some((now + until.saturating_sub(now) / RENEW, Next::Renew));
+                self.set_state(State::Present, actions);
+                let expires_at = self.lease.map_or(now, |(_, expires_at)| expires_at);
+                self.next = Some((now + expires_at.saturating_sub(now) / RENEWALS_PER_TTL, Step::Renew));
             }
             (Operation::Renew { lease }, CallResult::Renewed { ttl }) if !ttl.is_zero() => {
-                self.lease = Some((lease, call.begun + ttl));
-                self.next = Some((renew(ttl).max(now), Next::Renew));
+                self.lease = Some((lease, call.started_at + ttl));
+                self.next = Some((renew_at(ttl).max(now), Step::Renew));
             }
-            (Operation::Revoke { .. }, CallResult::Done | CallResult::NoLease) => self.gone(actions),
+            (Operation::Revoke { .. }, CallResult::Done | CallResult::NoLease) => self.finish(actions),
             (_, CallResult::NoLease | CallResult::Renewed { .. }) => {
                 self.lease = None;
-                self.show(State::Absent, actions);
-                match self.leaves {
-                    Some(_) => self.gone(actions),
-                    None => self.next = Some((now, Next::Grant)),
+                self.set_state(State::Absent, actions);
+                match self.leaving_since {
+                    Some(_) => self.finish(actions),
+                    None => self.next = Some((now, Step::Grant)),
                 }
             }
-            (ask, _) => {
+            (operation, _) => {
                 self.failures = self.failures.saturating_add(1);
                 self.endpoint = (call.endpoint + 1) % self.settings.endpoints;
-                let again = match ask {
-                    Operation::Grant { .. } => Next::Grant,
-                    Operation::Put { .. } => Next::Put,
-                    Operation::Renew { .. } => Next::Renew,
-                    Operation::Revoke { .. } => Next::Revoke,
+                let retry = match operation {
+                    Operation::Grant { .. } => Step::Grant,
+                    Operation::Put { .. } => Step::Put,
+                    Operation::Renew { .. } => Step::Renew,
+                    Operation::Revoke { .. } => Step::Revoke,
                 };
-                let wait = self.pause();
-                self.next = Some((now + wait, again));
+                let delay = self.retry_delay();
+                self.next = Some((now + delay, retry));
             }
         }
     }
@@ -409,126 +425,129 @@
 
     const S: fn(u64) -> Duration = Duration::from_secs;
 
-    /// A registry that holds one key under leases, and what the node believes.
-    struct Played {
+    /// Drives a registrar as a registry would, and records its calls and states.
+    struct Driver {
         registrar: Registrar,
         now: Duration,
         calls: Vec<(CallId, Operation)>,
         states: Vec<State>,
     }
 
-    impl Played {
+    impl Driver {
         fn new() -> Self {
             let settings = Settings { endpoints: 2, ..Settings::default() };
             let registrar = Registrar::new(settings, 3).expect("sound");
-            let mut played = Self { registrar, now: S(0), calls: Vec::new(), states: Vec::new() };
-            played.tell(Event::Tick);
-            played
+            let mut driver = Self { registrar, now: S(0), calls: Vec::new(), states: Vec::new() };
+            driver.handle(Event::Tick);
+            driver
         }
 
-        fn tell(&mut self, event: Event) {
+        fn handle(&mut self, event: Event) {
             let mut actions = Vec::new();
             self.registrar.handle(self.now, event, &mut actions);
             for action in actions {
                 match action {
-                    Action::Call { call, ask, .. } => self.calls.push((call, ask)),
+                    Action::Call { call, operation, .. } => self.calls.push((call, operation)),
                     Action::Abort(_) => {}
                     Action::State(state) => self.states.push(state),
                 }
             }
         }
 
-        fn end(&mut self, result: CallResult) {
+        fn answer(&mut self, result: CallResult) {
             let (call, _) = *self.calls.last().expect("a call");
-            self.tell(Event::Ended { call, result });
+            self.handle(Event::Ended { call, result });
         }
 
-        fn pass(&mut self, time: Duration) {
+        fn advance(&mut self, time: Duration) {
             let end = self.now + time;
             while let Some(wake) = self.registrar.next_wake().filter(|wake| *wake <= end) {
                 self.now = wake.max(self.now);
-                self.tell(Event::Tick);
+                self.handle(Event::Tick);
             }
             self.now = end;
         }
 
-        fn asked(&self) -> Operation {
+        fn last_operation(&self) -> Operation {
             self.calls.last().expect("a call").1
         }
 
-        fn present() -> Self {
-            let mut played = Self::new();
-            played.end(CallResult::Granted { lease: 9, ttl: S(10) });
-            assert_eq!(played.asked(), Operation::Put { lease: 9, leaving: false });
-            played.end(CallResult::Done);
-            assert_eq!(played.states, [State::Present]);
-            played
+        fn registered() -> Self {
+            let mut driver = Self::new();
+            driver.answer(CallResult::Granted { lease: 9, ttl: S(10) });
+            assert_eq!(driver.last_operation(), Operation::Put { lease: 9, leaving: false });
+            driver.answer(CallResult::Done);
+            assert_eq!(driver.states, [State::Present]);
+            driver
         }
     }
 
     #[test]
-    fn a_lease_is_renewed_in_time_and_asked_for_anew_where_it_is_gone() {
-        let mut played = Played::present();
+    fn a_lease_is_renewed_in_time_and_requested_anew_when_it_no_longer_exists() {
+        let mut driver = Driver::registered();
         for _ in 0..5 {
-            played.pass(S(3));
-            let calls = played.calls.len();
-            played.pass(S(10) / 3 - S(3));
-            assert_eq!((played.calls.len(), played.asked()), (calls + 1, Operation::Renew { lease: 9 }));
-            played.end(CallResult::Renewed { ttl: S(10) });
+            driver.advance(S(3));
+            let calls = driver.calls.len();
+            driver.advance(S(10) / 3 - S(3));
+            assert_eq!(
+                (driver.calls.len(), driver.last_operation()),
+                (calls + 1, Operation::Renew { lease: 9 })
+            );
+            driver.answer(CallResult::Renewed { ttl: S(10) });
         }
-        played.pass(S(4));
-        // etcd answers with a time of 0 for a lease that it does not have.
-        played.end(CallResult::Renewed { ttl: S(0) });
-        assert!(matches!(played.asked(), Operation::Grant { .. }));
-        played.end(CallResult::Granted { lease: 10, ttl: S(10) });
-        played.end(CallResult::Done);
-        assert_eq!(played.states, [State::Present, State::Absent, State::Present]);
+        driver.advance(S(4));
+        // etcd answers with a time to live of 0 for a lease that does not exist.
+        driver.answer(CallResult::Renewed { ttl: S(0) });
+        assert!(matches!(driver.last_operation(), Operation::Grant { .. }));
+        driver.answer(CallResult::Granted { lease: 10, ttl: S(10) });
+        driver.answer(CallResult::Done);
+        assert_eq!(driver.states, [State::Present, State::Absent, State::Present]);
     }
 
     #[test]
-    fn a_registry_that_is_away_is_tried_with_growing_pauses_and_the_lease_not_believed_for_too_long() {
-        let mut played = Played::present();
-        let calls = played.calls.len();
-        // Every call is silent.
-        played.pass(S(9));
-        assert_eq!(played.states, [State::Present]);
-        played.pass(S(1));
-        assert_eq!(played.states, [State::Present, State::Absent]);
-        played.pass(S(590));
-        let tried = played.calls.len() - calls;
+    fn an_unreachable_registry_is_retried_with_growing_delays_and_the_lease_expires_in_time() {
+        let mut driver = Driver::registered();
+        let calls = driver.calls.len();
+        // No call is answered.
+        driver.advance(S(9));
+        assert_eq!(driver.states, [State::Present]);
+        driver.advance(S(1));
+        assert_eq!(driver.states, [State::Present, State::Absent]);
+        driver.advance(S(590));
+        let tried = driver.calls.len() - calls;
         assert!((150..400).contains(&tried), "{tried}");
-        assert!(matches!(played.asked(), Operation::Grant { .. }));
+        assert!(matches!(driver.last_operation(), Operation::Grant { .. }));
     }
 
     #[test]
-    fn a_node_stands_as_leaving_before_it_is_gone() {
-        let mut played = Played::present();
-        played.pass(S(1));
-        played.tell(Event::Leave);
-        assert_eq!(played.asked(), Operation::Put { lease: 9, leaving: true });
-        played.end(CallResult::Done);
-        played.pass(Duration::from_millis(499));
-        assert_eq!(played.asked(), Operation::Put { lease: 9, leaving: true });
-        played.pass(Duration::from_millis(1));
-        assert_eq!(played.asked(), Operation::Revoke { lease: 9 });
-        played.end(CallResult::Done);
-        assert_eq!(played.states, [State::Present, State::Leaving, State::Gone]);
-        assert_eq!(played.registrar.next_wake(), None);
+    fn a_node_is_marked_as_leaving_before_its_key_is_deleted() {
+        let mut driver = Driver::registered();
+        driver.advance(S(1));
+        driver.handle(Event::Leave);
+        assert_eq!(driver.last_operation(), Operation::Put { lease: 9, leaving: true });
+        driver.answer(CallResult::Done);
+        driver.advance(Duration::from_millis(499));
+        assert_eq!(driver.last_operation(), Operation::Put { lease: 9, leaving: true });
+        driver.advance(Duration::from_millis(1));
+        assert_eq!(driver.last_operation(), Operation::Revoke { lease: 9 });
+        driver.answer(CallResult::Done);
+        assert_eq!(driver.states, [State::Present, State::Leaving, State::Gone]);
+        assert_eq!(driver.registrar.next_wake(), None);
     }
 
     #[test]
-    fn leaving_ends_in_time_though_the_registry_is_silent_or_the_lease_gone() {
-        let mut played = Played::present();
-        played.tell(Event::Leave);
-        played.pass(Duration::from_millis(2500));
-        assert_eq!(played.states.last(), Some(&State::Gone));
-        let mut played = Played::present();
-        played.tell(Event::Leave);
-        played.end(CallResult::NoLease);
-        assert_eq!(played.states.last(), Some(&State::Gone));
-        // Before it ever was registered, at once.
-        let mut played = Played::new();
-        played.tell(Event::Leave);
-        assert_eq!(played.states, [State::Gone]);
+    fn leaving_ends_in_time_when_the_registry_is_silent_or_the_lease_is_gone() {
+        let mut driver = Driver::registered();
+        driver.handle(Event::Leave);
+        driver.advance(Duration::from_millis(2500));
+        assert_eq!(driver.states.last(), Some(&State::Gone));
+        let mut driver = Driver::registered();
+        driver.handle(Event::Leave);
+        driver.answer(CallResult::NoLease);
+        assert_eq!(driver.states.last(), Some(&State::Gone));
+        // A node that was never registered is gone at once.
+        let mut driver = Driver::new();
+        driver.handle(Event::Leave);
+        assert_eq!(driver.states, [State::Gone]);
     }
 }
--- a/crates/spurdrum-sources/src/registry/shell.rs
+++ b/crates/spurdrum-sources/src/registry/shell.rs
@@ -1,4 +1,4 @@
-//! Carries out what a [`Follower`] decides, on whatever a registry speaks.
+//! Thin I/O shell that carries out what a [`Follower`] decides, with the client of a registry's protocol.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -14,152 +14,155 @@
 use crate::follower::View;
 use crate::Alarm;
 
-/// Probes that wait to be sent; one that finds no room shows that the watch is silent.
-const PROBES_MOST: usize = 4;
-/// A tick is at most this far away, whatever the follower wishes.
-const TICK_MOST: Duration = Duration::from_secs(60);
+/// Maximum number of queued probes. One that finds no room is dropped: the watch is silent then anyway.
+const MAX_QUEUED_PROBES: usize = 4;
+/// The longest sleep between two ticks, even if the follower asks for none.
+const MAX_TICK_INTERVAL: Duration = Duration::from_secs(60);
 
-/// What a follower has for the node.
+/// What a followed registry reports to the node.
 #[derive(Debug)]
 pub enum RegistryEvent {
     /// Keys have changed.
     Change(Change),
-    /// The copy is trusted otherwise than before.
+    /// The freshness of the copy has changed.
     FreshnessChanged {
-        /// Before.
+        /// Freshness before.
         from: View,
-        /// Now.
+        /// Freshness now.
         to: View,
-        /// Why.
+        /// The reason.
         cause: Cause,
     },
     /// Something that operators should know.
     Note(Note),
 }
 
-/// How a registry is asked. It neither chooses nor repeats.
+/// Client for a registry's protocol. It carries out single calls and neither chooses endpoints nor retries.
 #[allow(async_fn_in_trait)]
 pub trait RegistryClient: 'static {
-    /// Asks an endpoint, and returns the call's last event. What comes before that is told as it comes; what is asked of an
-    /// open watch comes by `probes`. Dropped, it is given up.
+    /// Runs one call at an endpoint and returns its last event. Earlier events are passed to `on_event` as
+    /// they come, and each item of `probes` requests the progress of an open watch. Dropping the future
+    /// aborts the call.
     ///
     /// # Errors
     ///
-    /// How the call failed.
+    /// Returns why the call failed.
     async fn query(
         &self,
         call: CallId,
         endpoint: usize,
         query: Query,
         probes: mpsc::Receiver<()>,
-        tell: impl Fn(Event),
+        on_event: impl Fn(Event),
     ) -> Result<Event, Failure>;
 
-    /// A call at this endpoint was given up, or failed so: what is kept for it may be dead.
-    fn forget(&self, endpoint: usize, failure: Option<Failure>);
+    /// Discards the cached connection or token of an endpoint after a call there failed, or was aborted
+    /// (`None`): it may be dead or invalid.
+    fn invalidate(&self, endpoint: usize, failure: Option<Failure>);
 }
 
 type Listener = Box<dyn Fn(RegistryEvent)>;
 
-/// A call that is out.
-struct Out {
+/// A call that is in flight.
+struct OpenCall {
     endpoint: usize,
     task: AbortHandle,
     probes: mpsc::Sender<()>,
 }
 
-/// Follows one registry. To be used within a `LocalSet`.
+/// Follows one registry. Must be used within a `LocalSet`.
 pub struct Shell<W> {
-    wire: W,
+    client: W,
     follower: RefCell<Follower>,
     alarm: Alarm,
-    calls: RefCell<HashMap<CallId, Out>>,
-    news: RefCell<Option<Listener>>,
+    calls: RefCell<HashMap<CallId, OpenCall>>,
+    listener: RefCell<Option<Listener>>,
 }
 
 impl<W: RegistryClient> Shell<W> {
-    /// A registry of which nothing is known yet.
+    /// Returns a shell that has not read anything from the registry yet.
     ///
     /// # Errors
     ///
-    /// The first setting that makes no sense, and why.
-    pub fn new(wire: W, settings: Settings, seed: u64) -> Result<Rc<Self>, (&'static str, &'static str)> {
+    /// Returns the key of the first invalid setting and the reason.
+    pub fn new(client: W, settings: Settings, seed: u64) -> Result<Rc<Self>, (&'static str, &'static str)> {
         Ok(Rc::new(Self {
-            wire,
+            client,
             follower: RefCell::new(Follower::new(settings, seed)?),
             alarm: Alarm::default(),
             calls: RefCell::default(),
-            news: RefCell::default(),
+            listener: RefCell::default(),
         }))
     }
 
-    /// Follows it for as long as this is awaited; each piece of news is handed over as it comes.
-    pub async fn follow(self: Rc<Self>, news: impl Fn(RegistryEvent) + 'static) {
-        *self.news.borrow_mut() = Some(Box::new(news));
+    /// Follows the registry for as long as the future is polled, and passes each event to `listener`.
+    pub async fn follow(self: Rc<Self>, listener: impl Fn(RegistryEvent) + 'static) {
+        *self.listener.borrow_mut() = Some(Box::new(listener));
         loop {
-            self.tell(Event::Tick);
-            let most = self.alarm.now() + TICK_MOST;
-            let wake = self.follower.borrow().next_wake().map_or(most, |wake| wake.min(most));
+            self.handle(Event::Tick);
+            let latest = self.alarm.now() + MAX_TICK_INTERVAL;
+            let wake = self.follower.borrow().next_wake().map_or(latest, |wake| wake.min(latest));
             self.alarm.sleep(Some(wake)).await;
         }
     }
 
-    /// How far the copy can be trusted, its age where it was ever proved, its revision, and what was done.
+    /// Returns the freshness of the copy, the time since it was last confirmed (`None` if it never was), its
+    /// revision and the statistics.
     pub fn status(&self) -> (View, Option<Duration>, Option<u64>, Counts) {
         let follower = self.follower.borrow();
         let age = follower.age(self.alarm.now());
         (follower.freshness(), age, follower.revision(), follower.counts().clone())
     }
 
-    fn tell(self: &Rc<Self>, event: Event) {
+    fn handle(self: &Rc<Self>, event: Event) {
         let mut actions = Vec::new();
         self.follower.borrow_mut().handle(self.alarm.now(), event, &mut actions);
         for action in actions {
             match action {
-                Action::Call { call, endpoint, query } => self.call(call, endpoint, query),
+                Action::Call { call, endpoint, query } => self.start_call(call, endpoint, query),
                 Action::Probe(call) => {
-                    if let Some(out) = self.calls.borrow().get(&call) {
-                        let _ = out.probes.try_send(());
+                    if let Some(open_call) = self.calls.borrow().get(&call) {
+                        let _ = open_call.probes.try_send(());
                     }
                 }
                 Action::Abort(call) => {
-                    if let Some(out) = self.calls.borrow_mut().remove(&call) {
-                        out.task.abort();
-                        // Guards against asking again on a connection that says nothing any more.
-                        self.wire.forget(out.endpoint, None);
+                    if let Some(open_call) = self.calls.borrow_mut().remove(&call) {
+                        open_call.task.abort();
+                        // Without this, the next call would use a connection that no longer answers.
+                        self.client.invalidate(open_call.endpoint, None);
                     }
                 }
-                Action::Apply(change) => self.hand_over(RegistryEvent::Change(change)),
+                Action::Apply(change) => self.emit(RegistryEvent::Change(change)),
                 Action::FreshnessChanged { from, to, cause } => {
-                    self.hand_over(RegistryEvent::FreshnessChanged { from, to, cause })
+                    self.emit(RegistryEvent::FreshnessChanged { from, to, cause })
                 }
-                Action::Note(note) => self.hand_over(RegistryEvent::Note(note)),
+                Action::Note(note) => self.emit(RegistryEvent::Note(note)),
             }
         }
         self.alarm.sooner(self.follower.borrow().next_wake());
     }
 
-    fn hand_over(&self, news: RegistryEvent) {
-        if let Some(to) = &*self.news.borrow() {
-            to(news);
+    fn emit(&self, event: RegistryEvent) {
+        if let Some(listener) = &*self.listener.borrow() {
+            listener(event);
         }
     }
 
-    fn call(self: &Rc<Self>, call: CallId, endpoint: usize, query: Query) {
-        let (probes, asked) = mpsc::channel(PROBES_MOST);
+    fn start_call(self: &Rc<Self>, call: CallId, endpoint: usize, query: Query) {
+        let (probes, probe_receiver) = mpsc::channel(MAX_QUEUED_PROBES);
         let shell = Rc::clone(self);
         let task = tokio::task::spawn_local(async move {
-            let tell = |event| shell.tell(event);
-            let ended = shell.wire.query(call, endpoint, query, asked, tell).await;
-            // A call that was given up meanwhile says nothing any more.
+            let on_event = |event| shell.handle(event);
+            let result = shell.client.query(call, endpoint, query, probe_receiver, on_event).await;
+            // The call was aborted in the meantime; its result is ignored.
             if shell.calls.borrow_mut().remove(&call).is_none() {
                 return;
             }
-            shell.tell(ended.unwrap_or_else(|failure| {
-                shell.wire.forget(endpoint, Some(failure));
+            shell.handle(result.unwrap_or_else(|failure| {
+                shell.client.invalidate(endpoint, Some(failure));
                 Event::Failed { call, failure }
             }));
         });
-        self.calls.borrow_mut().insert(call, Out { endpoint, task: task.abort_handle(), probes });
+        self.calls.borrow_mut().insert(call, OpenCall { endpoint, task: task.abort_handle(), probes });
     }
 }
