--- a/crates/spurdrum-sources/src/registry/follower.rs
+++ b/crates/spurdrum-sources/src/registry/follower.rs
@@ -36,8 +36,8 @@
 use std::fmt;
 use std::time::Duration;
 
-use crate::back_off;
-use crate::follower::View;
+use crate::backoff_delay;
+use crate::follower::Freshness;
 
 /// Maximum number of open calls, not counting revision checks: one that is silent, and a second one opened
 /// beside it.
@@ -416,9 +416,9 @@
     /// The freshness of the copy has changed.
     FreshnessChanged {
         /// Freshness before.
-        from: View,
+        from: Freshness,
         /// Freshness now.
-        to: View,
+        to: Freshness,
         /// The reason.
         cause: Cause,
     },
@@ -676,7 +676,7 @@
     revision_check: (Duration, usize, usize),
     /// Consecutive valid answers, which set the wait of the next blocking query.
     good_answers: u32,
-    view: View,
+    freshness: Freshness,
     cause: Cause,
     doubtful_since: Option<Duration>,
     confirmed_at: Option<Duration>,
@@ -713,7 +713,7 @@
             rtt: None,
             revision_check: (Duration::ZERO, settings.node_index % settings.endpoints, 0),
             good_answers: 0,
-            view: View::Doubtful,
+            freshness: Freshness::Doubtful,
             cause: Cause::NotYetRead,
             doubtful_since: None,
             confirmed_at: None,
@@ -764,7 +764,7 @@
             let catch_up_deadline = call.must_reach.filter(|_| !call.suspect).map(|(_, by)| by);
             [Some(deadline), probe, catch_up_deadline].into_iter().flatten().min().unwrap_or(deadline)
         };
-        let stale_at = self.doubtful_since.filter(|_| self.view != View::Blind);
+        let stale_at = self.doubtful_since.filter(|_| self.freshness != Freshness::Stale);
         let stale_at = stale_at.map(|since| since + settings.stale_after);
         let next_revision_check =
             (self.started && settings.interface == Interface::WatchStreams).then_some(self.revision_check.0);
@@ -778,8 +778,8 @@
     }
 
     /// Returns how far the copy can be trusted.
-    pub fn freshness(&self) -> View {
-        self.view
+    pub fn freshness(&self) -> Freshness {
+        self.freshness
     }
 
     /// Returns the time since the copy was last confirmed; `None` if it never was.
@@ -828,7 +828,7 @@
             return spread;
         }
         let Settings { min_retry_delay, max_retry_delay, .. } = self.settings;
-        back_off(&mut self.random, min_retry_delay, max_retry_delay, rounds as u32 - 1).max(spread)
+        backoff_delay(&mut self.random, min_retry_delay, max_retry_delay, rounds as u32 - 1).max(spread)
     }
 
     /// Returns how long an answer may take before it is overdue: the configured time, or longer if round
@@ -1018,22 +1018,22 @@
             }
         }
         let is_stale = self.doubtful_since.is_some_and(|since| now >= since + self.settings.stale_after);
-        match self.view {
-            View::Fresh | View::Doubtful if is_stale => {
-                self.set_freshness(View::Blind, Cause::Unconfirmed, actions)
+        match self.freshness {
+            Freshness::Fresh | Freshness::Doubtful if is_stale => {
+                self.set_freshness(Freshness::Stale, Cause::Unconfirmed, actions)
             }
-            View::Fresh if self.doubtful_since.is_some() => {
-                self.set_freshness(View::Doubtful, self.cause, actions)
+            Freshness::Fresh if self.doubtful_since.is_some() => {
+                self.set_freshness(Freshness::Doubtful, self.cause, actions)
             }
-            View::Doubtful | View::Blind if self.doubtful_since.is_none() => {
-                self.set_freshness(View::Fresh, Cause::Confirmed, actions);
+            Freshness::Doubtful | Freshness::Stale if self.doubtful_since.is_none() => {
+                self.set_freshness(Freshness::Fresh, Cause::Confirmed, actions);
             }
             _ => {}
         }
     }
 
-    fn set_freshness(&mut self, to: View, cause: Cause, actions: &mut Vec<Action>) {
-        let from = std::mem::replace(&mut self.view, to);
+    fn set_freshness(&mut self, to: Freshness, cause: Cause, actions: &mut Vec<Action>) {
+        let from = std::mem::replace(&mut self.freshness, to);
         actions.push(Action::FreshnessChanged { from, to, cause });
     }
 
--- a/crates/spurdrum-sources/src/registry/registrar.rs
+++ b/crates/spurdrum-sources/src/registry/registrar.rs
@@ -20,7 +20,7 @@
 use std::fmt;
 use std::time::Duration;
 
-use crate::back_off;
+use crate::backoff_delay;
 
 /// A lease is renewed after its time to live divided by this.
 const RENEWALS_PER_TTL: u32 = 3;
@@ -351,7 +351,7 @@
             return Duration::ZERO;
         }
         let Settings { min_retry_delay, max_retry_delay, .. } = self.settings;
-        back_off(&mut self.random, min_retry_delay, max_retry_delay, rounds as u32 - 1)
+        backoff_delay(&mut self.random, min_retry_delay, max_retry_delay, rounds as u32 - 1)
     }
 
     fn on_leave(&mut self, now: Duration, actions: &mut Vec<Action>) {
--- a/crates/spurdrum-sources/src/registry/shell.rs
+++ b/crates/spurdrum-sources/src/registry/shell.rs
@@ -11,8 +11,8 @@
 use super::follower::{
     Action, CallId, Cause, Change, Counts, Event, Failure, Follower, Note, Query, Settings,
 };
-use crate::follower::View;
-use crate::Alarm;
+use crate::follower::Freshness;
+use crate::Timer;
 
 /// Maximum number of queued probes. One that finds no room is dropped: the watch is silent then anyway.
 const MAX_QUEUED_PROBES: usize = 4;
@@ -27,9 +27,9 @@
     /// The freshness of the copy has changed.
     FreshnessChanged {
         /// Freshness before.
-        from: View,
+        from: Freshness,
         /// Freshness now.
-        to: View,
+        to: Freshness,
         /// The reason.
         cause: Cause,
     },
@@ -74,7 +74,7 @@
 pub struct Shell<W> {
     client: W,
     follower: RefCell<Follower>,
-    alarm: Alarm,
+    timer: Timer,
     calls: RefCell<HashMap<CallId, OpenCall>>,
     listener: RefCell<Option<Listener>>,
 }
@@ -89,7 +89,7 @@
         Ok(Rc::new(Self {
             client,
             follower: RefCell::new(Follower::new(settings, seed)?),
-            alarm: Alarm::default(),
+            timer: Timer::default(),
             calls: RefCell::default(),
             listener: RefCell::default(),
         }))
@@ -100,23 +100,23 @@
         *self.listener.borrow_mut() = Some(Box::new(listener));
         loop {
             self.handle(Event::Tick);
-            let latest = self.alarm.now() + MAX_TICK_INTERVAL;
+            let latest = self.timer.now() + MAX_TICK_INTERVAL;
             let wake = self.follower.borrow().next_wake().map_or(latest, |wake| wake.min(latest));
-            self.alarm.sleep(Some(wake)).await;
+            self.timer.sleep(Some(wake)).await;
         }
     }
 
     /// Returns the freshness of the copy, the time since it was last confirmed (`None` if it never was), its
     /// revision and the statistics.
-    pub fn status(&self) -> (View, Option<Duration>, Option<u64>, Counts) {
+    pub fn status(&self) -> (Freshness, Option<Duration>, Option<u64>, Counts) {
         let follower = self.follower.borrow();
-        let age = follower.age(self.alarm.now());
+        let age = follower.age(self.timer.now());
         (follower.freshness(), age, follower.revision(), follower.counts().clone())
     }
 
     fn handle(self: &Rc<Self>, event: Event) {
         let mut actions = Vec::new();
-        self.follower.borrow_mut().handle(self.alarm.now(), event, &mut actions);
+        self.follower.borrow_mut().handle(self.timer.now(), event, &mut actions);
         for action in actions {
             match action {
                 Action::Call { call, endpoint, query } => self.start_call(call, endpoint, query),
@@ -139,7 +139,7 @@
                 Action::Note(note) => self.emit(RegistryEvent::Note(note)),
             }
         }
-        self.alarm.sooner(self.follower.borrow().next_wake());
+        self.timer.wake_no_later_than(self.follower.borrow().next_wake());
     }
 
     fn emit(&self, event: RegistryEvent) {
