--- a/crates/spurdrum-admission/src/admission.rs
+++ b/crates/spurdrum-admission/src/admission.rs
@@ -231,9 +231,9 @@
     /// Returns when the next [`Event::Tick`] is needed.
     pub fn next_wake(&self) -> Option<Duration> {
         let timeout_at = self.timers.first().map(|(timeout_at, _)| *timeout_at + TIMER_SLACK);
-        let look = (self.level > Level::Calm || self.budget < self.full_budget())
+        let level_check = (self.level > Level::Calm || self.budget < self.full_budget())
             .then(|| self.now + LEVEL_CHECK_INTERVAL);
-        timeout_at.into_iter().chain(look).min()
+        timeout_at.into_iter().chain(level_check).min()
     }
 
     /// Returns the counters for operators.
@@ -406,7 +406,7 @@
     }
 
     fn fair_share(&self) -> usize {
-        // Where there is anything to share there are at least two peers.
+        // There are at least two peers whenever capacity is contended.
         (self.max_served() / self.peers.active().max(2)).max(1)
     }
 
@@ -506,7 +506,7 @@
     fn expire(&mut self, id: ConnId, reason: Reason, actions: &mut Vec<Action>) {
         self.count(reason);
         let timeout_at = self.now + self.settings.linger;
-        let conn = self.conns.get_mut(&id).expect("known");
+        let conn = self.conns.get_mut(&id).expect("known connection");
         conn.close_after_response = true;
         let body = conn.state == State::Body;
         match body {
@@ -524,7 +524,7 @@
     fn abort(&mut self, id: ConnId, reason: Reason, actions: &mut Vec<Action>) {
         self.count(reason);
         self.release(id);
-        self.conns.get_mut(&id).expect("known").aborted = true;
+        self.conns.get_mut(&id).expect("known connection").aborted = true;
         actions.push(Action::Abort(id, reason));
     }
 
@@ -545,7 +545,7 @@
                 if conn.state == State::Idle {
                     self.record_reuse(id, true);
                 }
-                let conn = self.conns.get_mut(&id).expect("known");
+                let conn = self.conns.get_mut(&id).expect("known connection");
                 // The connection was chosen for closing but sent another request: this is answered, and is
                 // the last.
                 conn.close_after_response |= conn.state == State::Closing;
@@ -567,14 +567,14 @@
         };
         conn.requests = conn.requests.saturating_add(1);
         let capacity_free = self.served_count() < self.max_served();
-        let conn = self.conns.get_mut(&id).expect("known");
+        let conn = self.conns.get_mut(&id).expect("known connection");
         // Capacity may have become free since the connection was accepted.
         if conn.refuse_only && capacity_free {
             conn.refuse_only = false;
             self.refuse_only_count -= 1;
         }
         let fits = self.memory + body <= self.max_memory();
-        let conn = self.conns.get_mut(&id).expect("known");
+        let conn = self.conns.get_mut(&id).expect("known connection");
         if conn.refuse_only || !fits {
             conn.close_after_response = true;
             self.count(Reason::Refused);
@@ -607,7 +607,7 @@
         }
         self.charge(id, bytes);
         self.enter(id, State::Writing);
-        let conn = self.conns.get_mut(&id).expect("known");
+        let conn = self.conns.get_mut(&id).expect("known connection");
         conn.close_after_response = !keep;
         if keep {
             Verdict::KeepAlive
@@ -687,7 +687,7 @@
         }
         self.enter(id, State::Closing);
         self.charge(id, 0);
-        self.conns.get_mut(&id).expect("known").half_closed = true;
+        self.conns.get_mut(&id).expect("known connection").half_closed = true;
         self.half_closed_since.insert((self.now, id));
         self.trim_closing(actions);
     }
@@ -706,7 +706,7 @@
     /// Removes a connection from all counts.
     fn release(&mut self, id: ConnId) {
         self.set_candidate(id, None);
-        let conn = self.conns.get_mut(&id).expect("known");
+        let conn = self.conns.get_mut(&id).expect("known connection");
         conn.timeout_at = None;
         if let Some(timer_at) = conn.timer_at.take() {
             self.timers.remove(&(timer_at, id));
@@ -718,7 +718,7 @@
         self.refuse_only_count -= usize::from(refuse_only);
         self.memory -= memory;
         self.peers.closed(self.now, peer);
-        let conn = self.conns.get_mut(&id).expect("known");
+        let conn = self.conns.get_mut(&id).expect("known connection");
         (conn.refuse_only, conn.memory) = (false, 0);
     }
 
@@ -744,7 +744,7 @@
             let counts_globally = conn.counts_globally;
             self.end_idle(peer, reuse_cohort, since, counts_globally);
         }
-        let conn = self.conns.get_mut(&id).expect("known");
+        let conn = self.conns.get_mut(&id).expect("known connection");
         self.counts.states[was as usize] -= 1;
         self.counts.states[state as usize] += 1;
         (conn.state, conn.state_since, conn.bytes) = (state, now, 0);
--- a/crates/spurdrum-core/src/node.rs
+++ b/crates/spurdrum-core/src/node.rs
@@ -96,7 +96,7 @@
 /// An accepted request, pending until it is answered and all of its attempts have ended.
 struct PendingRequest<T: Transport> {
     request: Rc<T::Request>,
-    /// Used up by the final answer, or when the client leaves.
+    /// The sender of the final answer; `None` once it is sent or the client has left.
     answer: Option<oneshot::Sender<Answer<T::Body>>>,
     /// All attempts; `None` for those that have ended.
     attempts: Vec<Option<InFlightAttempt>>,
@@ -679,11 +679,11 @@
             Availability::Gone => State::Gone,
         };
         let mut servers = trace.servers.borrow_mut();
-        let known = match state {
+        let previous = match state {
             State::Gone => servers.remove(&server).map(|(_, state)| state),
             _ => servers.insert(server, (id.to_owned(), state)).map(|(_, state)| state),
         };
-        if known != Some(state) {
+        if previous != Some(state) {
             trace.sink.note(self.now(), Seen::Told { server: id.to_owned(), state });
         }
     }
