--- a/crates/spurdrum-rollout/src/conductor.rs
+++ b/crates/spurdrum-rollout/src/conductor.rs
@@ -1,10 +1,11 @@
 //! The state machine of a rollout: decides which node receives which request, when a stage is complete, and when the
 //! change is rolled back. It has no clock, does no I/O and uses no randomness.
 //!
-//! The controller knows of a node only what the node's supervisor reported last. A node counts as unavailable while its
-//! supervisor cannot be reached, while a step is under way, while its process is not ready, and while another controller
-//! directs it; a step is started only while fewer nodes are unavailable than the plan allows. Two controllers running at
-//! once therefore never make more nodes unavailable than the limit: each of them counts the nodes that it has not claimed.
+//! The controller knows of a node only what the node's supervisor reported last. A node counts as unavailable
+//! while its supervisor cannot be reached, while a step is under way, while its process is not ready, and while
+//! another controller directs it; a step is started only while fewer nodes are unavailable than the plan allows.
+//! Two controllers running at once therefore never make more nodes unavailable than the limit: each of them
+//! counts the nodes that it has not claimed.
 
 use crate::orders::{Generation, Status, SupervisorRequest};
 use crate::version::{ApplyMethod, Change, Version};
@@ -16,7 +17,8 @@
     pub zones: Vec<String>,
     /// The version that all nodes are to run, and how it is applied.
     pub change: Change,
-    /// For each stage, the nodes that run the change when the stage is complete; each contains the nodes of the stage before.
+    /// For each stage, the nodes that run the change when the stage is complete; each contains the nodes of the
+    /// stage before.
     pub stages: Vec<Vec<usize>>,
     /// Maximum number of nodes unavailable at once while the change is rolled out.
     pub max_unavailable: usize,
@@ -97,8 +99,8 @@
         node: usize,
         /// The supervisor's answer.
         status: Box<Status>,
-        /// Whether this answers a periodic poll; otherwise it answers a claim or another request. Requests that were lost are sent
-        /// again only after an answer to a poll.
+        /// Whether this answers a periodic poll; otherwise it answers a claim or another request. Requests that
+        /// were lost are sent again only after an answer to a poll.
         polled: bool,
     },
     /// The supervisor of this node does not answer.
@@ -219,49 +221,49 @@
         }
     }
 
-    /// Where it is.
+    /// The current phase.
     #[must_use]
     pub fn phase(&self) -> &Phase {
         &self.phase
     }
 
-    /// Whether people have it paused.
+    /// Whether an operator has paused the rollout.
     #[must_use]
     pub fn is_paused(&self) -> bool {
         self.paused
     }
 
-    /// Nodes that run the change.
+    /// Number of nodes that run the change.
     #[must_use]
     pub fn changed_count(&self) -> usize {
-        self.nodes.iter().filter(|node| self.is_new(node)).count()
+        self.nodes.iter().filter(|node| self.runs_change(node)).count()
     }
 
-    /// Nodes that count as out.
+    /// Nodes that count as unavailable.
     #[must_use]
     pub fn unavailable(&self) -> Vec<usize> {
-        (0..self.nodes.len()).filter(|n| self.is_out(&self.nodes[*n])).collect()
+        (0..self.nodes.len()).filter(|n| self.is_unavailable(&self.nodes[*n])).collect()
     }
 
-    fn is_new(&self, node: &Node) -> bool {
+    fn runs_change(&self, node: &Node) -> bool {
         node.running_version.as_ref() == Some(&self.settings.change.version)
     }
 
-    /// Whether its keeper is heard, and obeys this conductor.
+    /// Returns whether the node's supervisor can be reached and obeys this controller.
     fn is_claimed(&self, node: &Node) -> bool {
         node.reachable && node.generation == Some(self.generation)
     }
 
-    /// Whether it could be told a step.
+    /// Returns whether a step could be sent to the node: it is claimed and no step is under way.
     fn is_idle(&self, node: &Node) -> bool {
         self.is_claimed(node) && !node.busy && node.pending_step.is_none()
     }
 
-    fn is_out(&self, node: &Node) -> bool {
+    fn is_unavailable(&self, node: &Node) -> bool {
         !(self.is_idle(node) && node.ready)
     }
 
-    /// Handles what happened.
+    /// Handles an event and appends the resulting actions.
     pub fn handle(&mut self, event: Event, actions: &mut Vec<Action>) {
         if self.phase == Phase::Ended {
             return;
@@ -273,34 +275,34 @@
                 }
                 actions.push(Action::SetTimer(Timer::ClaimTimeout));
             }
-            Event::StatusReceived { node, status, polled } => self.said(node, *status, polled, actions),
+            Event::StatusReceived { node, status, polled } => self.on_status(node, *status, polled, actions),
             Event::Unreachable(node) => self.nodes[node].reachable = false,
-            Event::Timer(timer) => self.timer(timer, actions),
-            Event::Verdict(verdict) => self.judged(verdict, actions),
-            Event::Command(command) => self.command(command, actions),
+            Event::Timer(timer) => self.on_timer(timer, actions),
+            Event::Verdict(verdict) => self.on_verdict(verdict, actions),
+            Event::Command(command) => self.on_command(command, actions),
         }
-        // Each phase may be over as it begins.
+        // A phase may already be complete when it is entered, so advance until the phase no longer changes.
         loop {
             let phase = self.phase.clone();
-            self.go_on(actions);
+            self.advance(actions);
             if self.phase == phase {
                 break;
             }
         }
     }
 
-    fn said(&mut self, at: usize, status: Status, polled: bool, actions: &mut Vec<Action>) {
-        if let Some(other) = status.generation.filter(|other| *other > self.generation) {
-            return self.end(Outcome::Superseded(other), actions);
+    fn on_status(&mut self, at: usize, status: Status, polled: bool, actions: &mut Vec<Action>) {
+        if let Some(newer) = status.generation.filter(|other| *other > self.generation) {
+            return self.end(Outcome::Superseded(newer), actions);
         }
         let node = &mut self.nodes[at];
         node.reachable = true;
         (node.generation, node.ready, node.busy) = (status.generation, status.ready, status.busy.is_some());
         (node.running_version, node.good_version) = (status.runs, status.good);
         node.suspended &= !polled;
-        let fell = status.fell_back && !std::mem::replace(&mut node.fell_back, status.fell_back);
+        let fell_back = status.fell_back && !std::mem::replace(&mut node.fell_back, status.fell_back);
         if node.generation != Some(self.generation) {
-            // A keeper that was given back an older disk, or had not answered.
+            // The supervisor has not received the claim, or its disk was restored to an older state.
             if polled {
                 actions.push(Action::Send(at, SupervisorRequest::Claim(self.generation)));
             }
@@ -308,90 +310,91 @@
         }
         let reverted = status.last.as_ref().and_then(|last| last.reverted.as_ref());
         node.rolled_back = reverted == Some(&self.settings.change.version);
-        if let Some((step, order)) = node.pending_step.clone() {
-            let ended = status.last.filter(|last| (last.generation, last.step) == (self.generation, step));
-            match ended {
-                Some(done) => {
+        if let Some((step, request)) = node.pending_step.clone() {
+            let result = status.last.filter(|last| (last.generation, last.step) == (self.generation, step));
+            match result {
+                Some(result) => {
                     node.pending_step = None;
-                    if let Some(why) = done.failed {
+                    if let Some(why) = result.failed {
                         actions.push(Action::Note(format!("node {at}: the step failed: {why}")));
                         node.suspended = true;
-                        if !done.interrupted {
-                            self.failed(why, actions);
+                        if !result.interrupted {
+                            self.step_failed(why, actions);
                         }
                     }
                 }
                 None if status.busy.is_some() => {}
-                // The order, or its answer, was lost.
-                None if polled => actions.push(Action::Send(at, order)),
+                // The request or its answer was lost.
+                None if polled => actions.push(Action::Send(at, request)),
                 None => {
                     if let Some(why) = status.refused {
                         (node.pending_step, node.suspended) = (None, true);
                         actions.push(Action::Note(format!("node {at}: its keeper refused: {why}")));
-                        self.failed(why, actions);
+                        self.step_failed(why, actions);
                     }
                 }
             }
         }
-        let new = self.is_new(&self.nodes[at]);
+        let changed = self.runs_change(&self.nodes[at]);
         let settled = !self.nodes[at].busy && self.nodes[at].pending_step.is_none();
-        if settled && new != self.nodes[at].reported_as_changed {
-            self.nodes[at].reported_as_changed = new;
-            actions.push(Action::VersionChanged { node: at, changed: new });
+        if settled && changed != self.nodes[at].reported_as_changed {
+            self.nodes[at].reported_as_changed = changed;
+            actions.push(Action::VersionChanged { node: at, changed });
         }
         if polled && self.phase == Phase::MarkingGood {
-            self.keep(at, actions);
+            self.mark_good(at, actions);
         }
-        if fell && !matches!(self.phase, Phase::RollingBack(_)) {
-            self.back(format!("node {at} went back by itself: its process kept ending"), actions);
+        if fell_back && !matches!(self.phase, Phase::RollingBack(_)) {
+            self.roll_back(format!("node {at} fell back by itself: its process kept crashing"), actions);
         }
     }
 
-    fn failed(&mut self, why: String, actions: &mut Vec<Action>) {
+    fn step_failed(&mut self, why: String, actions: &mut Vec<Action>) {
         self.failed_steps += 1;
         if self.failed_steps > self.settings.max_failed_steps && !matches!(self.phase, Phase::RollingBack(_))
         {
-            self.back(format!("a step failed: {why}"), actions);
+            self.roll_back(format!("a step failed: {why}"), actions);
         }
     }
 
-    fn timer(&mut self, timer: Timer, actions: &mut Vec<Action>) {
+    fn on_timer(&mut self, timer: Timer, actions: &mut Vec<Action>) {
         match (timer, self.phase.clone()) {
-            (Timer::ClaimTimeout, Phase::Claiming) => self.claimed(actions),
+            (Timer::ClaimTimeout, Phase::Claiming) => self.claims_done(actions),
             (Timer::Baseline, Phase::Baseline) => self.enter(Phase::Changing(0), actions),
             (Timer::MinWatch(of), Phase::Watching(stage)) if of == stage => self.min_watch_over = true,
-            (Timer::MaxWatch(of), Phase::Watching(stage)) if of == stage => match self
-                .settings
-                .when_inconclusive
-            {
-                // What is fine has gone on, or goes on as soon as it may.
-                _ if self.verdict == Verdict::Pass => {}
-                InconclusivePolicy::RollBack => {
-                    self.back("the stage could not be judged in its time".into(), actions)
-                }
-                InconclusivePolicy::Hold => {
-                    actions
-                        .push(Action::Note(format!("stage {} cannot be judged yet and is held", stage + 1)));
+            (Timer::MaxWatch(of), Phase::Watching(stage)) if of == stage => {
+                match self.settings.when_inconclusive {
+                    // The stage has passed; the rollout continues as soon as it is not paused.
+                    _ if self.verdict == Verdict::Pass => {}
+                    InconclusivePolicy::RollBack => self
+                        .roll_back("no verdict on the stage within its maximum watch time".into(), actions),
+                    InconclusivePolicy::Hold => {
+                        actions.push(Action::Note(format!(
+                            "stage {} cannot be judged yet and is held",
+                            stage + 1
+                        )));
+                    }
                 }
-            },
+            }
             (Timer::FleetDegraded, Phase::Changing(_) | Phase::Watching(_)) => {
                 if let Verdict::FleetDegraded(why) = self.verdict.clone() {
-                    self.back(format!("all do worse than before, and it does not pass: {why}"), actions);
+                    self.roll_back(format!("all do worse than before, for too long: {why}"), actions);
                 }
             }
             (Timer::RollbackTimeout, Phase::RollingBack(why)) => {
-                let left = (0..self.nodes.len()).filter(|n| !self.is_back(&self.nodes[*n])).collect();
-                self.end(Outcome::RolledBack(why, left), actions);
+                let remaining =
+                    (0..self.nodes.len()).filter(|n| !self.is_rolled_back(&self.nodes[*n])).collect();
+                self.end(Outcome::RolledBack(why, remaining), actions);
             }
             _ => {}
         }
     }
 
-    fn judged(&mut self, verdict: Verdict, actions: &mut Vec<Action>) {
-        let before = std::mem::replace(&mut self.verdict, verdict);
+    fn on_verdict(&mut self, verdict: Verdict, actions: &mut Vec<Action>) {
+        let previous = std::mem::replace(&mut self.verdict, verdict);
         let under_way = matches!(self.phase, Phase::Changing(_) | Phase::Watching(_));
-        match (&before, &self.verdict) {
-            (_, Verdict::Fail(why)) if under_way => self.back(why.clone(), actions),
+        match (&previous, &self.verdict) {
+            (_, Verdict::Fail(why)) if under_way => self.roll_back(why.clone(), actions),
             (Verdict::FleetDegraded(_), Verdict::FleetDegraded(_)) => {}
             (_, Verdict::FleetDegraded(why)) if under_way => {
                 actions.push(Action::Note(format!("held: all do worse than before: {why}")));
@@ -402,51 +405,53 @@
         }
     }
 
-    fn command(&mut self, command: Command, actions: &mut Vec<Action>) {
+    fn on_command(&mut self, command: Command, actions: &mut Vec<Action>) {
         match command {
             Command::Pause => self.paused = true,
             Command::Resume => self.paused = false,
             Command::Stop => self.end(Outcome::Stopped, actions),
             Command::RollBack if !matches!(self.phase, Phase::RollingBack(_)) => {
-                self.back("people said so".into(), actions);
+                self.roll_back("requested by an operator".into(), actions);
             }
             Command::RollBack => {}
         }
     }
 
-    /// All keepers have answered, or have had their time: goes on from what is true.
-    fn claimed(&mut self, actions: &mut Vec<Action>) {
-        let new = self.changed_count();
-        if new > 0 && self.nodes.iter().any(|node| node.rolled_back) {
-            return self.back("it was being taken back".into(), actions);
+    /// Ends the claiming phase, when all supervisors have answered or the timeout is over. The rollout continues
+    /// from what the nodes run, because another controller may have begun it.
+    fn claims_done(&mut self, actions: &mut Vec<Action>) {
+        let changed = self.changed_count();
+        if changed > 0 && self.nodes.iter().any(|node| node.rolled_back) {
+            return self.roll_back("a rollback was already under way".into(), actions);
         }
-        let next = if new == 0 { Phase::Baseline } else { self.stage_of_now() };
-        if new > 0 {
-            actions.push(Action::Note(format!("{new} nodes run the change already: going on from there")));
+        let next = if changed == 0 { Phase::Baseline } else { self.first_incomplete_stage() };
+        if changed > 0 {
+            actions
+                .push(Action::Note(format!("{changed} nodes run the change already: continuing from there")));
         }
         self.enter(next, actions);
     }
 
-    /// The first stage that is not carried out.
-    fn stage_of_now(&self) -> Phase {
-        let open = |stage: &Vec<usize>| stage.iter().any(|n| !self.is_new(&self.nodes[*n]));
-        let stage = self.settings.stages.iter().position(open);
+    /// Returns the phase of the first stage in which some node does not run the change yet.
+    fn first_incomplete_stage(&self) -> Phase {
+        let incomplete = |stage: &Vec<usize>| stage.iter().any(|n| !self.runs_change(&self.nodes[*n]));
+        let stage = self.settings.stages.iter().position(incomplete);
         stage.map_or(Phase::MarkingGood, Phase::Changing)
     }
 
     fn enter(&mut self, phase: Phase, actions: &mut Vec<Action>) {
         actions.push(Action::Note(match &phase {
-            Phase::Baseline => "watching the nodes as they are".into(),
+            Phase::Baseline => "watching the nodes before any is changed".into(),
             Phase::Changing(stage) => {
                 format!(
                     "stage {} of {}: {} nodes",
                     stage + 1,
                     self.settings.stages.len(),
-                    self.target(*stage).len()
+                    self.stage_nodes(*stage).len()
                 )
             }
             Phase::Watching(stage) => format!("stage {}: all changed, watching", stage + 1),
-            Phase::MarkingGood => "all nodes run it".into(),
+            Phase::MarkingGood => "all nodes run the new version".into(),
             Phase::RollingBack(why) => format!("going back: {why}"),
             Phase::Claiming | Phase::Ended => String::new(),
         }));
@@ -455,24 +460,24 @@
             Phase::Watching(stage) => {
                 self.min_watch_over = false;
                 if self.verdict == Verdict::Pass {
-                    // That was the stage before.
+                    // This verdict was on the previous stage.
                     self.verdict = Verdict::Inconclusive;
                 }
                 actions.push(Action::SetTimer(Timer::MinWatch(*stage)));
                 actions.push(Action::SetTimer(Timer::MaxWatch(*stage)));
             }
-            Phase::MarkingGood => (0..self.nodes.len()).for_each(|at| self.keep(at, actions)),
+            Phase::MarkingGood => (0..self.nodes.len()).for_each(|at| self.mark_good(at, actions)),
             Phase::RollingBack(_) => actions.push(Action::SetTimer(Timer::RollbackTimeout)),
             _ => {}
         }
         self.phase = phase;
     }
 
-    fn target(&self, stage: usize) -> &[usize] {
+    fn stage_nodes(&self, stage: usize) -> &[usize] {
         self.settings.stages.get(stage).map_or(&[], Vec::as_slice)
     }
 
-    fn back(&mut self, why: String, actions: &mut Vec<Action>) {
+    fn roll_back(&mut self, why: String, actions: &mut Vec<Action>) {
         self.enter(Phase::RollingBack(why), actions);
     }
 
@@ -481,26 +486,31 @@
         actions.push(Action::End(outcome));
     }
 
-    /// Does what can be done now.
-    fn go_on(&mut self, actions: &mut Vec<Action>) {
+    /// Starts the steps that are possible now, and enters the next phase if the current one is complete.
+    fn advance(&mut self, actions: &mut Vec<Action>) {
         match self.phase.clone() {
             Phase::Claiming => {
                 if self.nodes.iter().all(|node| self.is_claimed(node)) {
                     actions.push(Action::CancelTimer(Timer::ClaimTimeout));
-                    self.claimed(actions);
+                    self.claims_done(actions);
                 }
             }
             Phase::Changing(stage) => {
-                let held = self.paused || matches!(self.verdict, Verdict::FleetDegraded(_));
-                for at in self.target(stage).to_vec() {
+                let on_hold = self.paused || matches!(self.verdict, Verdict::FleetDegraded(_));
+                for at in self.stage_nodes(stage).to_vec() {
                     let node = &self.nodes[at];
-                    if !held && !node.suspended && !self.is_new(node) && !self.is_out(node) && self.may_go(at)
+                    if !on_hold
+                        && !node.suspended
+                        && !self.runs_change(node)
+                        && !self.is_unavailable(node)
+                        && self.within_limits(at)
                     {
-                        self.order(at, self.settings.change.clone(), false, actions);
+                        self.start_step(at, self.settings.change.clone(), false, actions);
                     }
                 }
-                let done = |n: &usize| self.is_new(&self.nodes[*n]) && !self.is_out(&self.nodes[*n]);
-                if self.target(stage).iter().all(done) {
+                let done =
+                    |n: &usize| self.runs_change(&self.nodes[*n]) && !self.is_unavailable(&self.nodes[*n]);
+                if self.stage_nodes(stage).iter().all(done) {
                     self.enter(Phase::Watching(stage), actions);
                 }
             }
@@ -511,69 +521,71 @@
                 }
             }
             Phase::MarkingGood => {
-                if self.nodes.iter().all(|node| self.is_kept(node)) {
+                if self.nodes.iter().all(|node| self.is_marked_good(node)) {
                     self.end(Outcome::Completed, actions);
                 }
             }
-            Phase::RollingBack(why) => self.go_back(why, actions),
+            Phase::RollingBack(why) => self.advance_rollback(why, actions),
             Phase::Baseline | Phase::Ended => {}
         }
     }
 
-    fn is_kept(&self, node: &Node) -> bool {
+    fn is_marked_good(&self, node: &Node) -> bool {
         node.good_version.as_ref() == Some(&self.settings.change.version)
     }
 
-    /// Tells a keeper that what it runs is good.
-    fn keep(&self, at: usize, actions: &mut Vec<Action>) {
-        if self.is_new(&self.nodes[at]) && !self.is_kept(&self.nodes[at]) {
+    /// Asks the node's supervisor to record the change as the good version, unless it has.
+    fn mark_good(&self, at: usize, actions: &mut Vec<Action>) {
+        if self.runs_change(&self.nodes[at]) && !self.is_marked_good(&self.nodes[at]) {
             let (generation, version) = (self.generation, self.settings.change.version.clone());
             actions.push(Action::Send(at, SupervisorRequest::MarkGood { generation, version }));
         }
     }
 
-    /// Whether one more may be out, and its zone can spare it.
-    fn may_go(&self, at: usize) -> bool {
+    /// Returns whether one more node may become unavailable, and whether enough nodes of this node's zone would
+    /// stay available.
+    fn within_limits(&self, at: usize) -> bool {
         let zone = &self.settings.zones[at];
         let in_zone = (0..self.nodes.len()).filter(|n| self.settings.zones[*n] == *zone);
-        let left = in_zone.filter(|n| !self.is_out(&self.nodes[*n])).count();
+        let available = in_zone.filter(|n| !self.is_unavailable(&self.nodes[*n])).count();
         self.unavailable().len() < self.settings.max_unavailable
-            && left > self.settings.min_available_per_zone
+            && available > self.settings.min_available_per_zone
     }
 
-    fn is_back(&self, node: &Node) -> bool {
-        self.is_idle(node) && !self.is_new(node)
+    fn is_rolled_back(&self, node: &Node) -> bool {
+        self.is_idle(node) && !self.runs_change(node)
     }
 
-    /// Those that cannot serve go first: they are out already, and cost nobody.
-    fn go_back(&mut self, why: String, actions: &mut Vec<Action>) {
+    /// Rolls back as many nodes as the limit allows. Nodes that are not ready come first: they are unavailable
+    /// already, so rolling them back takes no serving capacity.
+    fn advance_rollback(&mut self, why: String, actions: &mut Vec<Action>) {
         let mut nodes: Vec<usize> = (0..self.nodes.len()).collect();
         nodes.sort_by_key(|n| self.nodes[*n].ready);
         for at in nodes {
             let node = &self.nodes[at];
             let idle = self.is_idle(node) && !node.suspended;
-            let room = !node.ready || self.unavailable().len() < self.settings.max_unavailable_in_rollback;
+            let allowed = !node.ready || self.unavailable().len() < self.settings.max_unavailable_in_rollback;
             let old = node.good_version.clone().filter(|good| *good != self.settings.change.version);
-            if let Some(version) = old.filter(|_| idle && room && self.is_new(node)) {
+            if let Some(version) = old.filter(|_| idle && allowed && self.runs_change(node)) {
                 let how = match version.program == self.settings.change.version.program {
                     true => self.settings.change.how,
                     false => ApplyMethod::Replace,
                 };
                 let change = Change { version, program: None, settings: None, how };
-                self.order(at, change, true, actions);
+                self.start_step(at, change, true, actions);
             }
         }
-        if self.nodes.iter().all(|node| self.is_back(node)) {
+        if self.nodes.iter().all(|node| self.is_rolled_back(node)) {
             actions.push(Action::CancelTimer(Timer::RollbackTimeout));
             self.end(Outcome::RolledBack(why, Vec::new()), actions);
         }
     }
 
-    fn order(&mut self, at: usize, change: Change, back: bool, actions: &mut Vec<Action>) {
+    fn start_step(&mut self, at: usize, change: Change, back: bool, actions: &mut Vec<Action>) {
         self.last_step += 1;
         let step = self.last_step;
-        let order = SupervisorRequest::ExecuteStep { generation: self.generation, step, change, back };
-        self.nodes[at].pending_step = Some((step, order.clone()));
-        actions.push(Action::Send(at, order));
+        let request = SupervisorRequest::ExecuteStep { generation: self.generation, step, change, back };
+        self.nodes[at].pending_step = Some((step, request.clone()));
+        actions.push(Action::Send(at, request));
     }
 }
--- a/crates/spurdrum-rollout/src/judge/mod.rs
+++ b/crates/spurdrum-rollout/src/judge/mod.rs
@@ -1,9 +1,12 @@
-//! New nodes beside old ones in the same time, and all of them beside the time before. No clock, no I/O.
+//! The canary analysis: compares changed nodes with unchanged ones over the same time, and the whole fleet with
+//! the time before the rollout. It has no clock and does no I/O.
 //!
-//! Each second gives one value for each class and measure: how much more often requests end badly at new nodes than at old
-//! ones of their zones, each node beside what it did itself before. [`evidence`] gathers what these values say against "no
-//! worse than allowed" so that it may be looked at at any moment; the mean over all classes and measures counts, so the stated
-//! part of false stops is that of the whole rollout. What cannot be told by parts of requests is told by [`rules`].
+//! Each second gives one value for each class and metric: by how much the share of bad requests is higher at
+//! changed nodes than at unchanged nodes of the same zones, each relative to the node's own baseline.
+//! [`evidence`] accumulates these values into a sequential test of the hypothesis "no worse than allowed", which
+//! may be evaluated at any moment. The verdict uses the mean of the tests of all classes and metrics, so that the
+//! configured rate of false stops holds for the whole rollout. [`rules`] covers what is not a share of requests:
+//! crashes, memory and descriptors.
 
 pub mod evidence;
 pub mod rules;
@@ -17,29 +20,32 @@
 use evidence::SequentialTest;
 use rules::{Crashes, Resources};
 
-/// What is compared, and how much worse is too much.
+/// How much worse than the unchanged nodes, or than before, the changed nodes may do. The `[judge]` table of a plan.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Settings {
-    /// Rollouts of a version that is no worse than allowed that may be stopped by mistake, as a part.
+    /// The share of rollouts that may be stopped by mistake although the version is no worse than allowed.
     pub false_stops: f64,
-    /// Requests that changed nodes must have ended in a stage before it is fine.
+    /// Number of requests that must have ended at changed nodes in a stage before the stage can pass.
     pub least_requests: u64,
-    /// A node that was changed is not looked at for so long, in seconds.
+    /// Time in seconds after a change during which the node's statistics are ignored.
     pub settle_s: f64,
-    /// Failed requests may be more by this part of all.
+    /// Allowed increase of failed requests, as a share of all requests.
     pub failed: f64,
-    /// Refused ones.
+    /// Allowed increase of refused requests, as a share of all requests.
     pub refused: f64,
-    /// Those that take longer than nine in ten took before.
+    /// Allowed increase of requests that take longer than nine in ten took before the rollout, as a share of all
+    /// requests.
     pub slow: f64,
-    /// Attempts a request.
+    /// Allowed increase of attempts per request.
     pub attempts: f64,
-    /// Servers that are avoided, as a part of the list.
+    /// Allowed increase of avoided servers, as a share of the node's list.
     pub down: f64,
-    /// Memory and descriptors may grow to so many times what they were before the change, and some more.
+    /// Memory and descriptors of a changed node may grow to this multiple of what they were before the change,
+    /// plus a fixed allowance.
     pub growth: f64,
-    /// All nodes do worse than before by this part of all requests: the rollout is held.
+    /// The fleet counts as degraded, and the rollout is held, if the share of bad requests is higher than before
+    /// by more than this.
     pub trouble: f64,
 }
 
@@ -60,43 +66,45 @@
     }
 }
 
-/// Values beyond this part count as this part: no single second decides.
+/// Values are clipped to this difference of shares, so that no single second decides.
 const CLIP: f64 = 0.1;
-/// Fewer requests in a second, at new nodes or at old ones, wait for the next one.
-const FEW_NEW: f64 = 10.0;
-/// See [`FEW_NEW`].
-const FEW_OLD: f64 = 20.0;
-/// Requests that a node's own past counts as, of the fleet's.
-const SHRINK: f64 = 50.0;
-/// Seconds over which all are compared with the time before.
-const RECENT: usize = 5;
-/// Requests at changed nodes end badly more often by so much over these seconds: no more need be seen.
-const GROSS: f64 = 0.5;
-/// Requests that must have ended there before that is said.
-const GROSS_LEAST: f64 = 30.0;
-/// What gathers above this, short of a verdict, keeps a stage from being fine.
-const DOUBT: f64 = 5.0;
-/// A new node that does so small a part of what is expected of it, serves nobody.
-const NOBODY: f64 = 0.1;
-/// Requests that must have been expected before that is said.
-const EXPECTED: f64 = 50.0;
-/// The part of the requests that takes longer than the bound that slow ones are told by, before.
-const SLOW_PART: f64 = 0.1;
-/// Seconds without a word of a node after which its counts are not compared.
-const STALE: f64 = 5.0;
-
-/// What a part is of.
+/// With fewer requests than this at changed nodes, a second is not compared alone but together with the next one.
+const MIN_CHANGED_REQUESTS: f64 = 10.0;
+/// The same for the requests at unchanged nodes.
+const MIN_UNCHANGED_REQUESTS: f64 = 20.0;
+/// A node's baseline share is mixed with that of the fleet, which counts as this many requests (shrinkage).
+const FLEET_PRIOR_REQUESTS: f64 = 50.0;
+/// Number of the latest seconds over which the fleet is compared with the time before the rollout.
+const RECENT_SECONDS: usize = 5;
+/// If the share of bad requests over the latest seconds is higher by this much at changed nodes, they fail
+/// without further data.
+const GROSS_DIFFERENCE: f64 = 0.5;
+/// Number of requests that must have ended at changed nodes for a gross difference to count.
+const MIN_GROSS_REQUESTS: f64 = 30.0;
+/// A stage does not pass while the evidence against the change (an e-value) is at least this, even if it is too
+/// weak to fail.
+const MAX_E_VALUE_TO_PASS: f64 = 5.0;
+/// A changed node that serves a smaller share than this of the requests expected of it counts as serving nobody.
+const MIN_SERVED_SHARE: f64 = 0.1;
+/// Number of requests that must have been expected of the node before it counts as serving nobody.
+const MIN_EXPECTED_REQUESTS: f64 = 50.0;
+/// The share of requests before the rollout that take longer than the bound for slow requests.
+const SLOW_SHARE: f64 = 0.1;
+/// If a node has not reported for this many seconds, its counters are not compared with the earlier ones.
+const STALE_S: f64 = 5.0;
+
+/// What is compared between changed and unchanged nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Metric {
-    /// Failed.
+    /// Failed requests, as a share of all requests.
     FailedRequests,
-    /// Refused.
+    /// Refused requests, as a share of all requests.
     RefusedRequests,
-    /// Served, but slowly.
+    /// Requests answered more slowly than nine in ten were before the rollout, as a share of all answers.
     SlowAnswers,
-    /// Attempts beyond one a request.
+    /// Attempts beyond the first, per request.
     AttemptsPerRequest,
-    /// Servers avoided.
+    /// Servers that the node avoids, as a share of its list.
     AvoidedServers,
 }
 
@@ -112,337 +120,360 @@
     }
 }
 
-/// Of a class, or of all.
+/// A metric of one class; the class is empty for metrics that are not counted by class.
 type Key = (String, Metric);
 
-/// So many of so many.
+/// The number of bad ones among all.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-struct Part {
+struct Ratio {
     bad: f64,
-    all: f64,
+    total: f64,
 }
 
-impl Part {
+impl Ratio {
     fn add(&mut self, other: Self) {
         self.bad += other.bad;
-        self.all += other.all;
+        self.total += other.total;
     }
 
-    fn rate(self) -> f64 {
-        if self.all > 0.0 {
-            self.bad / self.all
+    fn value(self) -> f64 {
+        if self.total > 0.0 {
+            self.bad / self.total
         } else {
             0.0
         }
     }
 
-    /// The rate, with so much of another one mixed in.
-    fn shrunk(self, to: f64) -> f64 {
-        (self.bad + SHRINK * to) / (self.all + SHRINK)
+    /// Returns the ratio shrunk towards `prior`, which counts as [`FLEET_PRIOR_REQUESTS`].
+    fn shrunk(self, prior: f64) -> f64 {
+        (self.bad + FLEET_PRIOR_REQUESTS * prior) / (self.total + FLEET_PRIOR_REQUESTS)
     }
 }
 
-/// What a node counted, as it was last told.
+/// What is known of a node.
 #[derive(Clone, Debug, Default)]
 struct Node {
     zone: usize,
-    new: bool,
-    /// When it was last changed, in seconds; none: never.
-    since: Option<f64>,
+    /// Whether the node runs the change.
+    changed: bool,
+    /// When the node last changed its version, in seconds; none if it never did.
+    changed_at: Option<f64>,
     statistics: Option<NodeStatistics>,
-    heard: f64,
+    last_report: f64,
     crashes: Option<u64>,
-    /// What came since the last second that was looked at.
-    fresh: BTreeMap<Key, Part>,
-    /// What it did before any was changed.
-    before: BTreeMap<Key, Part>,
-    /// How many of all its requests ended badly then.
-    before_overall: Part,
-    /// Answers by time, then, by class.
-    times: BTreeMap<String, BTreeMap<u64, u64>>,
-    /// Seconds of that, and requests.
-    before_s: f64,
-    before_requests: f64,
+    /// Counts since the last evaluation.
+    recent: BTreeMap<Key, Ratio>,
+    /// Counts of the time before any node was changed.
+    baseline: BTreeMap<Key, Ratio>,
+    /// Failed and refused requests of all classes in that time.
+    baseline_overall: Ratio,
+    /// Latency histograms of that time, by class.
+    baseline_latencies: BTreeMap<String, BTreeMap<u64, u64>>,
+    /// Length of that time in seconds, and its number of requests.
+    baseline_s: f64,
+    baseline_requests: f64,
     resources: Resources,
-    /// Requests since it was changed and settled, and how many were expected.
+    /// Requests since the node was changed and has settled, and the number expected from its baseline.
     requests: f64,
-    expected: f64,
+    expected_requests: f64,
 }
 
-/// The judge of one rollout.
+/// The canary analysis of one rollout.
 pub struct CanaryAnalysis {
     settings: Settings,
     nodes: Vec<Node>,
     zones: usize,
-    /// Bounds in microseconds that slow answers are told by, by class; once there is a first node that is changed.
-    slow: BTreeMap<String, u64>,
-    /// What was usual for all together, before.
-    usual: BTreeMap<Key, f64>,
-    evidence: BTreeMap<Key, SequentialTest>,
+    /// For each class, the latency in microseconds above which an answer counts as slow; set when the first node
+    /// is changed.
+    slow_bounds: BTreeMap<String, u64>,
+    /// The fleet's ratios in the time before any node was changed.
+    fleet_baseline: BTreeMap<Key, f64>,
+    tests: BTreeMap<Key, SequentialTest>,
     crashes: Crashes,
-    /// Sums that were too few to be compared, by zone: new, old, and what both would have done by their past.
-    waiting: BTreeMap<Key, Vec<Sums>>,
-    /// Of all, before; and the last seconds.
-    all_before: Part,
-    recent: Vec<Sums>,
-    troubled: bool,
-    /// A node was changed: what came until then is the time before, for all of them alike.
+    /// Counts by zone that so far were too few to be compared.
+    pending: BTreeMap<Key, Vec<Counts>>,
+    /// Bad requests of the whole fleet before any node was changed, and the counts of the latest seconds.
+    fleet_overall_baseline: Ratio,
+    recent: Vec<Counts>,
+    fleet_degraded: bool,
+    /// Whether a node has been changed, which ends the baseline of all nodes at once.
     begun: bool,
-    /// Requests at changed nodes since the stage was watched.
-    seen: f64,
+    /// Requests at changed nodes since the stage started.
+    stage_requests: f64,
 }
 
-/// What new and old nodes did, and how much of it would have ended badly by their past: of one zone, or of all.
+/// Counts at changed and at unchanged nodes of a zone or of the fleet, and the number of bad ones that their
+/// baselines predict.
 #[derive(Clone, Copy, Debug, Default)]
-struct Sums {
-    new: Part,
-    new_before: f64,
-    old: Part,
-    old_before: f64,
+struct Counts {
+    changed: Ratio,
+    changed_predicted: f64,
+    unchanged: Ratio,
+    unchanged_predicted: f64,
 }
 
-impl Sums {
-    /// One node's part, and how much of it would have ended badly by its past.
-    fn of_node(new: bool, part: Part, past: f64) -> Self {
-        match new {
-            true => Self { new: part, new_before: past, ..Self::default() },
-            false => Self { old: part, old_before: past, ..Self::default() },
+impl Counts {
+    /// Counts of one node, and the number of bad ones that its baseline predicts.
+    fn of_node(changed: bool, ratio: Ratio, predicted: f64) -> Self {
+        match changed {
+            true => Self { changed: ratio, changed_predicted: predicted, ..Self::default() },
+            false => Self { unchanged: ratio, unchanged_predicted: predicted, ..Self::default() },
         }
     }
 
     fn add(&mut self, other: Self) {
-        self.new.add(other.new);
-        self.old.add(other.old);
-        self.new_before += other.new_before;
-        self.old_before += other.old_before;
+        self.changed.add(other.changed);
+        self.unchanged.add(other.unchanged);
+        self.changed_predicted += other.changed_predicted;
+        self.unchanged_predicted += other.unchanged_predicted;
     }
 
-    /// How much more often than by their past requests end badly at old nodes.
-    fn old_more(self) -> f64 {
-        (self.old.bad - self.old_before) / self.old.all
+    /// Returns by how much the ratio at unchanged nodes exceeds the ratio that their baselines predict.
+    fn unchanged_excess(self) -> f64 {
+        (self.unchanged.bad - self.unchanged_predicted) / self.unchanged.total
     }
 }
 
 impl CanaryAnalysis {
-    /// For nodes in these zones.
+    /// Creates the analysis for nodes in these zones, given by node index.
     #[must_use]
     pub fn new(settings: Settings, zones: &[String]) -> Self {
         let mut names: Vec<&String> = zones.iter().collect();
         names.sort();
         names.dedup();
-        let place = |zone: &String| names.binary_search(&zone).unwrap_or_default();
-        let nodes = zones.iter().map(|zone| Node { zone: place(zone), ..Node::default() }).collect();
+        let index = |zone: &String| names.binary_search(&zone).unwrap_or_default();
+        let nodes = zones.iter().map(|zone| Node { zone: index(zone), ..Node::default() }).collect();
         Self {
             settings,
             nodes,
             zones: names.len(),
-            slow: BTreeMap::new(),
-            usual: BTreeMap::new(),
-            evidence: BTreeMap::new(),
+            slow_bounds: BTreeMap::new(),
+            fleet_baseline: BTreeMap::new(),
+            tests: BTreeMap::new(),
             crashes: Crashes::default(),
-            waiting: BTreeMap::new(),
-            all_before: Part::default(),
+            pending: BTreeMap::new(),
+            fleet_overall_baseline: Ratio::default(),
             recent: Vec::new(),
-            troubled: false,
+            fleet_degraded: false,
             begun: false,
-            seen: 0.0,
+            stage_requests: 0.0,
         }
     }
 
-    /// From now on this node runs the change, or the old version again.
-    pub fn version_changed(&mut self, at: usize, new: bool, now: f64) {
-        if new && !std::mem::replace(&mut self.begun, true) {
-            self.end_of_before();
+    /// Records that a node runs the change from now on, or the old version again.
+    pub fn version_changed(&mut self, at: usize, changed: bool, now: f64) {
+        if changed && !std::mem::replace(&mut self.begun, true) {
+            self.end_baseline();
         }
         let node = &mut self.nodes[at];
-        (node.new, node.since) = (new, Some(now));
-        node.fresh.clear();
-        (node.requests, node.expected) = (0.0, 0.0);
+        (node.changed, node.changed_at) = (changed, Some(now));
+        node.recent.clear();
+        (node.requests, node.expected_requests) = (0.0, 0.0);
         node.resources.mark_changed();
     }
 
-    /// A stage is watched from now on.
+    /// Starts counting the requests of a new stage.
     pub fn stage_started(&mut self) {
-        self.seen = 0.0;
+        self.stage_requests = 0.0;
     }
 
-    /// The time before is over: what was usual then stands.
-    fn end_of_before(&mut self) {
-        self.bound_slow();
-        let mut usual: BTreeMap<Key, Part> = BTreeMap::new();
-        for (key, part) in self.nodes.iter().flat_map(|node| &node.before) {
-            usual.entry(key.clone()).or_default().add(*part);
+    /// Ends the baseline: from now on it stays as it is.
+    fn end_baseline(&mut self) {
+        self.set_slow_bounds();
+        let mut fleet: BTreeMap<Key, Ratio> = BTreeMap::new();
+        for (key, ratio) in self.nodes.iter().flat_map(|node| &node.baseline) {
+            fleet.entry(key.clone()).or_default().add(*ratio);
         }
-        self.usual = usual.into_iter().map(|(key, part)| (key, part.rate())).collect();
+        self.fleet_baseline = fleet.into_iter().map(|(key, ratio)| (key, ratio.value())).collect();
     }
 
-    /// The bounds that slow answers are told by: nine in ten of all took no longer. And how many were slow at each node.
-    fn bound_slow(&mut self) {
-        let mut all: BTreeMap<&String, BTreeMap<u64, u64>> = BTreeMap::new();
-        for (class, times) in self.nodes.iter().flat_map(|node| &node.times) {
-            let all = all.entry(class).or_default();
-            times.iter().for_each(|(upper, count)| *all.entry(*upper).or_default() += count);
+    /// Sets the latency bound of each class above which an answer counts as slow: nine in ten answers of the
+    /// fleet's baseline took no longer. Also computes the share of slow answers in each node's baseline.
+    fn set_slow_bounds(&mut self) {
+        let mut fleet: BTreeMap<&String, BTreeMap<u64, u64>> = BTreeMap::new();
+        for (class, histogram) in self.nodes.iter().flat_map(|node| &node.baseline_latencies) {
+            let fleet = fleet.entry(class).or_default();
+            histogram.iter().for_each(|(upper, count)| *fleet.entry(*upper).or_default() += count);
         }
-        for (class, times) in all {
-            let count: u64 = times.values().sum();
-            let mut sum = 0;
-            let bound = times.iter().find(|(_, more)| {
-                sum += **more;
-                sum as f64 >= (1.0 - SLOW_PART) * count as f64
+        for (class, histogram) in fleet {
+            let total: u64 = histogram.values().sum();
+            let mut cumulated = 0;
+            let bound = histogram.iter().find(|(_, count)| {
+                cumulated += **count;
+                cumulated as f64 >= (1.0 - SLOW_SHARE) * total as f64
             });
-            self.slow.extend(bound.map(|(bound, _)| (class.clone(), *bound)));
+            self.slow_bounds.extend(bound.map(|(bound, _)| (class.clone(), *bound)));
         }
         for node in &mut self.nodes {
-            for (class, times) in std::mem::take(&mut node.times) {
-                let Some(bound) = self.slow.get(&class) else { continue };
-                let part = slow_part(times, *bound);
-                node.before.insert((class, Metric::SlowAnswers), part);
+            for (class, histogram) in std::mem::take(&mut node.baseline_latencies) {
+                let Some(bound) = self.slow_bounds.get(&class) else { continue };
+                let ratio = slow_ratio(histogram, *bound);
+                node.baseline.insert((class, Metric::SlowAnswers), ratio);
             }
         }
     }
 
-    /// What a node's keeper told of it.
+    /// Records the statistics that a node's supervisor reported.
     pub fn record_statistics(&mut self, at: usize, statistics: &NodeStatistics, crashes: u64, now: f64) {
-        let settled = self.nodes[at].since.is_none_or(|since| now >= since + self.settings.settle_s);
-        let (new, heard) = (self.nodes[at].new, self.nodes[at].heard);
-        let fell = self.nodes[at].crashes.replace(crashes).map_or(0, |before| crashes.saturating_sub(before));
-        let seconds = (now - heard).clamp(0.0, STALE);
-        self.crashes.add(new, seconds, fell);
+        let settled = self.nodes[at].changed_at.is_none_or(|since| now >= since + self.settings.settle_s);
+        let (changed, last_report) = (self.nodes[at].changed, self.nodes[at].last_report);
+        let new_crashes =
+            self.nodes[at].crashes.replace(crashes).map_or(0, |before| crashes.saturating_sub(before));
+        let seconds = (now - last_report).clamp(0.0, STALE_S);
+        self.crashes.add(changed, seconds, new_crashes);
         let node = &mut self.nodes[at];
-        let was = node.statistics.replace(statistics.clone());
-        node.heard = now;
-        node.resources.record(statistics.memory, statistics.descriptors, new && settled);
-        // Counts of another process, or of a node that was not heard of, tell nothing of this second.
-        let Some(was) = was.filter(|was| was.process == statistics.process && seconds < STALE) else {
+        let previous = node.statistics.replace(statistics.clone());
+        node.last_report = now;
+        node.resources.record(statistics.memory, statistics.descriptors, changed && settled);
+        // The counters of another process, or after a gap in the reports, say nothing about the latest second.
+        let Some(previous) =
+            previous.filter(|previous| previous.process == statistics.process && seconds < STALE_S)
+        else {
             return;
         };
         if !settled {
             return;
         }
-        let requests = self.differences(at, &was, statistics);
+        let requests = self.add_differences(at, &previous, statistics);
         let node = &mut self.nodes[at];
         if !self.begun {
-            node.before_s += seconds;
-            node.before_requests += requests;
-        } else if new {
+            node.baseline_s += seconds;
+            node.baseline_requests += requests;
+        } else if changed {
             node.requests += requests;
-            node.expected += node.before_requests / node.before_s.max(1.0) * seconds;
-            self.seen += requests;
+            node.expected_requests += node.baseline_requests / node.baseline_s.max(1.0) * seconds;
+            self.stage_requests += requests;
         }
     }
 
-    /// Adds what came between two tellings of one process. How many requests ended.
-    fn differences(&mut self, at: usize, was: &NodeStatistics, is: &NodeStatistics) -> f64 {
-        let more = |is: u64, was: u64| is.saturating_sub(was) as f64;
-        let mut found: Vec<(Key, Part)> = Vec::new();
+    /// Adds the differences between two reports of the same process. Returns how many requests ended between them.
+    fn add_differences(&mut self, at: usize, previous: &NodeStatistics, current: &NodeStatistics) -> f64 {
+        let difference = |current: u64, previous: u64| current.saturating_sub(previous) as f64;
+        let mut ratios: Vec<(Key, Ratio)> = Vec::new();
         let mut requests = 0.0;
-        let mut overall = Part::default();
-        for (class, is) in &is.calls {
-            let was = was.calls.get(class).copied().unwrap_or_default();
-            let (success, busy, failure) =
-                (more(is.success, was.success), more(is.busy, was.busy), more(is.failure, was.failure));
-            let all = success + busy + failure;
-            requests += all;
-            overall.add(Part { bad: busy + failure, all });
-            found.push(((class.clone(), Metric::FailedRequests), Part { bad: failure, all }));
-            found.push(((class.clone(), Metric::RefusedRequests), Part { bad: busy, all }));
+        let mut overall = Ratio::default();
+        for (class, current) in &current.calls {
+            let previous = previous.calls.get(class).copied().unwrap_or_default();
+            let (success, busy, failure) = (
+                difference(current.success, previous.success),
+                difference(current.busy, previous.busy),
+                difference(current.failure, previous.failure),
+            );
+            let total = success + busy + failure;
+            requests += total;
+            overall.add(Ratio { bad: busy + failure, total });
+            ratios.push(((class.clone(), Metric::FailedRequests), Ratio { bad: failure, total }));
+            ratios.push(((class.clone(), Metric::RefusedRequests), Ratio { bad: busy, total }));
         }
-        let before = !self.begun;
-        for (class, steps) in &is.latencies {
-            // Bounds rise.
-            let was = was.latencies.get(class).map_or(&[][..], Vec::as_slice);
-            let counted =
-                |upper: u64| was.binary_search_by_key(&upper, |step| step.0).map_or(0, |at| was[at].1);
-            let more = steps.iter().map(|(upper, count)| (*upper, count.saturating_sub(counted(*upper))));
-            match self.slow.get(class) {
-                Some(bound) => found.push(((class.clone(), Metric::SlowAnswers), slow_part(more, *bound))),
-                None if before => {
-                    let times = self.nodes[at].times.entry(class.clone()).or_default();
-                    more.for_each(|(upper, count)| *times.entry(upper).or_default() += count);
+        let in_baseline = !self.begun;
+        for (class, histogram) in &current.latencies {
+            // The binary search relies on the ascending bounds of the histogram.
+            let previous = previous.latencies.get(class).map_or(&[][..], Vec::as_slice);
+            let previous_count = |upper: u64| {
+                previous.binary_search_by_key(&upper, |bucket| bucket.0).map_or(0, |at| previous[at].1)
+            };
+            let added =
+                histogram.iter().map(|(upper, count)| (*upper, count.saturating_sub(previous_count(*upper))));
+            match self.slow_bounds.get(class) {
+                Some(bound) => ratios.push(((class.clone(), Metric::SlowAnswers), slow_ratio(added, *bound))),
+                None if in_baseline => {
+                    let baseline = self.nodes[at].baseline_latencies.entry(class.clone()).or_default();
+                    added.for_each(|(upper, count)| *baseline.entry(upper).or_default() += count);
                 }
                 None => {}
             }
         }
-        let extra = (more(is.attempts, was.attempts) - requests).clamp(0.0, requests);
-        found.push(((String::new(), Metric::AttemptsPerRequest), Part { bad: extra, all: requests }));
-        let listed = is.listed as f64;
-        // A node's list counts as one request a second and server, so that zones are weighed alike.
-        found.push(((String::new(), Metric::AvoidedServers), Part { bad: is.down as f64, all: listed }));
+        let extra_attempts =
+            (difference(current.attempts, previous.attempts) - requests).clamp(0.0, requests);
+        ratios.push((
+            (String::new(), Metric::AttemptsPerRequest),
+            Ratio { bad: extra_attempts, total: requests },
+        ));
+        let listed = current.listed as f64;
+        // Each listed server counts as one request per second, so that zones get comparable weights.
+        ratios.push((
+            (String::new(), Metric::AvoidedServers),
+            Ratio { bad: current.down as f64, total: listed },
+        ));
         let node = &mut self.nodes[at];
-        let of_node = if before { &mut node.before } else { &mut node.fresh };
-        for (key, part) in found {
-            of_node.entry(key).or_default().add(part);
+        let counts = if in_baseline { &mut node.baseline } else { &mut node.recent };
+        for (key, ratio) in ratios {
+            counts.entry(key).or_default().add(ratio);
         }
-        let new = node.new;
-        if before {
-            node.before_overall.add(overall);
-            self.all_before.add(overall);
+        let changed = node.changed;
+        if in_baseline {
+            node.baseline_overall.add(overall);
+            self.fleet_overall_baseline.add(overall);
         }
-        let past = node.before_overall.shrunk(self.all_before.rate()) * overall.all;
+        let predicted = node.baseline_overall.shrunk(self.fleet_overall_baseline.value()) * overall.total;
         if let Some(last) = self.recent.last_mut() {
-            last.add(Sums::of_node(new, overall, past));
+            last.add(Counts::of_node(changed, overall, predicted));
         }
         requests
     }
 
-    /// Looks at what came in the last second. What can be said now.
+    /// Evaluates the reports of the last second and returns the current verdict.
     pub fn evaluate(&mut self) -> Verdict {
-        self.compare();
-        let trouble = self.trouble();
-        self.recent.push(Sums::default());
-        if self.recent.len() > RECENT {
+        self.update_tests();
+        let fleet_degradation = self.fleet_degradation();
+        self.recent.push(Counts::default());
+        if self.recent.len() > RECENT_SECONDS {
             self.recent.remove(0);
         }
-        if let Some(why) = self.worse() {
+        if let Some(why) = self.failure() {
             return Verdict::Fail(why);
         }
-        if let Some(why) = trouble {
+        if let Some(why) = fleet_degradation {
             return Verdict::FleetDegraded(why);
         }
-        // Guards against a changed node whose process has ended and that the many other measures outweigh in the mean.
-        let doubt = self.evidence_mean().max(self.crashes.e_value()) >= DOUBT;
-        match self.seen >= self.settings.least_requests as f64 && !doubt && !self.looks_worse() {
+        // Checks the crashes separately: in the mean, the many other metrics outweigh the crash of a changed
+        // node's process, and the stage would pass.
+        let doubtful = self.mean_e_value().max(self.crashes.e_value()) >= MAX_E_VALUE_TO_PASS;
+        match self.stage_requests >= self.settings.least_requests as f64
+            && !doubtful
+            && !self.recently_worse()
+        {
             true => Verdict::Pass,
             false => Verdict::Inconclusive,
         }
     }
 
-    /// What each node did in the last second goes to the sums of its zone, and where they are enough, to the evidence.
-    fn compare(&mut self) {
+    /// Adds the counts of the last second to the pending counts of each zone and, where these are sufficient, to
+    /// the tests.
+    fn update_tests(&mut self) {
         let mut keys: Vec<Key> = Vec::new();
         for node in &self.nodes {
-            keys.extend(node.fresh.keys().cloned());
+            keys.extend(node.recent.keys().cloned());
         }
         keys.sort();
         keys.dedup();
         for key in keys {
-            let usual = self.usual.get(&key).copied().unwrap_or(0.0);
-            let mut sums = self.waiting.remove(&key).unwrap_or_else(|| vec![Sums::default(); self.zones]);
+            let fleet = self.fleet_baseline.get(&key).copied().unwrap_or(0.0);
+            let mut zones = self.pending.remove(&key).unwrap_or_else(|| vec![Counts::default(); self.zones]);
             for node in &mut self.nodes {
-                let Some(part) = node.fresh.remove(&key) else { continue };
-                let past = node.before.get(&key).copied().unwrap_or_default().shrunk(usual);
-                sums[node.zone].add(Sums::of_node(node.new, part, past * part.all));
+                let Some(ratio) = node.recent.remove(&key) else { continue };
+                let predicted = node.baseline.get(&key).copied().unwrap_or_default().shrunk(fleet);
+                zones[node.zone].add(Counts::of_node(node.changed, ratio, predicted * ratio.total));
             }
-            match difference(&sums) {
+            match difference(&zones) {
                 Some(value) => {
                     let margin = self.margin(key.1);
-                    let evidence =
-                        self.evidence.entry(key).or_insert_with(|| SequentialTest::new(margin, CLIP));
-                    evidence.add(value);
+                    let test = self.tests.entry(key).or_insert_with(|| SequentialTest::new(margin, CLIP));
+                    test.add(value);
                 }
                 None => {
-                    let any_new = sums.iter().any(|sum| sum.new.all > 0.0);
-                    // Old nodes alone have nothing to be compared with.
-                    if any_new {
-                        self.waiting.insert(key, sums);
+                    let any_changed = zones.iter().any(|zone| zone.changed.total > 0.0);
+                    // Without counts of changed nodes there is nothing to compare, and these counts are dropped.
+                    if any_changed {
+                        self.pending.insert(key, zones);
                     }
                 }
             }
         }
     }
 
-    fn margin(&self, measure: Metric) -> f64 {
-        match measure {
+    fn margin(&self, metric: Metric) -> f64 {
+        match metric {
             Metric::FailedRequests => self.settings.failed,
             Metric::RefusedRequests => self.settings.refused,
             Metric::SlowAnswers => self.settings.slow,
@@ -451,36 +482,40 @@
         }
     }
 
-    /// The mean of all evidence: evidence of its own, however the parts hang together.
-    fn evidence_mean(&self) -> f64 {
-        let all = self.evidence.values().map(SequentialTest::e_value).chain([self.crashes.e_value()]);
+    /// Returns the mean of the e-values of all tests, which is an e-value again even though the metrics depend on
+    /// one another.
+    fn mean_e_value(&self) -> f64 {
+        let all = self.tests.values().map(SequentialTest::e_value).chain([self.crashes.e_value()]);
         let (sum, count) = all.fold((0.0, 0.0), |(sum, count), e_value| (sum + e_value, count + 1.0));
         sum / count
     }
 
-    fn worse(&self) -> Option<String> {
-        if let Some(why) = self.gross() {
+    /// Returns why the changed nodes do worse than allowed, or none.
+    fn failure(&self) -> Option<String> {
+        if let Some(why) = self.gross_difference() {
             return Some(why);
         }
-        if self.evidence_mean() >= 1.0 / self.settings.false_stops {
-            let most = self.evidence.iter().max_by(|a, b| a.1.e_value().total_cmp(&b.1.e_value()));
-            let of = most.filter(|(_, evidence)| evidence.e_value() >= self.crashes.e_value());
-            return Some(match of {
-                Some(((class, measure), evidence)) => {
+        if self.mean_e_value() >= 1.0 / self.settings.false_stops {
+            let strongest = self.tests.iter().max_by(|a, b| a.1.e_value().total_cmp(&b.1.e_value()));
+            let metric = strongest.filter(|(_, test)| test.e_value() >= self.crashes.e_value());
+            return Some(match metric {
+                Some(((class, metric), test)) => {
                     let class = if class.is_empty() { String::new() } else { format!(" of class {class}") };
-                    let mean = 100.0 * evidence.mean();
-                    format!("{}{class}: {mean:.1} points more at changed nodes", measure.name())
+                    let mean = 100.0 * test.mean();
+                    format!("{}{class}: {mean:.1} points more at changed nodes", metric.name())
                 }
                 None => self.crashes.to_string(),
             });
         }
-        let load = self.load();
-        for (at, node) in self.nodes.iter().enumerate().filter(|(_, node)| node.new) {
+        let relative_load = self.relative_load();
+        for (at, node) in self.nodes.iter().enumerate().filter(|(_, node)| node.changed) {
             if let Some(what) = node.resources.excessive_growth(self.settings.growth) {
                 return Some(format!("node {at}: {what}"));
             }
-            if node.expected >= EXPECTED && node.requests < NOBODY * node.expected * load {
-                let (requests, expected) = (node.requests, node.expected);
+            if node.expected_requests >= MIN_EXPECTED_REQUESTS
+                && node.requests < MIN_SERVED_SHARE * node.expected_requests * relative_load
+            {
+                let (requests, expected) = (node.requests, node.expected_requests);
                 return Some(format!(
                     "node {at} serves nobody: {requests:.0} requests, {expected:.0} expected"
                 ));
@@ -489,80 +524,94 @@
         None
     }
 
-    /// What all have to do now, beside before.
-    fn load(&self) -> f64 {
-        let before: f64 = self.nodes.iter().map(|node| node.before_requests / node.before_s.max(1.0)).sum();
-        let lately = self.lately();
-        let now = (lately.new.all + lately.old.all) / self.recent.len().max(1) as f64;
-        if before > 0.0 {
-            (now / before).min(1.0)
+    /// Returns the fleet's current request rate relative to its baseline, at most 1.
+    fn relative_load(&self) -> f64 {
+        let baseline: f64 =
+            self.nodes.iter().map(|node| node.baseline_requests / node.baseline_s.max(1.0)).sum();
+        let recent = self.recent_counts();
+        let current = (recent.changed.total + recent.unchanged.total) / self.recent.len().max(1) as f64;
+        if baseline > 0.0 {
+            (current / baseline).min(1.0)
         } else {
             1.0
         }
     }
 
-    /// What ended in the last seconds, at changed nodes and at the others.
-    fn lately(&self) -> Sums {
-        let mut all = Sums::default();
-        self.recent.iter().for_each(|second| all.add(*second));
-        all
+    /// Returns the sum of the counts of the latest seconds.
+    fn recent_counts(&self) -> Counts {
+        let mut sum = Counts::default();
+        self.recent.iter().for_each(|second| sum.add(*second));
+        sum
     }
 
-    /// Whether all do worse than before, and by what: those that were not changed, while there are any.
-    fn trouble(&mut self) -> Option<String> {
-        let Sums { new, old, .. } = self.lately();
-        let recent = if old.all >= FEW_OLD { old } else { new };
-        let more = recent.rate() - self.all_before.rate();
-        let bound = if self.troubled { self.settings.trouble / 2.0 } else { self.settings.trouble };
-        let enough = recent.all >= FEW_OLD && self.all_before.all >= FEW_OLD;
-        self.troubled = enough && more > bound && self.begun;
-        let (is, was) = (100.0 * recent.rate(), 100.0 * self.all_before.rate());
-        self.troubled.then(|| format!("{is:.1} % refused or failed, {was:.1} % before"))
+    /// Returns by how much the whole fleet does worse than before the rollout, or none. Looks at the unchanged
+    /// nodes as long as these have enough requests.
+    fn fleet_degradation(&mut self) -> Option<String> {
+        let Counts { changed, unchanged, .. } = self.recent_counts();
+        let recent = if unchanged.total >= MIN_UNCHANGED_REQUESTS { unchanged } else { changed };
+        let increase = recent.value() - self.fleet_overall_baseline.value();
+        // Hysteresis: the degradation ends only at half of the bound.
+        let bound = if self.fleet_degraded { self.settings.trouble / 2.0 } else { self.settings.trouble };
+        let enough = recent.total >= MIN_UNCHANGED_REQUESTS
+            && self.fleet_overall_baseline.total >= MIN_UNCHANGED_REQUESTS;
+        self.fleet_degraded = enough && increase > bound && self.begun;
+        let (current, baseline) = (100.0 * recent.value(), 100.0 * self.fleet_overall_baseline.value());
+        self.fleet_degraded.then(|| format!("{current:.1} % refused or failed, {baseline:.1} % before"))
     }
 
-    /// Whether more of the last requests ended badly at changed nodes than at the others, each beside its past, by as much as holds
-    /// a rollout.
-    /// Guards against a stage that is fine because little has been gathered yet.
-    fn looks_worse(&self) -> bool {
-        difference(&[self.lately()]).is_some_and(|more| more > self.settings.trouble)
+    /// Returns whether the share of bad requests over the latest seconds is higher at changed nodes than at the
+    /// others, each relative to its baseline, by more than the bound for a degraded fleet. Without this, a stage
+    /// could pass while its nodes plainly do worse, because the tests have too little data yet.
+    fn recently_worse(&self) -> bool {
+        difference(&[self.recent_counts()]).is_some_and(|difference| difference > self.settings.trouble)
     }
 
-    /// What need not be gathered any longer.
-    fn gross(&self) -> Option<String> {
-        let Sums { new, old, .. } = self.lately();
-        let seen = new.all >= GROSS_LEAST && old.all >= FEW_OLD && new.rate() - old.rate() >= GROSS;
-        let (is, was) = (100.0 * new.rate(), 100.0 * old.rate());
-        seen.then(|| format!("{is:.0} % refused or failed at changed nodes, {was:.0} % at the others"))
+    /// Returns a difference between changed and unchanged nodes that is so large that no sequential test is
+    /// needed, or none.
+    fn gross_difference(&self) -> Option<String> {
+        let Counts { changed, unchanged, .. } = self.recent_counts();
+        let gross = changed.total >= MIN_GROSS_REQUESTS
+            && unchanged.total >= MIN_UNCHANGED_REQUESTS
+            && changed.value() - unchanged.value() >= GROSS_DIFFERENCE;
+        let (at_changed, at_others) = (100.0 * changed.value(), 100.0 * unchanged.value());
+        gross.then(|| {
+            format!("{at_changed:.0} % refused or failed at changed nodes, {at_others:.0} % at the others")
+        })
     }
 
-    /// Requests at changed nodes since the stage was watched.
+    /// Requests at changed nodes since the stage started.
     #[must_use]
     pub fn requests_at_changed_nodes(&self) -> u64 {
-        self.seen as u64
+        self.stage_requests as u64
     }
 }
 
-/// Of these answers by time, those that took longer than the bound.
-fn slow_part(times: impl IntoIterator<Item = (u64, u64)>, bound: u64) -> Part {
-    let mut part = Part::default();
-    for (upper, count) in times {
+/// Returns the share of answers in a latency histogram that took longer than the bound.
+fn slow_ratio(histogram: impl IntoIterator<Item = (u64, u64)>, bound: u64) -> Ratio {
+    let mut ratio = Ratio::default();
+    for (upper, count) in histogram {
         let bad = if upper > bound { count as f64 } else { 0.0 };
-        part.add(Part { bad, all: count as f64 });
+        ratio.add(Ratio { bad, total: count as f64 });
     }
-    part
+    ratio
 }
 
-/// How much more often requests end badly at new nodes than at old ones of their zones, beyond what either did before. A zone
-/// with too few old ones is compared with all old ones; none where there are too few at all.
-fn difference(sums: &[Sums]) -> Option<f64> {
-    let mut all = Sums::default();
-    sums.iter().for_each(|sum| all.add(*sum));
-    if all.new.all < FEW_NEW || all.old.all < FEW_OLD {
+/// Returns by how much the share of bad requests is higher at changed nodes than at unchanged ones of the same
+/// zone, each relative to its baseline. A zone with too few requests at unchanged nodes is compared with the
+/// unchanged nodes of all zones. Returns none if there are too few requests overall.
+fn difference(zones: &[Counts]) -> Option<f64> {
+    let mut all = Counts::default();
+    zones.iter().for_each(|zone| all.add(*zone));
+    if all.changed.total < MIN_CHANGED_REQUESTS || all.unchanged.total < MIN_UNCHANGED_REQUESTS {
         return None;
     }
-    let of_zone = |sum: &Sums| {
-        let old = if sum.old.all >= FEW_OLD { sum.old_more() } else { all.old_more() };
-        (sum.new.bad - sum.new_before) - old * sum.new.all
+    let excess_of_zone = |zone: &Counts| {
+        let unchanged_excess = if zone.unchanged.total >= MIN_UNCHANGED_REQUESTS {
+            zone.unchanged_excess()
+        } else {
+            all.unchanged_excess()
+        };
+        (zone.changed.bad - zone.changed_predicted) - unchanged_excess * zone.changed.total
     };
-    Some(sums.iter().map(of_zone).sum::<f64>() / all.new.all)
+    Some(zones.iter().map(excess_of_zone).sum::<f64>() / all.changed.total)
 }
--- a/crates/spurdrum-rollout/src/judge/rules.rs
+++ b/crates/spurdrum-rollout/src/judge/rules.rs
@@ -1,101 +1,108 @@
-//! What is not a part of requests: processes that end, memory and descriptors.
+//! Checks on what is not a share of requests: crashes, memory and descriptors.
 
 use std::fmt;
 
-/// The chance that a crash is one at a new node, that a new version is suspected of.
-const SUSPECTED: f64 = 0.9;
-/// A share of the time is never taken for less: a node that was changed this instant proves nothing.
-const SHARE_LEAST: f64 = 0.01;
-/// What may come on top of what was before: memory in bytes, and descriptors.
-const SPARE: (u64, u64) = (64 << 20, 64);
-/// Readings before a change that are kept: the highest counts.
-const READINGS: u64 = 5;
+/// The alternative hypothesis of the crash test: a crash happens at a changed node with this probability.
+const SUSPECTED_SHARE: f64 = 0.9;
+/// Lower bound of the changed nodes' share of the time. Without it, a single crash right after the first change
+/// would count as strong evidence, because the share is almost 0 then.
+const MIN_SHARE: f64 = 0.01;
+/// Allowed growth on top of the multiple of the earlier value: memory in bytes, and descriptors.
+const ALLOWANCE: (u64, u64) = (64 << 20, 64);
+/// Number of readings before a change that are needed for a comparison; the highest of them counts.
+const MIN_READINGS: u64 = 5;
 
-/// Crashes at new and old nodes.
+/// Crashes at changed and unchanged nodes, and the test whether the change causes crashes.
 ///
-/// Each is a draw: if the change has no part in it, it falls on new nodes by their share of the time. The wealth of one who bets
-/// on a version that crashes is evidence like any other (see [`super::evidence`]).
+/// If the change does not cause crashes, each crash falls on a changed node with a probability equal to the
+/// changed nodes' share of the time. The wealth of a gambler who bets on `SUSPECTED_SHARE` instead is an e-value
+/// like the others (see [`super::evidence`]).
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Crashes {
-    new: u64,
-    old: u64,
+    changed: u64,
+    unchanged: u64,
     /// Node seconds since the first change.
-    new_s: f64,
-    old_s: f64,
-    wealth: f64,
+    changed_s: f64,
+    unchanged_s: f64,
+    /// Logarithm of the gambler's wealth.
+    log_wealth: f64,
 }
 
 impl Crashes {
-    /// Time of a node, and how often its process ended in it.
-    pub fn add(&mut self, new: bool, seconds: f64, crashes: u64) {
-        if new {
-            self.new_s += seconds;
+    /// Adds a time span of a node, and how often its process crashed in it.
+    pub fn add(&mut self, changed: bool, seconds: f64, crashes: u64) {
+        if changed {
+            self.changed_s += seconds;
         } else {
-            self.old_s += seconds;
+            self.unchanged_s += seconds;
         }
-        let share = (self.new_s / (self.new_s + self.old_s).max(1e-9)).max(SHARE_LEAST);
-        if self.new_s <= 0.0 || share >= SUSPECTED {
+        let share = (self.changed_s / (self.changed_s + self.unchanged_s).max(1e-9)).max(MIN_SHARE);
+        if self.changed_s <= 0.0 || share >= SUSPECTED_SHARE {
             return;
         }
         for _ in 0..crashes {
-            self.wealth +=
-                if new { (SUSPECTED / share).ln() } else { ((1.0 - SUSPECTED) / (1.0 - share)).ln() };
-            *(if new { &mut self.new } else { &mut self.old }) += 1;
+            self.log_wealth += if changed {
+                (SUSPECTED_SHARE / share).ln()
+            } else {
+                ((1.0 - SUSPECTED_SHARE) / (1.0 - share)).ln()
+            };
+            *(if changed { &mut self.changed } else { &mut self.unchanged }) += 1;
         }
     }
 
-    /// As [`super::evidence::Evidence::worth`].
+    /// Returns the e-value, see [`super::evidence::SequentialTest::e_value`].
     #[must_use]
     pub fn e_value(&self) -> f64 {
-        self.wealth.exp().min(1e12)
+        self.log_wealth.exp().min(1e12)
     }
 }
 
 impl fmt::Display for Crashes {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (new_s, old_s) = (self.new_s, self.old_s);
+        let (changed_s, unchanged_s) = (self.changed_s, self.unchanged_s);
         write!(
             f,
-            "processes ended: {} at changed nodes in {new_s:.0} node seconds, {} at others in {old_s:.0}",
-            self.new, self.old
+            "processes ended: {} at changed nodes in {changed_s:.0} node seconds, {} at others in {unchanged_s:.0}",
+            self.changed, self.unchanged
         )
     }
 }
 
-/// Memory and descriptors of a node.
+/// Memory and descriptors of a node, before and after it was changed.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Resources {
+    /// Highest readings before the change: memory in bytes, and descriptors.
     before: (u64, u64),
     readings: u64,
     now: (u64, u64),
-    changed: bool,
+    was_changed: bool,
 }
 
 impl Resources {
-    /// One reading; of the change where it runs and has settled.
-    pub fn record(&mut self, memory: u64, descriptors: u64, new: bool) {
-        if new {
+    /// Records a reading. `changed`: the node runs the change and has settled.
+    pub fn record(&mut self, memory: u64, descriptors: u64, changed: bool) {
+        if changed {
             self.now = (memory, descriptors);
-        } else if !self.changed {
+        } else if !self.was_changed {
             self.readings += 1;
             self.before = (self.before.0.max(memory), self.before.1.max(descriptors));
         }
     }
 
-    /// The node was changed, or changed back.
+    /// Records that the node was changed, or changed back.
     pub fn mark_changed(&mut self) {
-        self.changed = true;
+        self.was_changed = true;
         self.now = (0, 0);
     }
 
-    /// What is above so many times what it was before.
+    /// Returns which resource has grown to more than this multiple of its earlier value plus the allowance, or none.
     #[must_use]
-    pub fn excessive_growth(&self, times: f64) -> Option<String> {
-        if self.readings < READINGS {
+    pub fn excessive_growth(&self, multiple: f64) -> Option<String> {
+        if self.readings < MIN_READINGS {
             return None;
         }
-        let most = |before: u64, spare: u64| (before as f64 * times) as u64 + spare;
-        let (memory, descriptors) = (most(self.before.0, SPARE.0), most(self.before.1, SPARE.1));
+        let max = |before: u64, allowance: u64| (before as f64 * multiple) as u64 + allowance;
+        let (memory, descriptors) = (max(self.before.0, ALLOWANCE.0), max(self.before.1, ALLOWANCE.1));
         if self.now.0 > memory {
             return Some(format!("memory {} MB, {} MB before", self.now.0 >> 20, self.before.0 >> 20));
         }
@@ -108,7 +115,7 @@
     use super::*;
 
     #[test]
-    fn crashes_count_by_the_share_of_the_time() {
+    fn crashes_are_weighed_by_the_changed_nodes_share_of_the_time() {
         let mut crashes = Crashes::default();
         for _ in 0..100 {
             crashes.add(true, 1.0, 0);
@@ -119,7 +126,7 @@
         crashes.add(true, 0.0, 1);
         crashes.add(true, 0.0, 1);
         assert!(crashes.e_value() > 50.0, "{crashes}");
-        // With half of the time, it takes many.
+        // With half of the time at changed nodes, many crashes are needed.
         let mut half = Crashes::default();
         half.add(true, 50.0, 0);
         half.add(false, 50.0, 0);
@@ -128,7 +135,7 @@
     }
 
     #[test]
-    fn what_grows_is_told_beside_the_node_itself() {
+    fn growth_is_compared_with_the_same_node_before_the_change() {
         let mut resources = Resources::default();
         (0..10).for_each(|_| resources.record(40 << 20, 100, false));
         resources.mark_changed();
--- a/crates/spurdrum-rollout/src/lib.rs
+++ b/crates/spurdrum-rollout/src/lib.rs
@@ -1,15 +1,17 @@
-//! A change of the program or of its settings, carried to a fleet in stages: old and new nodes side by side, stopped and
-//! taken back when a stage does worse.
+//! Rolls a change of the program or of its settings out to a fleet in stages: changed and unchanged nodes run
+//! side by side, and the rollout stops and rolls back when the changed nodes do worse.
 //!
-//! - [`plan`]: which nodes, which change, which stages, what is too much; from a TOML file.
-//! - [`conductor`]: which node is told what, when a stage is over, when all goes back. Pure: no clock, no I/O.
-//! - [`judge`]: new nodes beside old ones in the same time, and the whole fleet beside the time before. Pure.
-//! - [`orders`]: what is said to the keeper of each node, and what it answers, one line each.
-//! - [`timers`]: the times that a state machine asks for.
-//! - [`shell`]: sockets and timers round the conductor and the judge.
+//! - [`plan`]: the nodes, the change, the stages and the limits, read from a TOML file.
+//! - [`conductor`]: the rollout controller: which node gets which request, when a stage is complete, when the
+//!   change is rolled back. A pure state machine: no clock, no I/O.
+//! - [`judge`]: the canary analysis: compares changed nodes with unchanged ones over the same time, and the whole
+//!   fleet with the time before the rollout. Pure.
+//! - [`orders`]: the protocol between the controller and the supervisor beside each node, one line each way.
+//! - [`timers`]: the timers that a state machine asks its shell for.
+//! - [`shell`]: sockets and timers round the controller and the canary analysis.
 //!
-//! Nothing is remembered by the conductor alone: what nodes run and which conductor directs them is asked of their keepers,
-//! so that another can go on where one has died.
+//! The controller stores nothing: what each node runs and which controller directs it is kept by the node's
+//! supervisor, so that another controller can continue the rollout when one dies.
 
 pub mod conductor;
 pub mod judge;
--- a/crates/spurdrum-rollout/src/orders.rs
+++ b/crates/spurdrum-rollout/src/orders.rs
@@ -9,8 +9,8 @@
 /// Maximum length in bytes of a request or answer line.
 pub const MAX_LINE_BYTES: usize = 64 * 1024;
 
-/// Identifies a rollout controller. A supervisor obeys the highest generation that has claimed it. Two controllers that chose the
-/// same number are ordered by the second field.
+/// Identifies a rollout controller. A supervisor obeys the highest generation that has claimed it. Two
+/// controllers that chose the same number are ordered by the second field.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Generation {
     /// Higher than every number that supervisors reported when the controller started.
@@ -41,7 +41,8 @@
         /// Whether the step rolls a change back.
         back: bool,
     },
-    /// Record the running version as good: the supervisor falls back to it on its own when a later version keeps crashing.
+    /// Record the running version as good: the supervisor falls back to it on its own when a later version keeps
+    /// crashing.
     #[serde(rename = "keep")]
     MarkGood {
         /// The generation of the sender.
@@ -63,7 +64,8 @@
     pub reverted: Option<Version>,
     /// Why the step failed; the node then runs the version that it ran before the step.
     pub failed: Option<String>,
-    /// The step failed only because the supervisor was restarted in the middle of it, which does not speak against the change.
+    /// The step failed only because the supervisor was restarted in the middle of it, which does not speak
+    /// against the change.
     #[serde(default, rename = "cut_off")]
     pub interrupted: bool,
 }
@@ -86,8 +88,8 @@
     pub process: u64,
     /// Requests by class.
     pub calls: BTreeMap<String, RequestCounts>,
-    /// Latency histogram by class: upper bound of each bucket in microseconds, and the count. Empty if the node's program does
-    /// not report latencies.
+    /// Latency histogram by class: upper bound of each bucket in microseconds, and the count. Empty if the node's
+    /// program does not report latencies.
     #[serde(default)]
     pub latencies: BTreeMap<String, Vec<(u64, u64)>>,
     /// Attempts that were sent to servers.
--- a/crates/spurdrum-rollout/src/plan.rs
+++ b/crates/spurdrum-rollout/src/plan.rs
@@ -1,4 +1,4 @@
-//! A rollout as a TOML file has it.
+//! The plan of a rollout, read from a TOML file.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -12,9 +12,10 @@
 use crate::judge;
 use crate::version::{ApplyMethod, Change, Hash, Version};
 
-/// Nodes at most.
+/// Maximum number of nodes in a plan.
 const MAX_NODES: usize = 16_384;
 
+/// The plan as it stands in the file; the field names are the names of tables and keys.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct File {
@@ -28,29 +29,40 @@
     judge: judge::Settings,
 }
 
+/// The `[rollout]` table. [`Plan`] and [`conductor::Settings`] hold the same values under more explicit names.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct RolloutTable {
     listen: SocketAddr,
-    #[serde(default = "one")]
+    /// Maximum number of nodes unavailable at once on the way forward.
+    #[serde(default = "default_one")]
     at_once: usize,
+    /// The same for the way back; four times `at_once` if absent.
     back_at_once: Option<usize>,
-    #[serde(default = "one")]
+    /// Nodes of a zone that always stay available.
+    #[serde(default = "default_one")]
     least_left: usize,
+    /// Steps that may fail before the change is rolled back.
     #[serde(default)]
     failures: usize,
+    /// What happens to a stage without a conclusive verdict.
     #[serde(default)]
     unjudged: InconclusivePolicy,
-    #[serde(default = "claims")]
+    /// Time that supervisors have to answer the claim.
+    #[serde(default = "default_claims_s")]
     claims_s: f64,
-    #[serde(default = "before")]
+    /// Length of the baseline before the first stage.
+    #[serde(default = "default_before_s")]
     before_s: f64,
-    #[serde(default = "trouble")]
+    /// Time for which the whole fleet may be degraded before the change is rolled back.
+    #[serde(default = "default_trouble_s")]
     trouble_s: f64,
-    #[serde(default = "back")]
+    /// Time after which a rollback ends even if some nodes are not known to run the old version.
+    #[serde(default = "default_back_s")]
     back_s: f64,
 }
 
+/// The `[change]` table: the files of the change and, if stated, the hashes that they must have.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 struct ChangeTable {
@@ -62,6 +74,7 @@
     how: ApplyMethod,
 }
 
+/// A `[[stage]]` table: either `nodes` or `share`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct StageTable {
@@ -69,109 +82,111 @@
     share: Option<f64>,
     #[serde(default)]
     each_zone: bool,
-    #[serde(default = "least")]
+    /// Minimum watch time.
+    #[serde(default = "default_least_s")]
     least_s: f64,
-    #[serde(default = "most")]
+    /// Time after which a stage without a conclusive verdict is held or rolled back.
+    #[serde(default = "default_most_s")]
     most_s: f64,
 }
 
-fn one() -> usize {
+fn default_one() -> usize {
     1
 }
 
-fn claims() -> f64 {
+fn default_claims_s() -> f64 {
     5.0
 }
 
-fn before() -> f64 {
+fn default_before_s() -> f64 {
     30.0
 }
 
-fn trouble() -> f64 {
+fn default_trouble_s() -> f64 {
     60.0
 }
 
-fn back() -> f64 {
+fn default_back_s() -> f64 {
     600.0
 }
 
-fn least() -> f64 {
+fn default_least_s() -> f64 {
     30.0
 }
 
-fn most() -> f64 {
+fn default_most_s() -> f64 {
     600.0
 }
 
-/// A node, and where its keeper is called.
+/// A node and the address of its supervisor.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq)]
 #[serde(deny_unknown_fields)]
 pub struct Node {
-    /// Its name, as its keeper has it.
+    /// The name of the node, as its supervisor reports it.
     pub name: String,
     /// The address at which its supervisor listens.
     #[serde(rename = "keeper")]
     pub supervisor: SocketAddr,
-    /// Its zone.
+    /// The zone of the node.
     #[serde(default)]
     pub zone: String,
-    /// It is changed in the last stage only.
+    /// Whether the node is changed in the last stage only.
     #[serde(default)]
     pub last: bool,
 }
 
-/// A stage, by how many nodes run the change when it is carried out.
+/// A stage, given by the number of nodes that run the change when the stage is complete.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Stage {
-    /// Nodes, in all or in each zone.
+    /// Number of nodes, in the fleet or in each zone.
     pub size: StageSize,
-    /// Whether it is of each zone.
+    /// Whether `size` counts for each zone rather than for the whole fleet.
     pub each_zone: bool,
-    /// It is watched for so long at least.
+    /// Minimum time for which the changed nodes are watched.
     pub min_watch: Duration,
-    /// And so long at most, unless it is held.
+    /// Time after which a stage without a conclusive verdict is held or rolled back.
     pub max_watch: Duration,
 }
 
-/// How many.
+/// A number of nodes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum StageSize {
-    /// So many.
+    /// An absolute number.
     Nodes(usize),
-    /// A part of them.
+    /// A share of the nodes, rounded up.
     Share(f64),
 }
 
-/// A plan that was found sound.
+/// A validated plan.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// Where the conductor can be asked and told.
+    /// The address at which the controller answers operators.
     pub listen: SocketAddr,
     /// The nodes.
     pub nodes: Vec<Node>,
-    /// The stages; the last one has all nodes.
+    /// The stages; the last one contains all nodes.
     pub stages: Vec<Stage>,
-    /// What is compared.
+    /// Settings of the canary analysis.
     pub judge: judge::Settings,
     change: ChangeTable,
-    at_once: usize,
-    back_at_once: usize,
-    least_left: usize,
-    failures: usize,
-    unjudged: InconclusivePolicy,
-    claims: Duration,
-    before: Duration,
-    trouble: Duration,
-    back: Duration,
+    max_unavailable: usize,
+    max_unavailable_in_rollback: usize,
+    min_available_per_zone: usize,
+    max_failed_steps: usize,
+    when_inconclusive: InconclusivePolicy,
+    claim_timeout: Duration,
+    baseline: Duration,
+    max_degradation: Duration,
+    rollback_timeout: Duration,
 }
 
-/// What is wrong: the table, the key, and why.
-type Wrong = (&'static str, &'static str, String);
+/// A validation error: the table, the key, and the reason.
+type Invalid = (&'static str, &'static str, String);
 
-fn time(table: &'static str, key: &'static str, seconds: f64) -> Result<Duration, Wrong> {
-    let sound =
+fn time(table: &'static str, key: &'static str, seconds: f64) -> Result<Duration, Invalid> {
+    let valid =
         Duration::try_from_secs_f64(seconds).ok().filter(|time| *time <= Duration::from_secs(7 * 86_400));
-    sound.ok_or_else(|| (table, key, "is no time of up to a week".to_owned()))
+    valid.ok_or_else(|| (table, key, "must be a time of 0 s to 7 days".to_owned()))
 }
 
 impl Plan {
@@ -179,38 +194,42 @@
     ///
     /// # Errors
     ///
-    /// It cannot be read, or makes no sense.
+    /// The file cannot be read, or the plan is invalid.
     pub fn read(path: &Path) -> Result<Self, String> {
         file::read(path, Self::parse)
     }
 
-    /// Reads a plan's text. The error begins with the line.
+    /// Parses a plan. The error begins with the line.
     ///
     /// # Errors
     ///
-    /// It makes no sense.
+    /// The plan is invalid.
     pub fn parse(text: &str) -> Result<Self, String> {
         let file: File = file::from_toml(text)?;
-        Self::of(file).map_err(|(table, key, why)| {
-            let begins = text.lines().position(|line| {
+        Self::from_file(file).map_err(|(table, key, why)| {
+            let table_line = text.lines().position(|line| {
                 line.trim_start().trim_start_matches('[').starts_with(table)
                     && line.trim_start().starts_with('[')
             });
-            let begins = begins.unwrap_or(0);
-            let of = text.lines().skip(begins).position(|line| line.trim_start().starts_with(key));
-            format!("{}: `{table}.{key}`: {why}", begins + of.unwrap_or(0) + 1)
+            let table_line = table_line.unwrap_or(0);
+            let key_line = text.lines().skip(table_line).position(|line| line.trim_start().starts_with(key));
+            format!("{}: `{table}.{key}`: {why}", table_line + key_line.unwrap_or(0) + 1)
         })
     }
 
-    fn of(file: File) -> Result<Self, Wrong> {
+    fn from_file(file: File) -> Result<Self, Invalid> {
         let File { rollout, change, node, stage, judge } = file;
         if node.is_empty() || node.len() > MAX_NODES {
             return Err(("node", "name", format!("there are {} nodes, not 1 to {MAX_NODES}", node.len())));
         }
-        let (mut names, mut keepers) = (HashSet::new(), HashSet::new());
-        for of in &node {
-            if !names.insert(&of.name) || !keepers.insert(of.supervisor) {
-                return Err(("node", "name", format!("`{}` or its keeper is there twice", of.name)));
+        let (mut names, mut supervisors) = (HashSet::new(), HashSet::new());
+        for entry in &node {
+            if !names.insert(&entry.name) || !supervisors.insert(entry.supervisor) {
+                return Err((
+                    "node",
+                    "name",
+                    format!("`{}` or its keeper address appears twice", entry.name),
+                ));
             }
         }
         for hash in [&change.program_sha256, &change.settings_sha256].into_iter().flatten() {
@@ -225,7 +244,7 @@
         for zone in zones {
             let size = node.iter().filter(|node| node.zone == *zone).count();
             if rollout.least_left == 0 && rollout.at_once >= size {
-                let why = format!("is 0: all {size} nodes of zone `{zone}` could be out at once");
+                let why = format!("is 0: all {size} nodes of zone `{zone}` could be unavailable at once");
                 return Err(("rollout", "least_left", why));
             }
             if rollout.least_left >= size {
@@ -233,7 +252,7 @@
                 return Err(("rollout", "least_left", why));
             }
         }
-        let read = |table: &StageTable| {
+        let parse_stage = |table: &StageTable| {
             let size = match (table.nodes, table.share) {
                 (Some(n), None) if n > 0 => StageSize::Nodes(n),
                 (None, Some(share)) if share > 0.0 && share <= 1.0 => StageSize::Share(share),
@@ -242,14 +261,14 @@
                     return Err(("stage", "nodes", why.to_owned()));
                 }
             };
-            let (least, most) =
+            let (min_watch, max_watch) =
                 (time("stage", "least_s", table.least_s)?, time("stage", "most_s", table.most_s)?);
-            if most < least {
+            if max_watch < min_watch {
                 return Err(("stage", "most_s", "is below `least_s`".to_owned()));
             }
-            Ok(Stage { size, each_zone: table.each_zone, min_watch: least, max_watch: most })
+            Ok(Stage { size, each_zone: table.each_zone, min_watch, max_watch })
         };
-        let stages: Vec<Stage> = stage.iter().map(read).collect::<Result<_, _>>()?;
+        let stages: Vec<Stage> = stage.iter().map(parse_stage).collect::<Result<_, _>>()?;
         if stages.is_empty() {
             return Err(("stage", "nodes", "there is no stage".into()));
         }
@@ -260,113 +279,118 @@
             stages,
             judge,
             change,
-            at_once: rollout.at_once,
-            back_at_once: rollout.back_at_once.unwrap_or(4 * rollout.at_once),
-            least_left: rollout.least_left,
-            failures: rollout.failures,
-            unjudged: rollout.unjudged,
-            claims: time("rollout", "claims_s", rollout.claims_s)?,
-            before: time("rollout", "before_s", rollout.before_s)?,
-            trouble: time("rollout", "trouble_s", rollout.trouble_s)?,
-            back: time("rollout", "back_s", rollout.back_s)?,
+            max_unavailable: rollout.at_once,
+            max_unavailable_in_rollback: rollout.back_at_once.unwrap_or(4 * rollout.at_once),
+            min_available_per_zone: rollout.least_left,
+            max_failed_steps: rollout.failures,
+            when_inconclusive: rollout.unjudged,
+            claim_timeout: time("rollout", "claims_s", rollout.claims_s)?,
+            baseline: time("rollout", "before_s", rollout.before_s)?,
+            max_degradation: time("rollout", "trouble_s", rollout.trouble_s)?,
+            rollback_timeout: time("rollout", "back_s", rollout.back_s)?,
         };
         if plan.nodes_by_stage().last().map_or(0, Vec::len) < plan.nodes.len() {
-            return Err(("stage", "share", "the last stage leaves nodes out: `share = 1.0` has all".into()));
+            return Err((
+                "stage",
+                "share",
+                "the last stage leaves nodes out: use `share = 1.0` for all nodes".into(),
+            ));
         }
         Ok(plan)
     }
 
-    /// By stage, the places of the nodes that run the change when it is carried out. Zones take turns; nodes that are to be
-    /// last come in the last stage.
+    /// Returns for each stage the indices of the nodes that run the change when the stage is complete. Nodes are
+    /// taken from the zones in turn; nodes marked `last` come in the last stage.
     #[must_use]
     pub fn nodes_by_stage(&self) -> Vec<Vec<usize>> {
-        let turn = |at: usize| {
-            let of_zone = |n: &usize| self.nodes[*n].zone == self.nodes[at].zone && !self.nodes[*n].last;
-            (0..at).filter(of_zone).count()
+        let rank_in_zone = |at: usize| {
+            let same_zone = |n: &usize| self.nodes[*n].zone == self.nodes[at].zone && !self.nodes[*n].last;
+            (0..at).filter(same_zone).count()
         };
         let mut order: Vec<usize> = (0..self.nodes.len()).filter(|n| !self.nodes[*n].last).collect();
-        order.sort_by_key(|n| (turn(*n), *n));
-        let (mut targets, mut before): (Vec<Vec<usize>>, Vec<usize>) = (Vec::new(), Vec::new());
+        order.sort_by_key(|n| (rank_in_zone(*n), *n));
+        let (mut stages, mut previous): (Vec<Vec<usize>>, Vec<usize>) = (Vec::new(), Vec::new());
         for (n, stage) in self.stages.iter().enumerate() {
             let count = |all: usize| match stage.size {
                 StageSize::Nodes(n) => n.min(all),
                 StageSize::Share(share) => (all as f64 * share).ceil() as usize,
             };
             let in_zone = |zone: &String| self.nodes.iter().filter(|node| node.zone == *zone).count();
-            let wanted = |at: &usize| match stage.each_zone {
-                true => turn(*at) < count(in_zone(&self.nodes[*at].zone)),
+            let selected = |at: &usize| match stage.each_zone {
+                true => rank_in_zone(*at) < count(in_zone(&self.nodes[*at].zone)),
                 false => order.iter().position(|n| n == at) < Some(count(self.nodes.len())),
             };
-            let mut target = before.clone();
-            target.extend(order.iter().copied().filter(|at| !before.contains(at) && wanted(at)));
+            let mut nodes = previous.clone();
+            nodes.extend(order.iter().copied().filter(|at| !previous.contains(at) && selected(at)));
             if n + 1 == self.stages.len() && stage.size == StageSize::Share(1.0) {
-                target.extend((0..self.nodes.len()).filter(|n| self.nodes[*n].last));
+                nodes.extend((0..self.nodes.len()).filter(|n| self.nodes[*n].last));
             }
-            before.clone_from(&target);
-            targets.push(target);
+            previous.clone_from(&nodes);
+            stages.push(nodes);
         }
-        targets
+        stages
     }
 
-    /// What the conductor goes by: hashes the files, where the plan does not say what they must be.
+    /// Returns the settings of the controller. Hashes the files of the change and compares them with the hashes
+    /// that the plan states, if any.
     ///
     /// # Errors
     ///
-    /// A file cannot be read, or is not what the plan says.
+    /// A file whose hash the plan does not state cannot be read, or a file does not have the stated hash.
     pub fn controller_settings(&self) -> Result<conductor::Settings, String> {
-        let hash = |path: &Path, wanted: &Option<Hash>, key: &str| {
+        let hash = |path: &Path, expected: &Option<Hash>, key: &str| {
             let shown = path.display();
             let found = Hash::of_file(path);
-            match (found, wanted) {
-                (Ok(found), Some(wanted)) if found != *wanted => {
-                    Err(format!("`change.{key}_sha256`: {shown} has another content: {}", found.text()))
+            match (found, expected) {
+                (Ok(found), Some(expected)) if found != *expected => {
+                    Err(format!("`change.{key}_sha256`: {shown} has another hash: {}", found.text()))
                 }
                 (Ok(found), _) => Ok(found),
-                // The files lie on the machines of the nodes; the conductor need not have them.
-                (Err(_), Some(wanted)) => Ok(wanted.clone()),
+                // The files are on the nodes' machines; the controller's machine need not have them.
+                (Err(_), Some(expected)) => Ok(expected.clone()),
                 (Err(error), None) => Err(format!("`change.{key}`: {shown}: {error}")),
             }
         };
-        let of = &self.change;
+        let change = &self.change;
         let version = Version {
-            program: hash(&of.program, &of.program_sha256, "program")?,
-            settings: hash(&of.settings, &of.settings_sha256, "settings")?,
+            program: hash(&change.program, &change.program_sha256, "program")?,
+            settings: hash(&change.settings, &change.settings_sha256, "settings")?,
         };
-        let whole = |path: &Path| std::path::absolute(path).unwrap_or_else(|_| path.to_owned());
+        let absolute = |path: &Path| std::path::absolute(path).unwrap_or_else(|_| path.to_owned());
         Ok(conductor::Settings {
             zones: self.nodes.iter().map(|node| node.zone.clone()).collect(),
             change: Change {
                 version,
-                program: Some(whole(&of.program)),
-                settings: Some(whole(&of.settings)),
-                how: of.how,
+                program: Some(absolute(&change.program)),
+                settings: Some(absolute(&change.settings)),
+                how: change.how,
             },
             stages: self.nodes_by_stage(),
-            max_unavailable: self.at_once,
-            max_unavailable_in_rollback: self.back_at_once,
-            min_available_per_zone: self.least_left,
-            max_failed_steps: self.failures,
-            when_inconclusive: self.unjudged,
+            max_unavailable: self.max_unavailable,
+            max_unavailable_in_rollback: self.max_unavailable_in_rollback,
+            min_available_per_zone: self.min_available_per_zone,
+            max_failed_steps: self.max_failed_steps,
+            when_inconclusive: self.when_inconclusive,
         })
     }
 
-    /// How long a time of the conductor's is.
+    /// Duration of one of the controller's timers.
     #[must_use]
     pub fn timer_duration(&self, timer: Timer) -> Duration {
         let stage = |n: usize| self.stages.get(n);
         match timer {
-            Timer::ClaimTimeout => self.claims,
-            Timer::Baseline => self.before,
+            Timer::ClaimTimeout => self.claim_timeout,
+            Timer::Baseline => self.baseline,
             Timer::MinWatch(n) => stage(n).map_or(Duration::ZERO, |stage| stage.min_watch),
             Timer::MaxWatch(n) => stage(n).map_or(Duration::ZERO, |stage| stage.max_watch),
-            Timer::FleetDegraded => self.trouble,
-            Timer::RollbackTimeout => self.back,
+            Timer::FleetDegraded => self.max_degradation,
+            Timer::RollbackTimeout => self.rollback_timeout,
         }
     }
 }
 
-/// Whether what is compared makes sense.
-fn check(judge: &judge::Settings) -> Result<(), Wrong> {
+/// Validates the settings of the canary analysis.
+fn check(judge: &judge::Settings) -> Result<(), Invalid> {
     let bounds = [
         ("false_stops", judge.false_stops, 0.5),
         ("failed", judge.failed, 1.0),
@@ -378,8 +402,8 @@
         ("settle_s", judge.settle_s, 3600.0),
         ("growth", judge.growth, 1000.0),
     ];
-    match bounds.into_iter().find(|(_, value, most)| !(*value > 0.0 && value <= most)) {
-        Some((key, _, most)) => Err(("judge", key, format!("is not above 0 and up to {most}"))),
+    match bounds.into_iter().find(|(_, value, max)| !(*value > 0.0 && value <= max)) {
+        Some((key, _, max)) => Err(("judge", key, format!("is not above 0 and up to {max}"))),
         None => Ok(()),
     }
 }
@@ -388,9 +412,10 @@
 mod tests {
     use super::*;
 
-    fn plan(nodes: usize, zones: usize, more: &str, stages: &str) -> Result<Plan, String> {
-        let mut text =
-            format!("[rollout]\nlisten = '127.0.0.1:1'\n{more}\n[change]\nprogram = 'p'\nsettings = 's'\n");
+    fn plan(nodes: usize, zones: usize, rollout_keys: &str, stages: &str) -> Result<Plan, String> {
+        let mut text = format!(
+            "[rollout]\nlisten = '127.0.0.1:1'\n{rollout_keys}\n[change]\nprogram = 'p'\nsettings = 's'\n"
+        );
         for n in 0..nodes {
             text += &format!(
                 "[[node]]\nname = 'n{n}'\nkeeper = '127.0.0.1:{}'\nzone = 'z{}'\n",
@@ -406,27 +431,27 @@
     #[test]
     fn stages_grow_and_zones_take_turns() {
         let stages = "[[stage]]\nnodes = 1\n[[stage]]\nnodes = 1\neach_zone = true\n[[stage]]\nshare = 0.5\n";
-        let plan = plan(12, 3, "", &format!("{stages}{ALL}")).expect("sound");
-        let targets = plan.nodes_by_stage();
-        assert_eq!(targets[..3], [vec![0], vec![0, 1, 2], vec![0, 1, 2, 3, 4, 5]]);
-        assert_eq!(targets[3].len(), 12);
+        let plan = plan(12, 3, "", &format!("{stages}{ALL}")).expect("a valid plan");
+        let stage_nodes = plan.nodes_by_stage();
+        assert_eq!(stage_nodes[..3], [vec![0], vec![0, 1, 2], vec![0, 1, 2, 3, 4, 5]]);
+        assert_eq!(stage_nodes[3].len(), 12);
     }
 
     #[test]
-    fn who_is_never_first_comes_with_all() {
+    fn nodes_marked_last_come_in_the_last_stage() {
         let mut text =
             String::from("[rollout]\nlisten = '127.0.0.1:1'\n[change]\nprogram = 'p'\nsettings = 's'\n");
         for n in 0..4 {
             let last = n == 0;
             text += &format!("[[node]]\nname = 'n{n}'\nkeeper = '127.0.0.1:{}'\nlast = {last}\n", 2 + n);
         }
-        let plan = Plan::parse(&format!("{text}[[stage]]\nshare = 0.5\n{ALL}")).expect("sound");
+        let plan = Plan::parse(&format!("{text}[[stage]]\nshare = 0.5\n{ALL}")).expect("a valid plan");
         assert_eq!(plan.nodes_by_stage(), [vec![1, 2], vec![1, 2, 3, 0]]);
     }
 
     #[test]
-    fn plans_that_make_no_sense_are_refused_with_line_and_key() {
-        let wrong = [
+    fn invalid_plans_are_rejected_with_line_and_key() {
+        let invalid = [
             (
                 plan(4, 2, "least_left = 0\nat_once = 2", ALL),
                 "3: `rollout.least_left`: is 0: all 2 nodes of zone",
@@ -447,9 +472,9 @@
             ),
             (plan(0, 1, "", ALL), "`node.name`: there are 0 nodes"),
         ];
-        for (got, says) in wrong {
-            let why = got.expect_err(says);
-            assert!(why.contains(says), "{why}, not {says}");
+        for (result, expected) in invalid {
+            let why = result.expect_err(expected);
+            assert!(why.contains(expected), "{why}, not {expected}");
         }
     }
 }
--- a/crates/spurdrum-rollout/src/shell.rs
+++ b/crates/spurdrum-rollout/src/shell.rs
@@ -1,4 +1,4 @@
-//! Sockets and timers round the conductor and the judge.
+//! Sockets and timers round the rollout controller and the canary analysis.
 
 use std::cell::RefCell;
 use std::io;
@@ -19,18 +19,18 @@
 use crate::plan::Plan;
 use crate::timers::Timers;
 
-/// A keeper has so long to answer.
-const ANSWER_MOST: Duration = Duration::from_secs(2);
-/// Each keeper is asked, and the judge looks, so often.
-const EVERY: Duration = Duration::from_secs(1);
+/// Timeout for a call to a supervisor.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Interval at which each supervisor is polled and the canary analysis is evaluated.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Says a line to an address, and hears one.
+/// Sends a line to an address and returns the first line of the answer.
 ///
 /// # Errors
 ///
-/// Nobody answers in time.
+/// The connection fails, or there is no answer within the timeout.
 pub async fn call(address: SocketAddr, line: &str) -> io::Result<String> {
-    let asked = async {
+    let exchange = async {
         let mut stream = TcpStream::connect(address).await?;
         stream.write_all(line.as_bytes()).await?;
         stream.write_all(b"\n").await?;
@@ -38,192 +38,193 @@
         stream.take(MAX_LINE_BYTES as u64).read_to_string(&mut answer).await?;
         Ok(answer.lines().next().unwrap_or_default().to_owned())
     };
-    timeout(ANSWER_MOST, asked).await.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
+    timeout(CALL_TIMEOUT, exchange).await.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
 }
 
-/// Tells a keeper something; none where it does not answer, or nothing that can be understood.
-pub async fn send_request(keeper: SocketAddr, order: &SupervisorRequest) -> Option<Status> {
-    let line = serde_json::to_string(order).ok()?;
-    let answer = call(keeper, &line).await.ok()?;
+/// Sends a request to a supervisor and returns its answer; none if it does not answer or the answer cannot be parsed.
+pub async fn send_request(supervisor: SocketAddr, request: &SupervisorRequest) -> Option<Status> {
+    let line = serde_json::to_string(request).ok()?;
+    let answer = call(supervisor, &line).await.ok()?;
     serde_json::from_str(&answer).ok()
 }
 
-/// What people and machines see as it goes.
+/// A progress message, as it is shown to operators and written as JSON.
 #[derive(Clone, Debug, Serialize)]
 pub struct Progress {
-    /// Seconds since the conductor began.
+    /// Seconds since the controller started.
     pub at_s: f64,
     /// What happened.
     pub note: String,
-    /// Where the rollout is.
+    /// The phase of the rollout.
     pub phase: String,
-    /// Nodes that run the change.
+    /// Number of nodes that run the change.
     pub changed: usize,
-    /// Nodes.
+    /// Number of nodes in the plan.
     pub nodes: usize,
-    /// Nodes that count as unavailable.
+    /// Number of nodes that count as unavailable.
     #[serde(rename = "out")]
     pub unavailable: usize,
 }
 
-/// How it shows [`Progress`].
+/// Called with each [`Progress`].
 pub type ProgressCallback = Rc<dyn Fn(&Progress)>;
 
-struct Running {
+struct RolloutShell {
     plan: Plan,
-    conductor: RefCell<RolloutController>,
-    judge: RefCell<CanaryAnalysis>,
+    controller: RefCell<RolloutController>,
+    analysis: RefCell<CanaryAnalysis>,
     started: Instant,
     timers: Rc<Timers<Timer>>,
     outcome: RefCell<Option<Outcome>>,
-    over: Notify,
-    show: ProgressCallback,
+    ended: Notify,
+    on_progress: ProgressCallback,
 }
 
-/// Carries a plan out, as the conductor of this number: it is drawn. `back`: takes the change back at once. Returns when it is
-/// over.
+/// Executes a plan as the controller with this random identifier, and returns when the rollout has ended. With
+/// `back`, the change is rolled back from the start.
 ///
 /// # Errors
 ///
-/// The files of the change are not what the plan says, or the conductor's address is in use.
+/// The files of the change do not have the hashes that the plan states, or the controller's address is in use.
 pub async fn run_rollout(
     plan: Plan,
-    number: u64,
+    controller_id: u64,
     back: bool,
-    show: ProgressCallback,
+    on_progress: ProgressCallback,
 ) -> Result<Outcome, String> {
     let settings = plan.controller_settings()?;
     let listener = TcpListener::bind(plan.listen).await;
     let listener = listener.map_err(|error| {
-        format!("`rollout.listen`: {}: {error}: does another conductor of this plan run?", plan.listen)
+        format!("`rollout.listen`: {}: {error}: is another controller of this plan running?", plan.listen)
     })?;
-    let generation = generation(&plan, number).await;
-    let judge = CanaryAnalysis::new(plan.judge.clone(), &settings.zones);
-    let running = Rc::new(Running {
+    let generation = next_generation(&plan, controller_id).await;
+    let analysis = CanaryAnalysis::new(plan.judge.clone(), &settings.zones);
+    let shell = Rc::new(RolloutShell {
         plan,
-        conductor: RefCell::new(RolloutController::new(settings, generation)),
-        judge: RefCell::new(judge),
+        controller: RefCell::new(RolloutController::new(settings, generation)),
+        analysis: RefCell::new(analysis),
         started: Instant::now(),
         timers: Rc::default(),
         outcome: RefCell::default(),
-        over: Notify::new(),
-        show,
+        ended: Notify::new(),
+        on_progress,
     });
-    let desk = spurdrum_ops::serve(listener, People(Rc::clone(&running)), spurdrum_ops::Settings::default());
-    let desk = tokio::task::spawn_local(desk);
-    running.handle(Event::Start);
+    let admin =
+        spurdrum_ops::serve(listener, OperatorCalls(Rc::clone(&shell)), spurdrum_ops::Settings::default());
+    let admin = tokio::task::spawn_local(admin);
+    shell.handle(Event::Start);
     if back {
-        running.handle(Event::Command(Command::RollBack));
+        shell.handle(Event::Command(Command::RollBack));
     }
-    let polls: Vec<_> = (0..running.plan.nodes.len())
-        .map(|node| tokio::task::spawn_local(Rc::clone(&running).poll(node)))
+    let polls: Vec<_> = (0..shell.plan.nodes.len())
+        .map(|node| tokio::task::spawn_local(Rc::clone(&shell).poll(node)))
         .collect();
-    let looks = tokio::task::spawn_local(Rc::clone(&running).look());
-    running.over.notified().await;
-    polls.into_iter().chain([looks]).for_each(|task| task.abort());
-    // Who has just asked how it is hears that it is over.
+    let evaluation = tokio::task::spawn_local(Rc::clone(&shell).evaluate());
+    shell.ended.notified().await;
+    polls.into_iter().chain([evaluation]).for_each(|task| task.abort());
+    // Leaves time to answer an operator whose status call has just arrived.
     sleep(Duration::from_millis(20)).await;
-    desk.abort();
-    let outcome = running.outcome.borrow_mut().take();
+    admin.abort();
+    let outcome = shell.outcome.borrow_mut().take();
     outcome.ok_or_else(|| "the rollout ended without an outcome".into())
 }
 
-/// Above all that keepers have heard of.
-async fn generation(plan: &Plan, conductor: u64) -> Generation {
-    let mut asked = tokio::task::JoinSet::new();
+/// Returns a generation with a number higher than any that the supervisors have seen.
+async fn next_generation(plan: &Plan, controller: u64) -> Generation {
+    let mut requests = tokio::task::JoinSet::new();
     for node in &plan.nodes {
-        let keeper = node.supervisor;
-        asked.spawn_local(async move { send_request(keeper, &SupervisorRequest::GetStatus).await });
+        let supervisor = node.supervisor;
+        requests.spawn_local(async move { send_request(supervisor, &SupervisorRequest::GetStatus).await });
     }
     let mut highest = 0;
-    while let Some(answer) = asked.join_next().await {
-        let told = answer.ok().flatten().and_then(|status| status.generation);
-        highest = highest.max(told.map_or(0, |told| told.number));
+    while let Some(answer) = requests.join_next().await {
+        let reported = answer.ok().flatten().and_then(|status| status.generation);
+        highest = highest.max(reported.map_or(0, |reported| reported.number));
     }
-    Generation { number: highest + 1, controller: conductor }
+    Generation { number: highest + 1, controller }
 }
 
-impl Running {
+impl RolloutShell {
     fn handle(self: &Rc<Self>, event: Event) {
         let mut actions = Vec::new();
-        self.conductor.borrow_mut().handle(event, &mut actions);
+        self.controller.borrow_mut().handle(event, &mut actions);
         for action in actions {
             match action {
-                Action::Send(node, order) => {
-                    let running = Rc::clone(self);
+                Action::Send(node, request) => {
+                    let shell = Rc::clone(self);
                     tokio::task::spawn_local(async move {
-                        let said = send_request(running.plan.nodes[node].supervisor, &order).await;
-                        running.said(node, said, false);
+                        let answer = send_request(shell.plan.nodes[node].supervisor, &request).await;
+                        shell.on_answer(node, answer, false);
                     });
                 }
-                Action::SetTimer(timer) => self.set(timer),
+                Action::SetTimer(timer) => self.set_timer(timer),
                 Action::CancelTimer(timer) => self.timers.cancel(timer),
-                Action::VersionChanged { node, changed: new } => {
+                Action::VersionChanged { node, changed } => {
                     let now = self.started.elapsed().as_secs_f64();
-                    self.judge.borrow_mut().version_changed(node, new, now);
-                    let what = if new { "runs the change" } else { "runs the old version again" };
+                    self.analysis.borrow_mut().version_changed(node, changed, now);
+                    let what = if changed { "runs the change" } else { "runs the old version again" };
                     self.note(format!("{} {what}", self.plan.nodes[node].name));
                 }
                 Action::Note(text) => self.note(text),
                 Action::End(outcome) => {
                     self.outcome.replace(Some(outcome));
-                    self.over.notify_one();
+                    self.ended.notify_one();
                 }
             }
         }
     }
 
-    fn said(self: &Rc<Self>, node: usize, said: Option<Status>, asked: bool) {
+    fn on_answer(self: &Rc<Self>, node: usize, answer: Option<Status>, polled: bool) {
         if self.outcome.borrow().is_some() {
             return;
         }
-        // Guards against a plan that names another node's keeper.
-        match said.filter(|status| status.name == self.plan.nodes[node].name) {
+        // If the plan states the address of another node's supervisor, its answer must not be taken for this node's.
+        match answer.filter(|status| status.name == self.plan.nodes[node].name) {
             Some(status) => {
                 if let Some(statistics) = &status.statistics {
                     let now = self.started.elapsed().as_secs_f64();
-                    self.judge.borrow_mut().record_statistics(node, statistics, status.crashes, now);
+                    self.analysis.borrow_mut().record_statistics(node, statistics, status.crashes, now);
                 }
-                self.handle(Event::StatusReceived { node, status: Box::new(status), polled: asked });
+                self.handle(Event::StatusReceived { node, status: Box::new(status), polled });
             }
             None => self.handle(Event::Unreachable(node)),
         }
     }
 
     async fn poll(self: Rc<Self>, node: usize) {
-        // Not all in one instant.
-        sleep(EVERY.mul_f64(node as f64 / self.plan.nodes.len() as f64)).await;
+        // Spreads the polls of all nodes evenly over the interval.
+        sleep(POLL_INTERVAL.mul_f64(node as f64 / self.plan.nodes.len() as f64)).await;
         loop {
-            let said = send_request(self.plan.nodes[node].supervisor, &SupervisorRequest::GetStatus).await;
-            self.said(node, said, true);
-            sleep(EVERY).await;
+            let answer = send_request(self.plan.nodes[node].supervisor, &SupervisorRequest::GetStatus).await;
+            self.on_answer(node, answer, true);
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    async fn look(self: Rc<Self>) {
+    async fn evaluate(self: Rc<Self>) {
         let mut watched = None;
         loop {
-            sleep(EVERY).await;
-            let phase = self.conductor.borrow().phase().clone();
+            sleep(POLL_INTERVAL).await;
+            let phase = self.controller.borrow().phase().clone();
             if let Phase::Watching(stage) = phase {
                 if watched.replace(stage) != Some(stage) {
-                    self.judge.borrow_mut().stage_started();
+                    self.analysis.borrow_mut().stage_started();
                 }
             }
-            let verdict = self.judge.borrow_mut().evaluate();
+            let verdict = self.analysis.borrow_mut().evaluate();
             self.handle(Event::Verdict(verdict));
         }
     }
 
-    fn set(self: &Rc<Self>, timer: Timer) {
-        let running = Rc::clone(self);
-        let over = move || running.handle(Event::Timer(timer));
-        self.timers.set(timer, self.plan.timer_duration(timer), over);
+    fn set_timer(self: &Rc<Self>, timer: Timer) {
+        let shell = Rc::clone(self);
+        let expired = move || shell.handle(Event::Timer(timer));
+        self.timers.set(timer, self.plan.timer_duration(timer), expired);
     }
 
     fn progress(&self, note: String) -> Progress {
-        let conductor = self.conductor.borrow();
-        let phase = match conductor.phase() {
+        let controller = self.controller.borrow();
+        let phase = match controller.phase() {
             Phase::Claiming => "claiming keepers".to_owned(),
             Phase::Baseline => "watching before".to_owned(),
             Phase::Changing(stage) => format!("changing stage {}", stage + 1),
@@ -232,26 +233,26 @@
             Phase::RollingBack(_) => "going back".to_owned(),
             Phase::Ended => "over".to_owned(),
         };
-        let paused = if conductor.is_paused() { ", paused" } else { "" };
+        let paused = if controller.is_paused() { ", paused" } else { "" };
         Progress {
             at_s: (self.started.elapsed().as_secs_f64() * 10.0).round() / 10.0,
             note,
             phase: phase + paused,
-            changed: conductor.changed_count(),
+            changed: controller.changed_count(),
             nodes: self.plan.nodes.len(),
-            unavailable: conductor.unavailable().len(),
+            unavailable: controller.unavailable().len(),
         }
     }
 
     fn note(&self, text: String) {
-        (self.show)(&self.progress(text));
+        (self.on_progress)(&self.progress(text));
     }
 }
 
-/// What people may say to a conductor.
-struct People(Rc<Running>);
+/// Answers the calls of operators to a running controller.
+struct OperatorCalls(Rc<RolloutShell>);
 
-impl Answers for People {
+impl Answers for OperatorCalls {
     fn answer(&self, line: &str) -> String {
         let command = match line {
             "status" => None,
@@ -261,15 +262,15 @@
             "back" => Some(Command::RollBack),
             _ => return "NO there is no such call: status, pause, resume, stop, back\n".into(),
         };
-        let running = &self.0;
+        let shell = &self.0;
         if let Some(command) = command {
-            running.handle(Event::Command(command));
-            running.note(format!("told to {line}"));
+            shell.handle(Event::Command(command));
+            shell.note(format!("operator command: {line}"));
         }
-        let judged = format!(
+        let requests = format!(
             "{} requests at changed nodes in this stage",
-            running.judge.borrow().requests_at_changed_nodes()
+            shell.analysis.borrow().requests_at_changed_nodes()
         );
-        serde_json::to_string(&running.progress(judged)).map_or_else(|_| "NO\n".into(), |text| text + "\n")
+        serde_json::to_string(&shell.progress(requests)).map_or_else(|_| "NO\n".into(), |text| text + "\n")
     }
 }
--- a/crates/spurdrum-rollout/src/version.rs
+++ b/crates/spurdrum-rollout/src/version.rs
@@ -1,4 +1,4 @@
-//! What a node runs, by content.
+//! Versions of the program and its settings, identified by content hashes.
 
 use std::fmt;
 use std::io::Read;
@@ -13,41 +13,42 @@
 pub struct Hash(String);
 
 impl Hash {
-    /// Of these bytes.
+    /// Returns the hash of these bytes.
     #[must_use]
     pub fn of(bytes: &[u8]) -> Self {
         Self(hex(&Sha256::digest(bytes)))
     }
 
-    /// Of a file, a piece at a time.
+    /// Returns the hash of a file, which is read in chunks.
     ///
     /// # Errors
     ///
-    /// It cannot be read.
+    /// The file cannot be read.
     pub fn of_file(path: &Path) -> std::io::Result<Self> {
         let mut file = std::fs::File::open(path)?;
-        let (mut hasher, mut piece) = (Sha256::new(), vec![0; 1 << 16]);
+        let (mut hasher, mut chunk) = (Sha256::new(), vec![0; 1 << 16]);
         loop {
-            match file.read(&mut piece)? {
+            match file.read(&mut chunk)? {
                 0 => return Ok(Self(hex(&hasher.finalize()))),
-                n => hasher.update(&piece[..n]),
+                n => hasher.update(&chunk[..n]),
             }
         }
     }
 
-    /// Whether it has the form of one: it names files, so nothing else may.
+    /// Whether the text has the form of a SHA-256 hash. A hash received from elsewhere must be checked, because
+    /// it is used as a file name.
     #[must_use]
     pub fn is_well_formed(&self) -> bool {
         self.0.len() == 64 && self.0.bytes().all(|byte| matches!(byte, b'0'..=b'9' | b'a'..=b'f'))
     }
 
-    /// Its text.
+    /// The hash in hexadecimal.
     #[must_use]
     pub fn text(&self) -> &str {
         &self.0
     }
 
-    /// Any text, for models in which nothing is hashed.
+    /// Returns a `Hash` of any text, for tests and models in which nothing is hashed.
     #[must_use]
     pub fn unchecked(text: &str) -> Self {
         Self(text.to_owned())
@@ -64,12 +65,12 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// A program and the settings that all nodes share.
+/// A program together with the settings that all nodes share.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Version {
-    /// The program.
+    /// Hash of the program.
     pub program: Hash,
-    /// The settings.
+    /// Hash of the settings file.
     pub settings: Hash,
 }
 
@@ -79,27 +80,28 @@
     }
 }
 
-/// How a change is put in force.
+/// How a change is applied to a running node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ApplyMethod {
-    /// A new process takes over from the old one.
+    /// A new process is started and takes over from the old one by a handover.
     #[default]
     Replace,
-    /// The process reads its file again (SIGHUP). Only where the program stays.
+    /// The process reloads its settings file on SIGHUP. Only possible if the program stays the same.
     Reload,
 }
 
-/// A version that a node is to run, and where the files are on its machine. A keeper that has them already needs no place.
+/// A version that a node is to run, and the paths of its files on the node's machine. A supervisor that has
+/// stored the files already needs no paths.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Change {
-    /// What is to run.
+    /// The version to run.
     pub version: Version,
-    /// Where the program is.
+    /// Path of the program.
     pub program: Option<PathBuf>,
-    /// Where the settings are.
+    /// Path of the settings file.
     pub settings: Option<PathBuf>,
-    /// How.
+    /// How the change is applied.
     #[serde(default)]
     pub how: ApplyMethod,
 }
