--- a/crates/spurdrum-sources/tests/reconciler.rs
+++ b/crates/spurdrum-sources/tests/reconciler.rs
@@ -1,4 +1,4 @@
-//! One list of several sources that disagree, lag, flap and fail.
+//! The merged list of several sources that disagree, lag, flap and fail.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use spurdrum_sources::{Member, Phase};
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
-const UNIX: f64 = 1e12;
+const START_UNIX_MS: f64 = 1e12;
 
 fn member(id: &str, port: u16, phase: Phase, start: f64) -> Member {
     Member {
@@ -25,32 +25,33 @@
     }
 }
 
-struct Played {
+/// A reconciler in simulated time, and the list that its actions lead to.
+struct Simulation {
     reconciler: Reconciler,
     now: Duration,
-    /// The list as one hears it who takes every change.
+    /// The list that results from applying every change.
     list: BTreeMap<String, Member>,
-    heard: Vec<Member>,
-    said: Vec<Action>,
+    changes: Vec<Member>,
+    other_actions: Vec<Action>,
 }
 
-impl Played {
+impl Simulation {
     fn new(settings: Settings, sources: usize) -> Self {
         Self {
-            reconciler: Reconciler::new(settings, sources, UNIX).expect("sound"),
+            reconciler: Reconciler::new(settings, sources, START_UNIX_MS).expect("sound"),
             now: Duration::ZERO,
             list: BTreeMap::new(),
-            heard: Vec::new(),
-            said: Vec::new(),
+            changes: Vec::new(),
+            other_actions: Vec::new(),
         }
     }
 
-    fn tell(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.reconciler.handle(self.now, event, &mut actions);
         for action in actions {
             let Action::Apply(members) = action else {
-                self.said.push(action);
+                self.other_actions.push(action);
                 continue;
             };
             for member in members {
@@ -58,30 +59,45 @@
                     Phase::Left => drop(self.list.remove(&member.id)),
                     _ => drop(self.list.insert(member.id.clone(), member.clone())),
                 }
-                self.heard.push(member);
+                self.changes.push(member);
             }
         }
     }
 
     fn put(&mut self, source: usize, members: &[Member]) {
-        self.tell(Event::Update { source, complete: false, members: members.to_vec(), gone: Vec::new() });
+        self.handle_event(Event::Update {
+            source,
+            complete: false,
+            members: members.to_vec(),
+            gone: Vec::new(),
+        });
     }
 
-    fn whole(&mut self, source: usize, members: &[Member]) {
-        self.tell(Event::Update { source, complete: true, members: members.to_vec(), gone: Vec::new() });
+    fn put_whole(&mut self, source: usize, members: &[Member]) {
+        self.handle_event(Event::Update {
+            source,
+            complete: true,
+            members: members.to_vec(),
+            gone: Vec::new(),
+        });
     }
 
-    fn gone(&mut self, source: usize, id: &str) {
-        self.tell(Event::Update { source, complete: false, members: Vec::new(), gone: vec![id.into()] });
+    fn remove(&mut self, source: usize, id: &str) {
+        self.handle_event(Event::Update {
+            source,
+            complete: false,
+            members: Vec::new(),
+            gone: vec![id.into()],
+        });
     }
 
-    fn pass(&mut self, time: Duration) {
-        let end = self.now + time;
-        while let Some(wake) = self.reconciler.next_wake().filter(|wake| *wake <= end) {
+    fn advance(&mut self, time: Duration) {
+        let until = self.now + time;
+        while let Some(wake) = self.reconciler.next_wake().filter(|wake| *wake <= until) {
             self.now = wake.max(self.now);
-            self.tell(Event::Tick);
+            self.handle_event(Event::Tick);
         }
-        self.now = end;
+        self.now = until;
     }
 
     fn phase(&self, id: &str) -> Option<Phase> {
@@ -94,159 +110,163 @@
 }
 
 #[test]
-fn leaving_in_one_source_counts_whatever_the_others_say() {
+fn a_server_that_is_leaving_in_one_source_is_draining_whatever_the_others_list() {
     for phase in [Phase::Leaving, Phase::Left] {
-        let mut played = Played::new(Settings::default(), 2);
+        let mut sim = Simulation::new(Settings::default(), 2);
         let active = member("s", 1, Phase::Active, 5.0);
-        played.put(0, std::slice::from_ref(&active));
-        played.put(1, std::slice::from_ref(&active));
-        played.put(1, &[member("s", 1, phase, 5.0)]);
-        assert_eq!(played.phase("s"), Some(Phase::Leaving));
-        // The other one repeats what it always said.
-        played.put(0, std::slice::from_ref(&active));
-        assert_eq!(played.phase("s"), Some(Phase::Leaving));
-        played.put(1, &[active]);
-        assert_eq!(played.phase("s"), Some(Phase::Active));
+        sim.put(0, std::slice::from_ref(&active));
+        sim.put(1, std::slice::from_ref(&active));
+        sim.put(1, &[member("s", 1, phase, 5.0)]);
+        assert_eq!(sim.phase("s"), Some(Phase::Leaving));
+        // The other source repeats its entry.
+        sim.put(0, std::slice::from_ref(&active));
+        assert_eq!(sim.phase("s"), Some(Phase::Leaving));
+        sim.put(1, &[active]);
+        assert_eq!(sim.phase("s"), Some(Phase::Active));
     }
 }
 
 #[test]
-fn a_server_that_vanishes_gets_nothing_new_at_once_and_returns_as_itself_or_cold() {
-    for (start, same) in [(5.0, true), (6.0, false), (0.0, false)] {
-        let mut played = Played::new(Settings::default(), 1);
+fn a_server_that_disappears_gets_no_new_requests_and_returns_as_the_same_process_or_in_slow_start() {
+    for (start, is_same_process) in [(5.0, true), (6.0, false), (0.0, false)] {
+        let mut sim = Simulation::new(Settings::default(), 1);
         let first = if start == 0.0 { 0.0 } else { 5.0 };
-        played.put(0, &[member("s", 1, Phase::Active, first)]);
-        played.pass(MS(5000));
-        played.gone(0, "s");
-        assert_eq!(played.phase("s"), Some(Phase::Leaving));
-        played.pass(MS(500));
-        played.put(0, &[member("s", 1, Phase::Active, start)]);
-        let back = &played.list["s"];
-        assert_eq!(back.phase, Phase::Active);
-        let known = if start == 0.0 { UNIX + 5500.0 } else { start };
-        assert_eq!((back.up_since_ms, played.heard.iter().any(|m| m.phase == Phase::Left)), (known, false));
-        assert_eq!(back.up_since_ms == first, same);
+        sim.put(0, &[member("s", 1, Phase::Active, first)]);
+        sim.advance(MS(5000));
+        sim.remove(0, "s");
+        assert_eq!(sim.phase("s"), Some(Phase::Leaving));
+        sim.advance(MS(500));
+        sim.put(0, &[member("s", 1, Phase::Active, start)]);
+        let returned = &sim.list["s"];
+        assert_eq!(returned.phase, Phase::Active);
+        let expected_start = if start == 0.0 { START_UNIX_MS + 5500.0 } else { start };
+        assert_eq!(
+            (returned.up_since_ms, sim.changes.iter().any(|m| m.phase == Phase::Left)),
+            (expected_start, false)
+        );
+        assert_eq!(returned.up_since_ms == first, is_same_process);
     }
-    // Later than that, it is forgotten first.
-    let mut played = Played::new(Settings::default(), 1);
-    played.put(0, &[member("s", 1, Phase::Active, 5.0)]);
-    played.gone(0, "s");
-    played.pass(MS(1001));
-    assert_eq!(played.phase("s"), None);
+    // A server that stays away for longer is forgotten.
+    let mut sim = Simulation::new(Settings::default(), 1);
+    sim.put(0, &[member("s", 1, Phase::Active, 5.0)]);
+    sim.remove(0, "s");
+    sim.advance(MS(1001));
+    assert_eq!(sim.phase("s"), None);
 }
 
 #[test]
-fn what_comes_without_a_start_while_the_node_serves_is_cold_and_what_was_there_is_not() {
-    let mut played = Played::new(Settings::default(), 1);
-    // The first list takes a moment to come.
-    played.pass(MS(50));
-    played.whole(0, &[member("old", 1, Phase::Active, 0.0)]);
-    played.pass(MS(2000));
-    played.put(0, &[member("new", 2, Phase::Active, 0.0)]);
-    assert_eq!((played.list["old"].up_since_ms, played.list["new"].up_since_ms), (0.0, UNIX + 2050.0));
-    // Said again, it is not started again.
-    played.pass(MS(2000));
-    played.put(0, &[member("new", 2, Phase::Active, 0.0)]);
-    assert_eq!(played.list["new"].up_since_ms, UNIX + 2050.0);
+fn a_server_without_a_start_time_is_in_slow_start_only_if_it_appears_while_the_node_serves() {
+    let mut sim = Simulation::new(Settings::default(), 1);
+    // The first list takes a moment to arrive.
+    sim.advance(MS(50));
+    sim.put_whole(0, &[member("old", 1, Phase::Active, 0.0)]);
+    sim.advance(MS(2000));
+    sim.put(0, &[member("new", 2, Phase::Active, 0.0)]);
+    assert_eq!((sim.list["old"].up_since_ms, sim.list["new"].up_since_ms), (0.0, START_UNIX_MS + 2050.0));
+    // The same entry again does not mean another start.
+    sim.advance(MS(2000));
+    sim.put(0, &[member("new", 2, Phase::Active, 0.0)]);
+    assert_eq!(sim.list["new"].up_since_ms, START_UNIX_MS + 2050.0);
 }
 
 #[test]
 fn an_id_at_another_address_is_another_process_and_an_address_belongs_to_the_later_id() {
-    let mut played = Played::new(Settings::default(), 1);
-    played.put(0, &[member("s", 1, Phase::Active, 5.0)]);
-    played.put(0, &[member("s", 2, Phase::Active, 5.0)]);
-    let phases: Vec<Phase> = played.heard.iter().map(|member| member.phase).collect();
+    let mut sim = Simulation::new(Settings::default(), 1);
+    sim.put(0, &[member("s", 1, Phase::Active, 5.0)]);
+    sim.put(0, &[member("s", 2, Phase::Active, 5.0)]);
+    let phases: Vec<Phase> = sim.changes.iter().map(|member| member.phase).collect();
     assert_eq!(phases, [Phase::Active, Phase::Left, Phase::Active]);
-    played.put(0, &[member("t", 2, Phase::Active, 5.0)]);
-    assert_eq!((played.phase("s"), played.phase("t")), (Some(Phase::Leaving), Some(Phase::Active)));
-    played.gone(0, "t");
-    played.pass(MS(1001));
-    assert_eq!(played.phase("s"), Some(Phase::Active));
+    sim.put(0, &[member("t", 2, Phase::Active, 5.0)]);
+    assert_eq!((sim.phase("s"), sim.phase("t")), (Some(Phase::Leaving), Some(Phase::Active)));
+    sim.remove(0, "t");
+    sim.advance(MS(1001));
+    assert_eq!(sim.phase("s"), Some(Phase::Active));
 }
 
 #[test]
-fn a_server_that_flaps_is_held_back_longer_each_time_up_to_a_bound_and_not_the_whole_fleet() {
+fn a_flapping_server_is_held_back_longer_each_time_up_to_a_bound_but_not_the_whole_fleet() {
     let settings = Settings { max_hold: MS(2000), ..Settings::default() };
-    let mut played = Played::new(settings, 1);
-    played.put(0, &fleet(10));
-    let flap = |played: &mut Played| {
-        played.gone(0, "s0");
-        played.pass(MS(100));
-        played.put(0, &fleet(1));
+    let mut sim = Simulation::new(settings, 1);
+    sim.put(0, &fleet(10));
+    let flap = |sim: &mut Simulation| {
+        sim.remove(0, "s0");
+        sim.advance(MS(100));
+        sim.put(0, &fleet(1));
     };
     let mut holds = Vec::new();
     for _ in 0..7 {
-        flap(&mut played);
-        if let Some(Action::Flapping(_, hold)) = played.said.last() {
+        flap(&mut sim);
+        if let Some(Action::Flapping(_, hold)) = sim.other_actions.last() {
             holds.push(*hold);
-            assert_eq!(played.phase("s0"), Some(Phase::Leaving));
+            assert_eq!(sim.phase("s0"), Some(Phase::Leaving));
         } else {
-            assert_eq!(played.phase("s0"), Some(Phase::Active));
+            assert_eq!(sim.phase("s0"), Some(Phase::Active));
         }
     }
     assert_eq!(holds, [500, 1000, 2000, 2000, 2000].map(MS));
-    played.pass(MS(2001));
-    assert_eq!((played.phase("s0"), played.reconciler.held_back()), (Some(Phase::Active), 0));
-    // All flap together: that is the source.
+    sim.advance(MS(2001));
+    assert_eq!((sim.phase("s0"), sim.reconciler.held_back()), (Some(Phase::Active), 0));
+    // If all servers flap together, the cause is the source.
     for _ in 0..8 {
         for n in 0..10 {
-            played.gone(0, &format!("s{n}"));
-            played.put(0, &fleet(10)[n..=n]);
+            sim.remove(0, &format!("s{n}"));
+            sim.put(0, &fleet(10)[n..=n]);
         }
     }
-    assert!(played.reconciler.held_back() <= 3, "{}", played.reconciler.held_back());
+    assert!(sim.reconciler.held_back() <= 3, "{}", sim.reconciler.held_back());
 }
 
 #[test]
-fn an_empty_answer_of_a_source_that_had_many_is_doubted_and_a_drain_is_kept_all_the_same() {
-    let mut played = Played::new(Settings::default(), 1);
-    played.whole(0, &fleet(10));
-    played.whole(0, &[]);
-    assert_eq!(played.said, [Action::Suspect { source: 0, before: 10, now: 0 }]);
-    assert_eq!((played.list.len(), played.reconciler.source_counts(0)), (10, (0, 10)));
-    played.put(0, &[member("s3", 1003, Phase::Left, 5.0)]);
-    assert_eq!(played.phase("s3"), Some(Phase::Leaving));
-    // It has them again.
-    played.whole(0, &fleet(10));
-    assert_eq!(played.said.last(), Some(&Action::Trusted(0)));
-    played.whole(0, &[]);
-    played.pass(MS(59_000));
-    assert_eq!(played.phase("s0"), Some(Phase::Active));
-    // It goes on saying so.
-    played.pass(MS(2100));
-    assert!(played.list.is_empty(), "{:?}", played.list);
-    // Few are believed at once, and so is a fleet that is taken down server by server, as far as to the floor.
-    played.whole(0, &fleet(3));
-    played.whole(0, &[]);
-    played.pass(MS(1100));
-    assert!(played.list.is_empty());
+fn a_source_that_loses_most_servers_at_once_is_suspected_and_its_announced_drains_still_count() {
+    let mut sim = Simulation::new(Settings::default(), 1);
+    sim.put_whole(0, &fleet(10));
+    sim.put_whole(0, &[]);
+    assert_eq!(sim.other_actions, [Action::Suspect { source: 0, before: 10, now: 0 }]);
+    assert_eq!((sim.list.len(), sim.reconciler.source_counts(0)), (10, (0, 10)));
+    sim.put(0, &[member("s3", 1003, Phase::Left, 5.0)]);
+    assert_eq!(sim.phase("s3"), Some(Phase::Leaving));
+    // The source has its servers again.
+    sim.put_whole(0, &fleet(10));
+    assert_eq!(sim.other_actions.last(), Some(&Action::Trusted(0)));
+    sim.put_whole(0, &[]);
+    sim.advance(MS(59_000));
+    assert_eq!(sim.phase("s0"), Some(Phase::Active));
+    // The source goes on reporting the loss.
+    sim.advance(MS(2100));
+    assert!(sim.list.is_empty(), "{:?}", sim.list);
+    // The loss of all servers of a source that had only a few is believed at once, and so is that of a fleet
+    // that is taken down server by server, down to the configured share.
+    sim.put_whole(0, &fleet(3));
+    sim.put_whole(0, &[]);
+    sim.advance(MS(1100));
+    assert!(sim.list.is_empty());
 }
 
 #[test]
-fn a_blind_source_counts_for_a_while_and_for_as_long_as_all_are_blind() {
-    let mut played = Played::new(Settings { keep_stale_for: MS(10_000), ..Settings::default() }, 2);
-    played.put(0, &[member("a", 1, Phase::Active, 5.0)]);
-    played.put(1, &[member("b", 2, Phase::Active, 5.0)]);
+fn a_stale_source_is_included_for_a_while_and_as_long_as_all_are_stale() {
+    let mut sim = Simulation::new(Settings { keep_stale_for: MS(10_000), ..Settings::default() }, 2);
+    sim.put(0, &[member("a", 1, Phase::Active, 5.0)]);
+    sim.put(1, &[member("b", 2, Phase::Active, 5.0)]);
     for source in [0, 1] {
-        played.tell(Event::Freshness { source, freshness: Freshness::Stale });
+        sim.handle_event(Event::Freshness { source, freshness: Freshness::Stale });
     }
-    played.pass(MS(60_000));
-    assert_eq!(played.list.len(), 2);
-    played.tell(Event::Freshness { source: 1, freshness: Freshness::Fresh });
-    assert_eq!(played.phase("a"), Some(Phase::Leaving));
-    played.pass(MS(1001));
-    played.tell(Event::Freshness { source: 0, freshness: Freshness::Fresh });
-    assert_eq!(played.phase("a"), Some(Phase::Active));
+    sim.advance(MS(60_000));
+    assert_eq!(sim.list.len(), 2);
+    sim.handle_event(Event::Freshness { source: 1, freshness: Freshness::Fresh });
+    assert_eq!(sim.phase("a"), Some(Phase::Leaving));
+    sim.advance(MS(1001));
+    sim.handle_event(Event::Freshness { source: 0, freshness: Freshness::Fresh });
+    assert_eq!(sim.phase("a"), Some(Phase::Active));
 }
 
 #[test]
-fn all_sources_must_have_it_where_that_is_set() {
-    let mut played = Played::new(Settings { combine: Combine::All, ..Settings::default() }, 2);
+fn with_combine_all_every_source_must_have_a_server() {
+    let mut sim = Simulation::new(Settings { combine: Combine::All, ..Settings::default() }, 2);
     let (a, b) = (member("a", 1, Phase::Active, 5.0), member("b", 2, Phase::Active, 5.0));
-    played.put(0, &[a.clone(), b]);
-    assert_eq!(played.list.len(), 2, "one that has never told anything does not count");
-    played.put(1, &[a]);
-    assert_eq!((played.phase("a"), played.phase("b")), (Some(Phase::Active), Some(Phase::Leaving)));
+    sim.put(0, &[a.clone(), b]);
+    assert_eq!(sim.list.len(), 2, "a source that has never sent a list does not count");
+    sim.put(1, &[a]);
+    assert_eq!((sim.phase("a"), sim.phase("b")), (Some(Phase::Active), Some(Phase::Leaving)));
 }
 
 #[derive(Clone, Debug)]
@@ -255,7 +275,7 @@
     Gone(usize, u8),
     Whole(usize, u8),
     Freshness(usize, bool),
-    Pass(u64),
+    Advance(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -263,82 +283,82 @@
         4 => (0..3_usize, 0..8_u8, 0..3_u8, any::<bool>()).prop_map(|(s, id, phase, start)| Step::Put(s, id, phase, start)),
         3 => (0..3_usize, 0..8_u8).prop_map(|(s, id)| Step::Gone(s, id)),
         1 => (0..3_usize, any::<u8>()).prop_map(|(s, ids)| Step::Whole(s, ids)),
-        1 => (0..3_usize, any::<bool>()).prop_map(|(s, blind)| Step::Freshness(s, blind)),
-        2 => (0..3000_u64).prop_map(Step::Pass),
+        1 => (0..3_usize, any::<bool>()).prop_map(|(s, stale)| Step::Freshness(s, stale)),
+        2 => (0..3000_u64).prop_map(Step::Advance),
     ]
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 512, rng_seed: RngSeed::Fixed(11), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever three sources say in whatever order: nothing new goes to a server that all have removed or any has drained,
-    /// and once they are quiet the list is theirs.
+    /// Whatever three sources send in whatever order: no new requests go to a server that all have removed or
+    /// that any is draining, and once the sources are quiet, the merged list equals theirs.
     #[test]
-    fn any_order_of_three_sources_ends_in_what_they_say(
+    fn any_order_of_updates_of_three_sources_ends_in_their_lists(
         steps in proptest::collection::vec(step(), 1..80),
         all: bool,
     ) {
         let combine = if all { Combine::All } else { Combine::Any };
-        let mut played = Played::new(Settings { combine, suspect_below: 0.0, ..Settings::default() }, 3);
-        let mut said = vec![BTreeMap::<String, Phase>::new(); 3];
-        let mut told = [false; 3];
+        let mut sim = Simulation::new(Settings { combine, suspect_below: 0.0, ..Settings::default() }, 3);
+        let mut lists = vec![BTreeMap::<String, Phase>::new(); 3];
+        let mut reported = [false; 3];
         for step in steps {
             match step {
                 Step::Put(source, id, phase, start) => {
                     let phase = [Phase::Active, Phase::Leaving, Phase::Left][usize::from(phase)];
                     let name = format!("s{id}");
-                    said[source].insert(name.clone(), phase);
-                    told[source] = true;
-                    played.put(source, &[member(&name, u16::from(id) + 1, phase, f64::from(u8::from(start)))]);
+                    lists[source].insert(name.clone(), phase);
+                    reported[source] = true;
+                    sim.put(source, &[member(&name, u16::from(id) + 1, phase, f64::from(u8::from(start)))]);
                 }
                 Step::Gone(source, id) => {
-                    said[source].remove(&format!("s{id}"));
-                    told[source] = true;
-                    played.gone(source, &format!("s{id}"));
+                    lists[source].remove(&format!("s{id}"));
+                    reported[source] = true;
+                    sim.remove(source, &format!("s{id}"));
                 }
                 Step::Whole(source, ids) => {
                     let named = (0..8_u8).filter(|id| ids & (1 << id) != 0);
                     let members: Vec<Member> =
                         named.map(|id| member(&format!("s{id}"), u16::from(id) + 1, Phase::Active, 5.0)).collect();
-                    said[source] = members.iter().map(|m| (m.id.clone(), Phase::Active)).collect();
-                    told[source] = true;
-                    played.whole(source, &members);
+                    lists[source] = members.iter().map(|m| (m.id.clone(), Phase::Active)).collect();
+                    reported[source] = true;
+                    sim.put_whole(source, &members);
                 }
-                Step::Freshness(source, blind) => {
-                    let freshness = if blind { Freshness::Stale } else { Freshness::Fresh };
-                    played.tell(Event::Freshness { source, freshness });
+                Step::Freshness(source, stale) => {
+                    let freshness = if stale { Freshness::Stale } else { Freshness::Fresh };
+                    sim.handle_event(Event::Freshness { source, freshness });
                 }
-                Step::Pass(ms) => played.pass(MS(ms)),
+                Step::Advance(ms) => sim.advance(MS(ms)),
             }
-            // That it left counts for as long as another one has it.
+            // An announcement that a server is gone counts as long as another source has the server.
             for id in (0..8_u8).map(|id| format!("s{id}")) {
-                if !said.iter().any(|source| source.get(&id).is_some_and(|phase| *phase != Phase::Left)) {
-                    for source in &mut said {
+                if !lists.iter().any(|source| source.get(&id).is_some_and(|phase| *phase != Phase::Left)) {
+                    for source in &mut lists {
                         source.remove(&id);
                     }
                 }
             }
-            for (id, member) in &played.list {
-                let any = said.iter().any(|source| source.get(id).is_some_and(|phase| *phase != Phase::Left));
-                let drained = said.iter().any(|source| source.get(id).is_some_and(|p| *p != Phase::Active));
+            for (id, member) in &sim.list {
+                let listed = lists.iter().any(|source| source.get(id).is_some_and(|phase| *phase != Phase::Left));
+                let draining = lists.iter().any(|source| source.get(id).is_some_and(|p| *p != Phase::Active));
                 if member.phase == Phase::Active {
-                    prop_assert!(any && !drained, "{id} is sent work");
+                    prop_assert!(listed && !draining, "{id} gets new requests");
                 }
             }
         }
         for source in 0..3 {
-            played.tell(Event::Freshness { source, freshness: Freshness::Fresh });
+            sim.handle_event(Event::Freshness { source, freshness: Freshness::Fresh });
         }
-        played.pass(MS(120_000));
-        let there = |id: &String| {
+        sim.advance(MS(120_000));
+        let is_expected = |id: &String| {
             let has = |source: &BTreeMap<String, Phase>| source.get(id).is_some_and(|phase| *phase != Phase::Left);
-            let mut counted = said.iter().zip(told).filter(|(_, told)| *told).map(|(source, _)| source);
-            if all { counted.all(has) } else { counted.any(has) }
+            let mut included = lists.iter().zip(reported).filter(|(_, reported)| *reported).map(|(source, _)| source);
+            if all { included.all(has) } else { included.any(has) }
         };
-        let ids: BTreeSet<String> = said.iter().flat_map(|source| source.keys().cloned()).collect();
-        let expected: BTreeSet<String> = ids.into_iter().filter(there).collect();
-        let listed: BTreeSet<String> = played.list.keys().cloned().collect();
+        let ids: BTreeSet<String> = lists.iter().flat_map(|source| source.keys().cloned()).collect();
+        let expected: BTreeSet<String> = ids.into_iter().filter(is_expected).collect();
+        let listed: BTreeSet<String> = sim.list.keys().cloned().collect();
         prop_assert_eq!(listed, expected);
-        prop_assert_eq!(played.reconciler.held_back(), 0);
+        prop_assert_eq!(sim.reconciler.held_back(), 0);
     }
 }
