--- a/crates/spurdrum-etcd-wire/build.rs
+++ b/crates/spurdrum-etcd-wire/build.rs
@@ -1,11 +1,12 @@
-//! Writes clients and servers of the services whose messages `src/lib.rs` has. No compiler of protocol files is needed.
+//! Generates clients and servers of the services whose messages are in `src/lib.rs`, without a protobuf
+//! compiler.
 
 use tonic_build::manual::{Builder, Method, Service};
 
 fn service(name: &str, methods: &[(&str, &str, bool)]) -> Service {
     let mut service = Service::builder().name(name).package("etcdserverpb");
-    for (route, message, streams) in methods {
-        let snake = route.chars().fold(String::new(), |mut name, letter| {
+    for (route, message, is_streaming) in methods {
+        let snake_case = route.chars().fold(String::new(), |mut name, letter| {
             if letter.is_uppercase() && !name.is_empty() {
                 name.push('_');
             }
@@ -13,12 +14,12 @@
             name
         });
         let mut method = Method::builder()
-            .name(snake)
+            .name(snake_case)
             .route_name(*route)
             .input_type(format!("crate::{message}Request"))
             .output_type(format!("crate::{message}Response"))
             .codec_path("tonic_prost::ProstCodec");
-        if *streams {
+        if *is_streaming {
             method = method.client_streaming().server_streaming();
         }
         service = service.method(method.build());
--- a/crates/spurdrum-etcd-wire/src/lib.rs
+++ b/crates/spurdrum-etcd-wire/src/lib.rs
@@ -1,103 +1,103 @@
-//! Messages and services of etcd v3, as far as a list of servers needs them.
+//! The subset of etcd v3's protobuf messages and gRPC services that service discovery and registration need.
 //!
-//! Field numbers are those of the published API (`rpc.proto`, `kv.proto` and `auth.proto` of etcd v3.5). Fields that are
-//! left out here are skipped when they come, as protobuf has it.
+//! Field numbers are those of the published API (`rpc.proto`, `kv.proto` and `auth.proto` of etcd v3.5).
+//! Fields that are not declared here are skipped when they are received, as in any protobuf message.
 
 use prost::{Message, Oneof};
 
-/// An answer's revision and the cluster that gave it.
+/// Header of every response: the cluster that answered, and its revision.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct ResponseHeader {
-    /// The cluster.
+    /// Id of the cluster.
     #[prost(uint64, tag = "1")]
     pub cluster_id: u64,
-    /// The member of it that answered.
+    /// Id of the member that answered.
     #[prost(uint64, tag = "2")]
     pub member_id: u64,
-    /// The store's revision when the answer was made.
+    /// Revision of the key-value store when the response was made.
     #[prost(int64, tag = "3")]
     pub revision: i64,
-    /// The term of its leader.
+    /// Raft term of the member.
     #[prost(uint64, tag = "4")]
     pub raft_term: u64,
 }
 
-/// A key with its value.
+/// A key with its value and revisions.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct KeyValue {
     /// The key.
     #[prost(bytes = "vec", tag = "1")]
     pub key: Vec<u8>,
-    /// The revision that made it.
+    /// Revision at which the key was created.
     #[prost(int64, tag = "2")]
     pub create_revision: i64,
-    /// The revision that changed it last.
+    /// Revision of the last change of the key.
     #[prost(int64, tag = "3")]
     pub mod_revision: i64,
-    /// Changes since it was made, and 1.
+    /// Number of changes since the key was created, counting its creation.
     #[prost(int64, tag = "4")]
     pub version: i64,
     /// The value.
     #[prost(bytes = "vec", tag = "5")]
     pub value: Vec<u8>,
-    /// The lease that it goes with; 0 is none.
+    /// Id of the lease that the key is attached to; 0 is none.
     #[prost(int64, tag = "6")]
     pub lease: i64,
 }
 
-/// One change.
+/// A change of a key.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Event {
-    /// See [`DELETE`].
+    /// Type of the change: 0 for a put, [`DELETE`] for a deletion.
     #[prost(int32, tag = "1")]
     pub r#type: i32,
-    /// The key as it is now; of one that was deleted, its name and the revision of that.
+    /// The key after the change; for a deletion only its name, and the deletion's revision in `mod_revision`.
     #[prost(message, optional, tag = "2")]
     pub kv: Option<KeyValue>,
 }
 
-/// The type of an [`Event`] that deletes; 0 is one that puts.
+/// The type of an [`Event`] that deletes a key.
 pub const DELETE: i32 = 1;
 
-/// Asks for the keys from one up to, and without, another.
+/// Reads the keys in the range `[key, range_end)`.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct RangeRequest {
-    /// The first.
+    /// First key of the range.
     #[prost(bytes = "vec", tag = "1")]
     pub key: Vec<u8>,
-    /// The one after the last; empty for `key` alone.
+    /// End of the range, exclusive; empty to read `key` alone.
     #[prost(bytes = "vec", tag = "2")]
     pub range_end: Vec<u8>,
-    /// At most so many; 0 is no limit.
+    /// Maximum number of keys to return; 0 is no limit.
     #[prost(int64, tag = "3")]
     pub limit: i64,
-    /// As of this revision; 0 is now.
+    /// Revision to read at; 0 is the current one.
     #[prost(int64, tag = "4")]
     pub revision: i64,
-    /// A member may answer from what it has, without asking the others.
+    /// Whether the member may answer from its local state, without a linearized read.
     #[prost(bool, tag = "7")]
     pub serializable: bool,
-    /// Without values.
+    /// Whether to return keys without their values.
     #[prost(bool, tag = "8")]
     pub keys_only: bool,
-    /// How many there are, and no keys.
+    /// Whether to return the number of keys only.
     #[prost(bool, tag = "9")]
     pub count_only: bool,
 }
 
-/// Keys, in their order.
+/// The keys that were read, in order.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct RangeResponse {
-    /// See [`ResponseHeader`].
+    /// Header of the response.
     #[prost(message, optional, tag = "1")]
     pub header: Option<ResponseHeader>,
     /// The keys.
     #[prost(message, repeated, tag = "2")]
     pub kvs: Vec<KeyValue>,
-    /// Whether the limit kept some back.
+    /// Whether more keys were left out because of the limit.
     #[prost(bool, tag = "3")]
     pub more: bool,
-    /// How many there are in all.
+    /// Number of keys in the range.
     #[prost(int64, tag = "4")]
     pub count: i64,
 }
@@ -108,164 +108,164 @@
     /// The key.
     #[prost(bytes = "vec", tag = "1")]
     pub key: Vec<u8>,
-    /// Its value.
+    /// The value.
     #[prost(bytes = "vec", tag = "2")]
     pub value: Vec<u8>,
-    /// The lease that it goes with; 0 is none.
+    /// Id of the lease to attach the key to; 0 is none.
     #[prost(int64, tag = "3")]
     pub lease: i64,
 }
 
-/// A key was put.
+/// Response to a [`PutRequest`].
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct PutResponse {
-    /// See [`ResponseHeader`].
+    /// Header of the response.
     #[prost(message, optional, tag = "1")]
     pub header: Option<ResponseHeader>,
 }
 
-/// Deletes the keys from one up to, and without, another.
+/// Deletes the keys in the range `[key, range_end)`.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct DeleteRangeRequest {
-    /// The first.
+    /// First key of the range.
     #[prost(bytes = "vec", tag = "1")]
     pub key: Vec<u8>,
-    /// The one after the last; empty for `key` alone.
+    /// End of the range, exclusive; empty to delete `key` alone.
     #[prost(bytes = "vec", tag = "2")]
     pub range_end: Vec<u8>,
 }
 
-/// Keys were deleted.
+/// Response to a [`DeleteRangeRequest`].
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct DeleteRangeResponse {
-    /// See [`ResponseHeader`].
+    /// Header of the response.
     #[prost(message, optional, tag = "1")]
     pub header: Option<ResponseHeader>,
-    /// How many.
+    /// Number of deleted keys.
     #[prost(int64, tag = "2")]
     pub deleted: i64,
 }
 
-/// What is said on the stream of a watch.
+/// A message from the client on a watch stream.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct WatchRequest {
-    /// One of these.
+    /// The request.
     #[prost(oneof = "WatchAsk", tags = "1, 2, 3")]
     pub request_union: Option<WatchAsk>,
 }
 
-/// See [`WatchRequest`].
+/// The kinds of [`WatchRequest`].
 #[derive(Clone, PartialEq, Eq, Oneof)]
 pub enum WatchAsk {
-    /// Begin a watch.
+    /// Creates a watch.
     #[prost(message, tag = "1")]
     Create(WatchCreateRequest),
-    /// End one.
+    /// Cancels a watch.
     #[prost(message, tag = "2")]
     Cancel(WatchCancelRequest),
-    /// Say up to which revision all has been told.
+    /// Requests the revision up to which all changes have been delivered.
     #[prost(message, tag = "3")]
     Progress(WatchProgressRequest),
 }
 
-/// Begins a watch on keys from one up to, and without, another.
+/// Creates a watch on the keys in the range `[key, range_end)`.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct WatchCreateRequest {
-    /// The first.
+    /// First key of the range.
     #[prost(bytes = "vec", tag = "1")]
     pub key: Vec<u8>,
-    /// The one after the last; empty for `key` alone.
+    /// End of the range, exclusive; empty to watch `key` alone.
     #[prost(bytes = "vec", tag = "2")]
     pub range_end: Vec<u8>,
-    /// The first revision to tell of; 0 is the next.
+    /// First revision to deliver; 0 is the next one.
     #[prost(int64, tag = "3")]
     pub start_revision: i64,
-    /// Whether to tell the revision now and then where nothing changes.
+    /// Whether to report the current revision periodically while nothing changes.
     #[prost(bool, tag = "4")]
     pub progress_notify: bool,
-    /// Whether answers may come in pieces.
+    /// Whether a large response may be split into fragments.
     #[prost(bool, tag = "8")]
     pub fragment: bool,
 }
 
-/// Ends a watch.
+/// Cancels a watch.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct WatchCancelRequest {
-    /// Which.
+    /// Id of the watch.
     #[prost(int64, tag = "1")]
     pub watch_id: i64,
 }
 
-/// Asks for the progress of all watches on the stream.
+/// Requests the progress of all watches on the stream.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct WatchProgressRequest {}
 
-/// What a watch tells.
+/// A message from the server on a watch stream.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct WatchResponse {
-    /// See [`ResponseHeader`].
+    /// Header of the response.
     #[prost(message, optional, tag = "1")]
     pub header: Option<ResponseHeader>,
-    /// Which watch; -1 for the progress of all.
+    /// Id of the watch; -1 for the progress of all watches.
     #[prost(int64, tag = "2")]
     pub watch_id: i64,
-    /// It has begun.
+    /// Whether this response confirms that the watch was created.
     #[prost(bool, tag = "3")]
     pub created: bool,
-    /// It has ended.
+    /// Whether the watch was cancelled.
     #[prost(bool, tag = "4")]
     pub canceled: bool,
-    /// The oldest revision that there is, where the one asked for is gone.
+    /// The oldest available revision, if the requested one has been compacted.
     #[prost(int64, tag = "5")]
     pub compact_revision: i64,
-    /// Why it ended.
+    /// Why the watch was cancelled.
     #[prost(string, tag = "6")]
     pub cancel_reason: String,
-    /// More of the same comes in the next answer.
+    /// Whether more fragments of this response follow.
     #[prost(bool, tag = "7")]
     pub fragment: bool,
-    /// Changes, in order.
+    /// The changes, in order.
     #[prost(message, repeated, tag = "11")]
     pub events: Vec<Event>,
 }
 
-/// Asks for a lease.
+/// Requests a lease.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct LeaseGrantRequest {
-    /// Its time to live, in seconds.
+    /// Requested time to live, in seconds.
     #[prost(int64, tag = "1")]
     pub ttl: i64,
-    /// Its number; 0 lets the cluster choose.
+    /// Id of the lease; 0 lets the cluster choose one.
     #[prost(int64, tag = "2")]
     pub id: i64,
 }
 
-/// A lease.
+/// Response to a [`LeaseGrantRequest`].
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct LeaseGrantResponse {
-    /// See [`ResponseHeader`].
+    /// Header of the response.
     #[prost(message, optional, tag = "1")]
     pub header: Option<ResponseHeader>,
-    /// Its number.
+    /// Id of the lease.
     #[prost(int64, tag = "2")]
     pub id: i64,
-    /// Its time to live, in seconds.
+    /// Granted time to live, in seconds.
     #[prost(int64, tag = "3")]
     pub ttl: i64,
 }
 
-/// Ends a lease, and deletes its keys.
+/// Revokes a lease and deletes the keys attached to it.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct LeaseRevokeRequest {
-    /// Its number.
+    /// Id of the lease.
     #[prost(int64, tag = "1")]
     pub id: i64,
 }
 
-/// A lease has ended.
+/// Response to a [`LeaseRevokeRequest`].
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct LeaseRevokeResponse {
-    /// See [`ResponseHeader`].
+    /// Header of the response.
     #[prost(message, optional, tag = "1")]
     pub header: Option<ResponseHeader>,
 }
@@ -273,48 +273,49 @@
 /// Renews a lease.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct LeaseKeepAliveRequest {
-    /// Its number.
+    /// Id of the lease.
     #[prost(int64, tag = "1")]
     pub id: i64,
 }
 
-/// A lease was renewed, or is gone.
+/// Response to a [`LeaseKeepAliveRequest`].
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct LeaseKeepAliveResponse {
-    /// See [`ResponseHeader`].
+    /// Header of the response.
     #[prost(message, optional, tag = "1")]
     pub header: Option<ResponseHeader>,
-    /// Its number.
+    /// Id of the lease.
     #[prost(int64, tag = "2")]
     pub id: i64,
-    /// Its time to live from now on, in seconds; 0 of one that is gone.
+    /// Time to live from now on, in seconds; 0 if the lease does not exist.
     #[prost(int64, tag = "3")]
     pub ttl: i64,
 }
 
-/// Asks for a token.
+/// Requests an auth token.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct AuthenticateRequest {
-    /// The user.
+    /// Name of the user.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Their password.
+    /// Password of the user.
     #[prost(string, tag = "2")]
     pub password: String,
 }
 
-/// A token, for the metadata of later calls.
+/// Response to an [`AuthenticateRequest`].
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct AuthenticateResponse {
-    /// See [`ResponseHeader`].
+    /// Header of the response.
     #[prost(message, optional, tag = "1")]
     pub header: Option<ResponseHeader>,
-    /// The token.
+    /// The auth token, to be sent in the metadata of later calls.
     #[prost(string, tag = "2")]
     pub token: String,
 }
 
-/// The services. Their names on the wire are those of the published API.
+/// Clients and servers of the services, generated by `build.rs`. Their names on the wire are those of the
+/// published API.
 pub mod services {
     #![allow(missing_docs, clippy::all)]
     include!(concat!(env!("OUT_DIR"), "/etcdserverpb.KV.rs"));
@@ -323,7 +324,7 @@
     include!(concat!(env!("OUT_DIR"), "/etcdserverpb.Auth.rs"));
 }
 
-/// The end of the range of all keys that begin with a prefix, as the API asks for it.
+/// Returns the `range_end` of the range of all keys that begin with a prefix.
 pub fn prefix_end(prefix: &[u8]) -> Vec<u8> {
     let mut end = prefix.to_vec();
     while let Some(last) = end.pop() {
@@ -332,7 +333,7 @@
             return end;
         }
     }
-    // Every key from the first on.
+    // The prefix has no upper bound. A single NUL byte stands for the end of all keys.
     vec![0]
 }
 
@@ -341,18 +342,18 @@
     use super::*;
 
     #[test]
-    fn a_prefix_ends_before_the_next_one() {
+    fn a_prefix_range_ends_before_the_next_prefix() {
         assert_eq!(prefix_end(b"/a/"), b"/a0");
         assert_eq!(prefix_end(b"a\xff\xff"), b"b");
         assert_eq!(prefix_end(b"\xff"), b"\0");
     }
 
     #[test]
-    fn messages_have_the_published_tags() {
-        let ask = WatchRequest { request_union: Some(WatchAsk::Progress(WatchProgressRequest {})) };
-        assert_eq!(ask.encode_to_vec(), [0x1a, 0]);
+    fn messages_have_the_published_field_tags() {
+        let request = WatchRequest { request_union: Some(WatchAsk::Progress(WatchProgressRequest {})) };
+        assert_eq!(request.encode_to_vec(), [0x1a, 0]);
         let event = Event { r#type: DELETE, kv: None };
-        let told = WatchResponse { watch_id: 3, events: vec![event], ..WatchResponse::default() };
-        assert_eq!(told.encode_to_vec(), [0x10, 3, 0x5a, 2, 8, 1]);
+        let response = WatchResponse { watch_id: 3, events: vec![event], ..WatchResponse::default() };
+        assert_eq!(response.encode_to_vec(), [0x10, 3, 0x5a, 2, 8, 1]);
     }
 }
--- a/crates/spurdrum-sources/src/registry/schema.rs
+++ b/crates/spurdrum-sources/src/registry/schema.rs
@@ -1,12 +1,13 @@
-//! Keys and values of a registry, as servers.
+//! Maps keys and values of a registry to servers.
 //!
-//! A pattern says what the parts of a key are, and pointers (RFC 6901) where a JSON value has the rest:
+//! A pattern names the fields that a key contains. The other fields are found in a JSON value by JSON
+//! pointers (RFC 6901):
 //!
 //! ```
 //! use spurdrum_sources::registry::schema::{Schema, ValueFormat};
 //!
 //! let schema = Schema { key: "/sites/{zone}/{id}".into(), value: ValueFormat::Address, ..Schema::default() };
-//! let schema = schema.compile().expect("sound");
+//! let schema = schema.compile().expect("a valid schema");
 //! assert_eq!(schema.prefix(), "/sites/");
 //! let member = schema.parse(b"/sites/north/s1", b"127.0.0.1:8080").expect("a server");
 //! assert_eq!((member.id.as_str(), member.locality.as_str()), ("s1", "north"));
@@ -22,14 +23,15 @@
 use super::follower::{Change, Value};
 use crate::{Member, Phase};
 
-/// Parts that a key or a value may tell.
-const PARTS: [&str; 9] = ["id", "address", "port", "zone", "kind", "cell", "weight", "phase", "started_ms"];
-/// A name of a server, zone or kind has this many bytes at most.
-const NAME_MOST: usize = 255;
-/// Keys that hold no server, and are told of, at most; more are counted.
-const FAULTS_MOST: usize = 1000;
+/// Fields of a server that a key or a value may contain.
+const FIELDS: [&str; 9] = ["id", "address", "port", "zone", "kind", "cell", "weight", "phase", "started_ms"];
+/// Maximum length of the name of a server, zone or kind, in bytes.
+const MAX_NAME_BYTES: usize = 255;
+/// Maximum number of invalid keys that are remembered and reported, and of duplicate servers kept in
+/// `waiting`.
+const MAX_INVALID_KEYS: usize = 1000;
 
-/// What form values have.
+/// Format of the values.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ValueFormat {
@@ -38,7 +40,7 @@
     Json,
     /// An address with a port, and nothing else.
     Address,
-    /// Nothing that is read: the key tells all.
+    /// The value is ignored; the key contains all fields.
     None,
 }
 
@@ -46,189 +48,199 @@
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Schema {
-    /// A pattern for keys: text, and parts in braces, each up to the text behind it.
+    /// Pattern of the keys: literal text, and fields in braces. A field extends to the literal text that
+    /// follows it.
     pub key: String,
-    /// What form values have.
+    /// Format of the values.
     pub value: ValueFormat,
-    /// Where a JSON value tells a part, as RFC 6901 has it.
+    /// JSON pointer (RFC 6901) of each field in a JSON value.
     pub fields: BTreeMap<String, String>,
 }
 
 impl Default for Schema {
     fn default() -> Self {
-        let fields = PARTS.map(|part| (part.to_owned(), format!("/{part}")));
+        let fields = FIELDS.map(|field| (field.to_owned(), format!("/{field}")));
         Self { key: "/spurdrum/servers/{id}".into(), value: ValueFormat::Json, fields: fields.into() }
     }
 }
 
 impl Schema {
-    /// The layout of what [`super::consul`] makes of a service's instances.
+    /// Returns the schema of the entries that [`super::consul`] makes of a service's instances.
     pub fn consul() -> Self {
-        let of_meta = ["zone", "kind", "cell", "started_ms"].map(|part| (part, format!("/meta/{part}")));
-        let own = ["address", "port", "weight", "phase"].map(|part| (part, format!("/{part}")));
-        let fields = of_meta.into_iter().chain(own).map(|(part, at)| (part.to_owned(), at));
+        let in_meta = ["zone", "kind", "cell", "started_ms"].map(|field| (field, format!("/meta/{field}")));
+        let top_level = ["address", "port", "weight", "phase"].map(|field| (field, format!("/{field}")));
+        let fields = in_meta.into_iter().chain(top_level).map(|(field, pointer)| (field.to_owned(), pointer));
         Self { key: "{id}".into(), value: ValueFormat::Json, fields: fields.collect() }
     }
 
-    /// Checks it, and makes it ready.
+    /// Checks the schema and parses its pattern.
     ///
     /// # Errors
     ///
-    /// The key that makes no sense, and why.
+    /// Returns the name of the invalid setting and the reason.
     pub fn compile(&self) -> Result<CompiledSchema, (&'static str, &'static str)> {
-        let pieces = pieces(&self.key).ok_or(("key", "has a brace without its other, or an unknown part"))?;
-        let has = |name: &str| pieces.iter().any(|piece| matches!(piece, Piece::Part(part) if *part == name));
-        let two = pieces.windows(2).any(|pair| matches!(pair, [Piece::Part(_), Piece::Part(_)]));
-        if two {
-            return Err(("key", "has two parts with nothing between them"));
+        let segments =
+            parse_segments(&self.key).ok_or(("key", "has an unmatched brace or an unknown field"))?;
+        let key_has =
+            |name: &str| segments.iter().any(|s| matches!(s, Segment::Field(field) if *field == name));
+        let adjacent = segments.windows(2).any(|pair| matches!(pair, [Segment::Field(_), Segment::Field(_)]));
+        if adjacent {
+            return Err(("key", "has two fields without text between them"));
         }
-        if !has("id") && !has("address") {
-            return Err(("key", "has neither {id} nor {address}: servers would have no names"));
+        if !key_has("id") && !key_has("address") {
+            return Err(("key", "has neither {id} nor {address}, so servers would have no ids"));
         }
-        if self.value == ValueFormat::None && !has("address") {
-            return Err(("value", "is none, and the key has no {address}"));
+        if self.value == ValueFormat::None && !key_has("address") {
+            return Err(("value", "is none, but the key has no {address}"));
         }
-        let known = self.fields.keys().all(|part| PARTS.contains(&part.as_str()));
-        if !known {
-            return Err(("fields", "names an unknown part"));
+        let all_known = self.fields.keys().all(|field| FIELDS.contains(&field.as_str()));
+        if !all_known {
+            return Err(("fields", "contains an unknown field"));
         }
-        if !self.fields.values().all(|at| at.is_empty() || at.starts_with('/')) {
-            return Err(("fields", "has a pointer that does not begin with /"));
+        if !self.fields.values().all(|pointer| pointer.is_empty() || pointer.starts_with('/')) {
+            return Err(("fields", "contains a pointer that does not begin with /"));
         }
-        if self.value == ValueFormat::Json && !has("address") && !self.fields.contains_key("address") {
-            return Err(("fields", "has no address"));
+        if self.value == ValueFormat::Json && !key_has("address") && !self.fields.contains_key("address") {
+            return Err(("fields", "contains no address"));
         }
-        Ok(CompiledSchema { pieces, value: self.value, fields: self.fields.clone() })
+        Ok(CompiledSchema { segments, value: self.value, fields: self.fields.clone() })
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Piece {
-    Text(String),
-    Part(&'static str),
+enum Segment {
+    Literal(String),
+    Field(&'static str),
 }
 
-fn pieces(pattern: &str) -> Option<Vec<Piece>> {
-    let mut pieces = Vec::new();
+/// Splits a pattern into segments; `None` if a brace is unmatched or a field is unknown.
+fn parse_segments(pattern: &str) -> Option<Vec<Segment>> {
+    let mut segments = Vec::new();
     let mut rest = pattern;
     while !rest.is_empty() {
         match rest.find(['{', '}']) {
             None => {
-                pieces.push(Piece::Text(rest.to_owned()));
+                segments.push(Segment::Literal(rest.to_owned()));
                 break;
             }
             Some(0) => {
-                let (name, behind) = rest.strip_prefix('{')?.split_once('}')?;
-                pieces.push(Piece::Part(PARTS.into_iter().find(|part| *part == name)?));
-                rest = behind;
+                let (name, after) = rest.strip_prefix('{')?.split_once('}')?;
+                segments.push(Segment::Field(FIELDS.into_iter().find(|field| *field == name)?));
+                rest = after;
             }
-            Some(at) => {
-                pieces.push(Piece::Text(rest[..at].to_owned()));
-                rest = &rest[at..];
+            Some(brace) => {
+                segments.push(Segment::Literal(rest[..brace].to_owned()));
+                rest = &rest[brace..];
             }
         }
     }
-    Some(pieces)
+    Some(segments)
 }
 
-/// A schema that is ready.
+/// A schema that has been checked, with its pattern parsed.
 #[derive(Clone, Debug)]
 pub struct CompiledSchema {
-    pieces: Vec<Piece>,
+    segments: Vec<Segment>,
     value: ValueFormat,
     fields: BTreeMap<String, String>,
 }
 
-/// Why a key holds no server.
+/// Why a key does not map to a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EntryError {
-    /// The key has not the pattern's form.
+    /// The key does not match the pattern.
     KeyMismatch,
-    /// The value has so many bytes, more than may be held.
+    /// The value has this many bytes, more than the limit.
     TooLong(usize),
-    /// The value is no JSON object, or no address.
+    /// The value is not a JSON object or not an address, as the schema requires.
     InvalidValue,
-    /// This part is missing, of another type or out of range.
+    /// This field is missing, has the wrong type or is out of range.
     InvalidField(&'static str),
-    /// Another key has a server of the same name.
+    /// Another key has already defined a server with this id.
     DuplicateServer(String),
 }
 
 impl fmt::Display for EntryError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::KeyMismatch => f.write_str("the key has not the form of the pattern"),
-            Self::TooLong(bytes) => write!(f, "the value has {bytes} bytes"),
-            Self::InvalidValue => f.write_str("the value has another form"),
-            Self::InvalidField(part) => write!(f, "`{part}` is missing, of another type or out of range"),
-            Self::DuplicateServer(id) => write!(f, "the server {id} has another key"),
+            Self::KeyMismatch => f.write_str("the key does not match the pattern"),
+            Self::TooLong(bytes) => write!(f, "the value is too long: {bytes} bytes"),
+            Self::InvalidValue => f.write_str("the value does not have the configured format"),
+            Self::InvalidField(field) => {
+                write!(f, "`{field}` is missing, has the wrong type or is out of range")
+            }
+            Self::DuplicateServer(id) => write!(f, "the server {id} is already defined by another key"),
         }
     }
 }
 
 impl CompiledSchema {
-    /// What all keys begin with.
+    /// Returns the literal text that all keys begin with.
     pub fn prefix(&self) -> &str {
-        match self.pieces.first() {
-            Some(Piece::Text(text)) => text,
+        match self.segments.first() {
+            Some(Segment::Literal(text)) => text,
             _ => "",
         }
     }
 
-    /// The server that a key and its value are.
+    /// Parses the server that a key and its value describe.
     ///
     /// # Errors
     ///
-    /// Why they are none.
+    /// Returns why they do not describe a server.
     pub fn parse(&self, key: &[u8], value: &[u8]) -> Result<Member, EntryError> {
         let key = std::str::from_utf8(key).map_err(|_| EntryError::KeyMismatch)?;
-        let of_key = self.parts(key).ok_or(EntryError::KeyMismatch)?;
+        let key_fields = self.key_fields(key).ok_or(EntryError::KeyMismatch)?;
         let json = match self.value {
             ValueFormat::Json => {
                 serde_json::from_slice(value).ok().filter(Json::is_object).ok_or(EntryError::InvalidValue)?
             }
             ValueFormat::Address | ValueFormat::None => Json::Null,
         };
-        let part = |name: &str| -> Option<Json> {
-            if let Some(text) = of_key.get(name) {
+        let field = |name: &str| -> Option<Json> {
+            if let Some(text) = key_fields.get(name) {
                 return Some(Json::String((*text).to_owned()));
             }
-            self.fields.get(name).and_then(|at| json.pointer(at)).filter(|found| !found.is_null()).cloned()
+            self.fields
+                .get(name)
+                .and_then(|pointer| json.pointer(pointer))
+                .filter(|found| !found.is_null())
+                .cloned()
         };
-        let name = |part_name: &'static str| match part(part_name) {
+        let text = |field_name: &'static str| match field(field_name) {
             None => Ok(String::new()),
-            Some(Json::String(text)) if text.len() <= NAME_MOST => Ok(text),
+            Some(Json::String(text)) if text.len() <= MAX_NAME_BYTES => Ok(text),
             Some(Json::Number(number)) => Ok(number.to_string()),
-            Some(_) => Err(EntryError::InvalidField(part_name)),
+            Some(_) => Err(EntryError::InvalidField(field_name)),
         };
-        let number = |part_name: &'static str, default: f64| match part(part_name) {
+        let number = |field_name: &'static str, default: f64| match field(field_name) {
             None => Ok(default),
             Some(found) => {
-                let read = found.as_f64().or_else(|| found.as_str()?.parse().ok());
-                read.filter(|number: &f64| number.is_finite()).ok_or(EntryError::InvalidField(part_name))
+                let parsed = found.as_f64().or_else(|| found.as_str()?.parse().ok());
+                parsed.filter(|number: &f64| number.is_finite()).ok_or(EntryError::InvalidField(field_name))
             }
         };
         let address = match self.value {
             ValueFormat::Address => {
                 std::str::from_utf8(value).map_err(|_| EntryError::InvalidValue)?.trim().to_owned()
             }
-            _ => name("address")?,
+            _ => text("address")?,
         };
         let address = address
             .parse()
             .ok()
             .or_else(|| {
-                let port = part("port")?;
+                let port = field("port")?;
                 let port = port.as_u64().or_else(|| port.as_str()?.parse().ok())?;
                 Some(SocketAddr::new(address.parse::<IpAddr>().ok()?, u16::try_from(port).ok()?))
             })
             .filter(|address| address.port() != 0 && !address.ip().is_unspecified())
             .ok_or(EntryError::InvalidField("address"))?;
-        let id = match name("id")? {
-            none if none.is_empty() => address.to_string(),
+        let id = match text("id")? {
+            empty if empty.is_empty() => address.to_string(),
             id => id,
         };
-        let phase = match name("phase")?.as_str() {
+        let phase = match text("phase")?.as_str() {
             "" | "active" => Phase::Active,
             "leaving" | "draining" => Phase::Leaving,
             "left" => Phase::Left,
@@ -249,8 +261,8 @@
         Ok(Member {
             id,
             host_port: address,
-            locality: name("zone")?,
-            flavor: name("kind")?,
+            locality: text("zone")?,
+            flavor: text("kind")?,
             cell: cell as usize,
             phase,
             size: weight,
@@ -258,40 +270,40 @@
         })
     }
 
-    /// The parts that a key tells.
-    fn parts<'k>(&self, key: &'k str) -> Option<HashMap<&'static str, &'k str>> {
-        let mut parts = HashMap::new();
+    /// Extracts the fields that a key contains; `None` if it does not match the pattern.
+    fn key_fields<'k>(&self, key: &'k str) -> Option<HashMap<&'static str, &'k str>> {
+        let mut fields = HashMap::new();
         let mut rest = key;
-        let mut pieces = self.pieces.iter().peekable();
-        while let Some(piece) = pieces.next() {
-            match piece {
-                Piece::Text(text) => rest = rest.strip_prefix(text.as_str())?,
-                Piece::Part(part) => {
-                    let end = match pieces.peek() {
-                        Some(Piece::Text(text)) => rest.find(text.as_str())?,
+        let mut segments = self.segments.iter().peekable();
+        while let Some(segment) = segments.next() {
+            match segment {
+                Segment::Literal(text) => rest = rest.strip_prefix(text.as_str())?,
+                Segment::Field(field) => {
+                    let end = match segments.peek() {
+                        Some(Segment::Literal(text)) => rest.find(text.as_str())?,
                         _ => rest.len(),
                     };
-                    let found = &rest[..end];
-                    if found.is_empty() || found.len() > NAME_MOST || found.contains('/') {
+                    let content = &rest[..end];
+                    if content.is_empty() || content.len() > MAX_NAME_BYTES || content.contains('/') {
                         return None;
                     }
-                    parts.insert(*part, found);
+                    fields.insert(*field, content);
                     rest = &rest[end..];
                 }
             }
         }
-        rest.is_empty().then_some(parts)
+        rest.is_empty().then_some(fields)
     }
 }
 
-/// Servers that have come, changed or gone, and what could not be read.
+/// Changes of servers that follow from a change of keys.
 #[derive(Debug, Default)]
 pub struct ServerChanges {
-    /// As they are now; one that cannot be read any more is leaving.
+    /// Servers that are new or changed. A server whose value has become invalid is leaving.
     pub updated: Vec<Member>,
-    /// Their names.
+    /// Ids of servers that are gone.
     pub gone: Vec<String>,
-    /// Each key that holds no server, once.
+    /// Keys that have become invalid, each reported once per error.
     pub errors: Vec<(String, EntryError)>,
 }
 
@@ -299,100 +311,100 @@
 #[derive(Debug)]
 pub struct Mapper {
     schema: CompiledSchema,
-    /// The server of each key.
+    /// The server of each valid key.
     servers: HashMap<Vec<u8>, Member>,
     /// The key of each server.
     keys: HashMap<String, Vec<u8>>,
-    /// Keys that hold none, as they were told of.
-    faults: HashMap<Vec<u8>, EntryError>,
-    /// Servers that already had another key, for when that goes.
+    /// The last reported error of each invalid key.
+    errors: HashMap<Vec<u8>, EntryError>,
+    /// Servers whose id is in use by another key, kept until that key is deleted.
     waiting: BTreeMap<Vec<u8>, Member>,
 }
 
 impl Mapper {
-    /// A mapper that knows no key.
+    /// Returns a mapper without any keys.
     pub fn new(schema: CompiledSchema) -> Self {
         Self {
             schema,
             servers: HashMap::new(),
             keys: HashMap::new(),
-            faults: HashMap::new(),
+            errors: HashMap::new(),
             waiting: BTreeMap::new(),
         }
     }
 
-    /// Keys that hold no server now.
+    /// Returns the number of invalid keys.
     pub fn invalid_keys(&self) -> usize {
-        self.faults.len()
+        self.errors.len()
     }
 
-    /// Maps a change. Its keys are mapped alone: one that cannot be read takes nothing else with it.
+    /// Maps a change. Each key is mapped on its own, so an invalid one affects no other server.
     pub fn map(&mut self, change: &Change) -> ServerChanges {
-        let mut mapped = ServerChanges::default();
-        // Keys that go first: a server may stand under another key by now.
+        let mut changes = ServerChanges::default();
+        // Deletions come first, since a server may have moved to another key in the same change.
         for key in &change.deleted {
-            self.faults.remove(key);
+            self.errors.remove(key);
             self.waiting.remove(key);
             if let Some(member) = self.servers.remove(key) {
                 self.keys.remove(&member.id);
-                mapped.gone.push(member.id);
+                changes.gone.push(member.id);
             }
         }
         for entry in &change.put {
-            let read = match &entry.value {
+            let parsed = match &entry.value {
                 Value::Whole(value) => self.schema.parse(&entry.key, value),
                 Value::TooLong(bytes) => Err(EntryError::TooLong(*bytes)),
             };
             self.waiting.remove(&entry.key);
-            match read {
-                Ok(member) => self.put(&entry.key, member, &mut mapped),
-                Err(fault) => self.fault(&entry.key, fault, &mut mapped),
+            match parsed {
+                Ok(member) => self.put(&entry.key, member, &mut changes),
+                Err(error) => self.record_error(&entry.key, error, &mut changes),
             }
         }
-        let free: Vec<Vec<u8>> = (self.waiting.iter())
+        let freed: Vec<Vec<u8>> = (self.waiting.iter())
             .filter(|(_, member)| !self.keys.contains_key(&member.id))
             .map(|(key, _)| key.clone())
             .collect();
-        for key in free {
+        for key in freed {
             if let Some(member) = self.waiting.remove(&key) {
-                self.put(&key, member, &mut mapped);
+                self.put(&key, member, &mut changes);
             }
         }
-        // A server that went under one key and came under another has not gone.
-        mapped.gone.retain(|id| !self.keys.contains_key(id));
-        mapped
+        // A server that moved from one key to another is not gone.
+        changes.gone.retain(|id| !self.keys.contains_key(id));
+        changes
     }
 
-    fn put(&mut self, key: &[u8], member: Member, mapped: &mut ServerChanges) {
+    fn put(&mut self, key: &[u8], member: Member, changes: &mut ServerChanges) {
         if self.keys.get(&member.id).is_some_and(|other| other != key) {
-            let fault = EntryError::DuplicateServer(member.id.clone());
-            if self.waiting.len() < FAULTS_MOST {
+            let error = EntryError::DuplicateServer(member.id.clone());
+            if self.waiting.len() < MAX_INVALID_KEYS {
                 self.waiting.insert(key.to_owned(), member);
             }
-            return self.fault(key, fault, mapped);
+            return self.record_error(key, error, changes);
         }
-        self.faults.remove(key);
-        let before = self.servers.insert(key.to_owned(), member.clone());
-        // The value may name another server than before.
-        if let Some(before) = before.filter(|before| before.id != member.id) {
-            self.keys.remove(&before.id);
-            mapped.gone.push(before.id);
+        self.errors.remove(key);
+        let previous = self.servers.insert(key.to_owned(), member.clone());
+        // The new value may describe another server than the old one.
+        if let Some(previous) = previous.filter(|previous| previous.id != member.id) {
+            self.keys.remove(&previous.id);
+            changes.gone.push(previous.id);
         }
         self.keys.insert(member.id.clone(), key.to_owned());
-        mapped.updated.push(member);
+        changes.updated.push(member);
     }
 
-    fn fault(&mut self, key: &[u8], fault: EntryError, mapped: &mut ServerChanges) {
-        // What it does now nobody can tell: it keeps what it has, and gets nothing new.
+    fn record_error(&mut self, key: &[u8], error: EntryError, changes: &mut ServerChanges) {
+        // What the server does now is unknown: it may finish the requests it has, and gets no new ones.
         if let Some(member) = self.servers.get_mut(key) {
             member.phase = Phase::Leaving;
-            mapped.updated.push(member.clone());
+            changes.updated.push(member.clone());
         }
-        let told = self.faults.get(key) == Some(&fault);
-        if !told && (self.faults.contains_key(key) || self.faults.len() < FAULTS_MOST) {
-            self.faults.insert(key.to_owned(), fault.clone());
-            let shown = String::from_utf8_lossy(&key[..key.len().min(NAME_MOST)]).into_owned();
-            mapped.errors.push((shown, fault));
+        let already_reported = self.errors.get(key) == Some(&error);
+        if !already_reported && (self.errors.contains_key(key) || self.errors.len() < MAX_INVALID_KEYS) {
+            self.errors.insert(key.to_owned(), error.clone());
+            let key_text = String::from_utf8_lossy(&key[..key.len().min(MAX_NAME_BYTES)]).into_owned();
+            changes.errors.push((key_text, error));
         }
     }
 }
@@ -415,15 +427,15 @@
     }
 
     #[test]
-    fn a_value_that_cannot_be_read_holds_back_its_server_alone_and_is_told_once() {
-        let mut mapper = Mapper::new(Schema::default().compile().expect("sound"));
+    fn an_invalid_value_affects_only_its_own_server_and_is_reported_once() {
+        let mut mapper = Mapper::new(Schema::default().compile().expect("a valid schema"));
         let (a, b) = ("/spurdrum/servers/a", "/spurdrum/servers/b");
         let good = r#"{"address":"127.0.0.1:1","zone":"n","weight":2}"#;
         let mapped = mapper.map(&change(vec![put(a, good), put(b, "{")], &[]));
         assert_eq!((mapped.updated.len(), mapped.updated[0].size), (1, 2.0));
         assert_eq!(mapped.errors, [(b.to_owned(), EntryError::InvalidValue)]);
         assert!(mapper.map(&change(vec![put(b, "{")], &[])).errors.is_empty());
-        // One that was known keeps what it has.
+        // A server that was valid before keeps its address and is leaving.
         let mapped = mapper.map(&change(vec![put(a, r#"{"address":"nowhere"}"#)], &[]));
         assert_eq!((mapped.updated[0].id.as_str(), mapped.updated[0].phase), ("a", Phase::Leaving));
         assert_eq!(mapped.errors[0].1, EntryError::InvalidField("address"));
@@ -434,20 +446,20 @@
     }
 
     #[test]
-    fn a_server_that_moves_to_another_key_has_not_gone() {
+    fn a_server_that_moves_to_another_key_is_not_gone() {
         let schema = Schema { key: "/{zone}/{id}".into(), ..Schema::default() };
-        let mut mapper = Mapper::new(schema.compile().expect("sound"));
-        let at = r#"{"address":"127.0.0.1:1"}"#;
-        mapper.map(&change(vec![put("/n/a", at)], &[]));
-        let twice = mapper.map(&change(vec![put("/s/a", at)], &[]));
-        assert_eq!(twice.errors, [("/s/a".to_owned(), EntryError::DuplicateServer("a".into()))]);
+        let mut mapper = Mapper::new(schema.compile().expect("a valid schema"));
+        let value = r#"{"address":"127.0.0.1:1"}"#;
+        mapper.map(&change(vec![put("/n/a", value)], &[]));
+        let duplicate = mapper.map(&change(vec![put("/s/a", value)], &[]));
+        assert_eq!(duplicate.errors, [("/s/a".to_owned(), EntryError::DuplicateServer("a".into()))]);
         let moved = mapper.map(&change(Vec::new(), &["/n/a"]));
         assert!(moved.gone.is_empty(), "{moved:?}");
         assert_eq!(moved.updated[0].locality, "s");
     }
 
     #[test]
-    fn patterns_without_sense_are_refused() {
+    fn invalid_patterns_are_rejected() {
         for key in ["/a/{id", "/a/}", "/a/{name}", "/a/{zone}", "/{zone}{id}"] {
             assert!(Schema { key: key.into(), ..Schema::default() }.compile().is_err(), "{key}");
         }
@@ -456,13 +468,13 @@
     proptest! {
         #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(11), failure_persistence: None, ..ProptestConfig::default() })]
 
-        /// Whatever stands there, it is a server with an address and a weight, or a fault.
+        /// Any key and value map either to a server with an address and a weight, or to an error.
         #[test]
-        fn any_key_and_value_is_read_or_refused(
+        fn any_key_and_value_is_parsed_or_rejected(
             key in "(/spurdrum/servers/)?[a-z/]{0,8}",
             value in r#"\{("(address|weight|cell|phase|started_ms|id)":("127\.0\.0\.1:[0-9]{1,5}"|-?[0-9]{1,4}|null|"active"),?){0,4}\}?"#,
         ) {
-            let schema = Schema::default().compile().expect("sound");
+            let schema = Schema::default().compile().expect("a valid schema");
             if let Ok(member) = schema.parse(key.as_bytes(), value.as_bytes()) {
                 prop_assert!(member.size > 0.0 && member.host_port.port() > 0 && !member.id.is_empty());
             }
