--- a/crates/spurdrum-sources/tests/consul.rs
+++ b/crates/spurdrum-sources/tests/consul.rs
@@ -1,4 +1,4 @@
-//! Blocking queries on sockets, before a stand-in that pauses, cuts its answers, has no leader and begins anew.
+//! Tests of the registry follower and the Consul client over sockets, against a stand-in agent with injected errors.
 
 #[path = "common/signed.rs"]
 mod signed;
@@ -22,19 +22,19 @@
 use tokio::task::LocalSet;
 use tokio::time::{sleep, timeout};
 
-/// Longer than anything that a test waits for takes, however busy the machine.
-const LONG: Duration = Duration::from_secs(60);
+/// Time limit of each wait: far longer than any step takes, even on a busy machine.
+const WAIT_LIMIT: Duration = Duration::from_secs(60);
 
-fn at(port: u16) -> SocketAddr {
+fn local_address(port: u16) -> SocketAddr {
     ([127, 0, 0, 1], port).into()
 }
 
 #[test]
-fn a_service_is_followed_through_pauses_cut_answers_and_an_index_that_begins_anew() {
+fn a_service_is_followed_despite_pauses_truncated_answers_and_an_index_that_starts_over() {
     let agent = StandIn::start(2, Some("t0ken")).expect("started");
     let put = |id: &str, port: u16, status: &str| {
         let meta = json!({"zone": "a", "started_ms": "5"});
-        agent.with(|registry| registry.put(id, &instance(id, at(port), status, &meta)));
+        agent.with(|registry| registry.put(id, &instance(id, local_address(port), status, &meta)));
     };
     put("one", 1, "passing");
     put("two", 2, "warning");
@@ -57,35 +57,36 @@
             token: Some("t0ken".into()),
             tls: None,
         };
-        let shell = Shell::new(Consul::new(service).expect("sound"), settings, 5).expect("sound settings");
-        let mapper = RefCell::new(Mapper::new(Schema::consul().compile().expect("sound")));
+        let shell =
+            Shell::new(Consul::new(service).expect("valid settings"), settings, 5).expect("valid settings");
+        let mapper = RefCell::new(Mapper::new(Schema::consul().compile().expect("valid settings")));
         let listed: Rc<RefCell<BTreeMap<String, Member>>> = Rc::default();
-        let faults = Rc::new(RefCell::new(0));
-        let (to, seen) = (Rc::clone(&listed), Rc::clone(&faults));
-        let following = tokio::task::spawn_local(Rc::clone(&shell).follow(move |news| {
-            let RegistryEvent::Change(change) = news else { return };
-            let mapped = mapper.borrow_mut().map(&change);
-            *seen.borrow_mut() += mapped.errors.len();
-            for id in mapped.gone {
-                to.borrow_mut().remove(&id);
+        let errors = Rc::new(RefCell::new(0));
+        let (sink, error_count) = (Rc::clone(&listed), Rc::clone(&errors));
+        let follower_task = tokio::task::spawn_local(Rc::clone(&shell).follow(move |event| {
+            let RegistryEvent::Change(change) = event else { return };
+            let changes = mapper.borrow_mut().map(&change);
+            *error_count.borrow_mut() += changes.errors.len();
+            for id in changes.gone {
+                sink.borrow_mut().remove(&id);
             }
-            for member in mapped.updated {
-                to.borrow_mut().insert(member.id.clone(), member);
+            for member in changes.updated {
+                sink.borrow_mut().insert(member.id.clone(), member);
             }
         }));
-        let until = async |what: &str, so: &dyn Fn(&BTreeMap<String, Member>) -> bool| {
-            let is_so = async {
-                while !so(&listed.borrow()) || shell.status().0 != Freshness::Fresh {
+        let until = async |what: &str, condition: &dyn Fn(&BTreeMap<String, Member>) -> bool| {
+            let wait = async {
+                while !condition(&listed.borrow()) || shell.status().0 != Freshness::Fresh {
                     sleep(ms(5)).await;
                 }
             };
-            let last = || format!("{what}: {:?} {:?}", listed.borrow(), shell.status());
-            assert!(timeout(LONG, is_so).await.is_ok(), "{}", last());
+            let state = || format!("{what}: {:?} {:?}", listed.borrow(), shell.status());
+            assert!(timeout(WAIT_LIMIT, wait).await.is_ok(), "{}", state());
         };
         until("the start", &|listed| listed.len() == 2).await;
         let (one, two) = (listed.borrow()["n:one"].clone(), listed.borrow()["n:two"].clone());
-        assert_eq!((one.host_port, one.size, one.locality.as_str()), (at(1), 2.0, "a"));
-        assert_eq!((two.size, two.up_since_ms, *faults.borrow()), (1.0, 5.0, 1));
+        assert_eq!((one.host_port, one.size, one.locality.as_str()), (local_address(1), 2.0, "a"));
+        assert_eq!((two.size, two.up_since_ms, *errors.borrow()), (1.0, 5.0, 1));
         put("one", 1, "critical");
         until("a drain", &|listed| listed["n:one"].phase == Phase::Leaving).await;
         agent.pause(0, true);
@@ -96,45 +97,50 @@
         agent.cut_answers(0, true);
         agent.with(|registry| registry.delete("two"));
         sleep(ms(300)).await;
-        assert_eq!(listed.borrow().len(), 2, "neither half an answer nor one without a leader counts");
+        assert_eq!(
+            listed.borrow().len(),
+            2,
+            "truncated answers and answers without a leader must be ignored"
+        );
         agent.cut_answers(0, false);
-        until("the end of both", &|listed| listed.len() == 1).await;
+        until("the end of both faults", &|listed| listed.len() == 1).await;
         agent.leaderless(1, false);
-        // Its memory is gone, and its index begins anew.
+        // The agent has lost its state, and its index starts over.
         agent.with(|registry| *registry = Registry::new(1));
         put("one", 1, "passing");
         put("four", 4, "passing");
         until("another index", &|listed| listed.contains_key("n:four") && listed.len() == 2).await;
         assert!(shell.status().2.is_some_and(|index| index <= 3));
-        following.abort();
+        follower_task.abort();
     });
 }
 
 #[test]
-fn an_agent_is_verified() {
+fn an_agent_is_verified_by_its_certificate() {
     let (ca, certificate, key) = signed::signed("consul.test");
-    let (other, ..) = signed::signed("consul.test");
+    let (other_ca, ..) = signed::signed("consul.test");
     let agent = StandIn::start_tls(1, &certificate, &key).expect("started");
-    agent.with(|registry| registry.put("one", &instance("one", at(1), "passing", &json!({}))));
+    agent.with(|registry| registry.put("one", &instance("one", local_address(1), "passing", &json!({}))));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     for (ca, name, followed) in
-        [(&ca, "consul.test", true), (&other, "consul.test", false), (&ca, "other.test", false)]
+        [(&ca, "consul.test", true), (&other_ca, "consul.test", false), (&ca, "other.test", false)]
     {
         let tls = Tls { ca: ca.clone().into_bytes(), identity: None, server_name: Some(name.into()) };
         let service =
             Service { endpoints: agent.endpoints.clone(), name: "s".into(), token: None, tls: Some(tls) };
         LocalSet::new().block_on(&runtime, async {
             let settings = Settings { interface: Interface::BlockingQueries, ..Settings::default() };
-            let shell = Shell::new(Consul::new(service).expect("sound"), settings, 5).expect("sound");
-            let following = tokio::task::spawn_local(Rc::clone(&shell).follow(|_| {}));
+            let shell = Shell::new(Consul::new(service).expect("valid settings"), settings, 5)
+                .expect("valid settings");
+            let follower_task = tokio::task::spawn_local(Rc::clone(&shell).follow(|_| {}));
             let settled = async {
                 while shell.status().0 != Freshness::Fresh && shell.status().3.failed < 3 {
                     sleep(Duration::from_millis(5)).await;
                 }
             };
-            assert!(timeout(LONG, settled).await.is_ok(), "{name}: {:?}", shell.status());
+            assert!(timeout(WAIT_LIMIT, settled).await.is_ok(), "{name}: {:?}", shell.status());
             assert_eq!(shell.status().2.is_some(), followed, "{name}");
-            following.abort();
+            follower_task.abort();
         });
     }
 }
