--- a/crates/spurdrum-admission/src/admission.rs
+++ b/crates/spurdrum-admission/src/admission.rs
@@ -5,8 +5,8 @@
 
 use crate::counts::{Counts, Reason};
 use crate::peers::{PeerKey, Peers};
+use crate::reuse::{cohort, ReuseEstimator};
 use crate::settings::{Settings, Shares, TransferTimeout};
-use crate::worth::{cohort, ReuseEstimator};
 use crate::{Action, Candidate, ConnId, Event, Level, Limits, State, Verdict};
 
 /// The memory that every connection uses: buffers, its task and its entries here. The program's
--- a/crates/spurdrum-admission/src/lib.rs
+++ b/crates/spurdrum-admission/src/lib.rs
@@ -35,8 +35,8 @@
 mod admission;
 mod counts;
 mod peers;
+mod reuse;
 mod settings;
-mod worth;
 
 use std::net::IpAddr;
 use std::time::Duration;
--- a/crates/spurdrum-admission/src/peers.rs
+++ b/crates/spurdrum-admission/src/peers.rs
@@ -4,7 +4,7 @@
 use std::net::IpAddr;
 use std::time::Duration;
 
-use crate::worth::ReuseEstimator;
+use crate::reuse::ReuseEstimator;
 use crate::Candidate;
 
 /// The key of a peer: an IPv4 address, or an IPv6 prefix.
--- a/crates/spurdrum-core/src/lib.rs
+++ b/crates/spurdrum-core/src/lib.rs
@@ -7,19 +7,19 @@
 //! [`Connections`] owns the descriptors that fronts and transports share.
 
 mod connections;
-mod figures;
+mod handed_over;
+mod metrics;
 mod node;
-mod passed;
 mod pause;
+mod startup_queue;
 mod transport;
-mod waiting;
 
 pub use connections::{
     is_resource_exhausted, ConnectionCommand, ConnectionPermit, Connections, ServerConnectionPermit,
 };
-pub use figures::{ClassCounts, InflightRequest, LatencyBuckets, NodeMetrics, RequestResult};
+pub use handed_over::HandedOverConnection;
+pub use metrics::{ClassCounts, InflightRequest, LatencyBuckets, NodeMetrics, RequestResult};
 pub use node::{unix_ms, Answer, Config, ListEvidence, ListedServer, Node, NotAccepted};
-pub use passed::HandedOverConnection;
 pub use pause::{
     catch_up_deadline, pause_adjusted_timeout, sleep_and_catch_up, PauseAdjustedClock, PauseDetector,
 };
--- a/crates/spurdrum-core/src/node.rs
+++ b/crates/spurdrum-core/src/node.rs
@@ -15,10 +15,10 @@
 use tokio::sync::oneshot;
 use tokio::time::{sleep, Instant};
 
-use crate::figures::NodeMetrics;
+use crate::metrics::NodeMetrics;
 use crate::pause::sleep_and_catch_up;
+use crate::startup_queue::StartupQueue;
 use crate::transport::{Cancellation, Reply, Transport, TransportRequest};
-use crate::waiting::StartupQueue;
 use crate::Connections;
 
 /// The configuration of a node.
