--- a/crates/spurdrum-policy/tests/common/mod.rs
+++ b/crates/spurdrum-policy/tests/common/mod.rs
@@ -1,10 +1,11 @@
-//! What the tests of the module share: short ways to build events, and to feed a balancer.
+//! Helpers shared by the tests: short ways to build events and to feed them to a balancer.
 #![allow(dead_code)]
 
 pub mod fleet;
 
 use spurdrum_policy::*;
 
+/// A balancer with its clock.
 pub struct Node {
     pub balancer: Balancer,
     pub now: f64,
@@ -21,6 +22,7 @@
         actions
     }
 
+    /// Feeds the complete list of servers.
     pub fn servers(&mut self, entries: Vec<ServerEntry>) -> Vec<Action> {
         self.feed(Event::Servers(ListUpdate::Full(entries)))
     }
@@ -29,23 +31,25 @@
         self.feed(Event::Request(Request::new(RequestId(id), class, budget_ms)))
     }
 
-    /// Where a request is sent; it must be.
+    /// Feeds a request of class 0 and returns the server that it is sent to. Panics if it is not sent.
     pub fn sent_to(&mut self, id: u64) -> usize {
         let actions = self.request(id, 0, 800.0);
         send_of(&actions).unwrap_or_else(|| panic!("request {id} was not sent: {actions:?}"))
     }
 
+    /// Ends an attempt, without a load report.
     pub fn end(&mut self, id: u64, attempt: usize, elapsed_ms: f64, ending: Ending) -> Vec<Action> {
         self.report(id, attempt, elapsed_ms, ending, None)
     }
 
+    /// Ends an attempt, with the number in flight that the server reports.
     pub fn report(
         &mut self,
         id: u64,
         attempt: usize,
         elapsed_ms: f64,
         ending: Ending,
-        held: Option<f64>,
+        in_flight: Option<f64>,
     ) -> Vec<Action> {
         self.feed(Event::Outcome(Outcome {
             request: RequestId(id),
@@ -53,7 +57,7 @@
             elapsed_ms,
             ending,
             complete: ending == Ending::Served,
-            report: held.map(|n| LoadReport { in_flight: Some(n), queued: None }),
+            report: in_flight.map(|n| LoadReport { in_flight: Some(n), queued: None }),
         }))
     }
 }
--- a/crates/spurdrum-policy/tests/fleet.rs
+++ b/crates/spurdrum-policy/tests/fleet.rs
@@ -1,11 +1,12 @@
-//! What a hundred nodes that share nothing do together: every count is over all of them.
+//! What many nodes that do not communicate do together. Every figure is over all nodes.
 
 mod common;
 
-use common::fleet::{play, Plan, Restart, Server};
+use common::fleet::{simulate, Plan, Restart, Server};
 use spurdrum_policy::*;
 
-/// As the size days have it: keyed requests that one cell's servers may repeat, and probes that are dear.
+/// Settings as in the simulator's scenarios with many nodes: keyed requests that may be repeated within a
+/// cell, and expensive probes.
 fn settings() -> Settings {
     let mut settings =
         Settings::new(vec![Class::new(400.0, 800.0, Effect::Keyed { group: Group::Cell, window_ms: 500.0 })]);
@@ -14,11 +15,12 @@
     settings
 }
 
+/// A server of the larger kind.
 fn large(zone: usize) -> Server {
     Server { zone, workers: 2, service_ms: 36.0, errors: 0.0 }
 }
 
-/// A hundred nodes of three zones: their servers, requests a second, milliseconds and a seed.
+/// Returns a plan for a hundred nodes in three zones, with `rate` requests per second in all.
 fn plan(servers: Vec<Server>, rate: f64, length_ms: f64, seed: u64) -> Plan {
     Plan {
         servers,
@@ -29,66 +31,87 @@
         settings: settings(),
         seed,
         restart: Restart::default(),
-        queue_most: 0,
-        retries: 0,
-        busiest: 1.0,
+        max_queue: 0,
+        client_retries: 0,
+        busy_factor: 1.0,
     }
 }
 
-/// Size days herd+vast and join+vast: clients come to all zones alike, but one zone had a sixth of the servers. Nodes kept to
-/// their own zone until its best server was two and a half times slower than a far one: there q stood at 12 to 14 and answers
-/// took 150 to 560 ms, while far servers idled.
+/// Scenarios herd+vast and join+vast: all zones have the same traffic, but one zone has a sixth of the
+/// servers. Nodes used their own zone until its best server was two and a half times slower than one of
+/// another zone: its queues were 12 to 14 long and answers took 150 to 560 ms, while servers of other zones
+/// idled.
 #[test]
-fn a_zone_with_few_servers_sends_the_rest_of_its_work_away() {
+fn a_zone_with_few_servers_sends_excess_load_to_other_zones() {
     let zones = (0..36).map(|n| if n < 6 { 2 } else { n % 2 });
     let plan = plan(zones.map(large).collect(), 1200.0, 15_000.0, 1);
-    let out = play(plan);
-    let each = out.sent.iter().sum::<usize>() as f64 / 36.0;
-    let small = out.sent[..6].iter().sum::<usize>() as f64 / 6.0;
-    assert!(small <= 1.25 * each, "{small} to each of the few, {each} on the average");
-    assert!(out.in_time as f64 >= 0.97 * out.offered as f64, "{} of {}", out.in_time, out.offered);
-    assert_eq!(out.probes, 0);
+    let outcomes = simulate(plan);
+    let each = outcomes.sent.iter().sum::<usize>() as f64 / 36.0;
+    let small = outcomes.sent[..6].iter().sum::<usize>() as f64 / 6.0;
+    assert!(small <= 1.25 * each, "{small} to each server of the small zone, {each} on average");
+    assert!(
+        outcomes.in_time as f64 >= 0.97 * outcomes.offered as f64,
+        "{} of {}",
+        outcomes.in_time,
+        outcomes.offered
+    );
+    assert_eq!(outcomes.probes, 0);
 }
 
-/// Size day zone+vast: each node had sixteen servers and met most of them once a second, so what it knew of them was old, and
-/// those of a zone with few were in more slices than others. About a dozen nodes share each server, in zones of any size.
+/// Scenario zone+vast: each node used sixteen servers and sent to most of them once a second, so its counts
+/// were stale, and servers of a small zone were in more subsets than others. About a dozen nodes must share
+/// each server, in zones of any size.
 #[test]
-fn a_dozen_nodes_share_each_server_whatever_its_zone() {
-    for few in [18, 6, 2] {
-        let zones = (0..36).map(|n| if n < few { 2 } else { n % 2 });
+fn a_dozen_nodes_share_each_server_whatever_the_size_of_its_zone() {
+    for zone_size in [18, 6, 2] {
+        let zones = (0..36).map(|n| if n < zone_size { 2 } else { n % 2 });
         let plan = plan(zones.map(large).collect(), 1200.0, 5_000.0, 2);
-        let met = play(plan).met;
-        assert!(met.iter().sum::<usize>() <= 15 * met.len(), "{few} in a zone: {met:?}");
-        // Slices follow the nodes' own rates, so a server that a slice has left counts as met too.
-        assert!(met.iter().all(|nodes| (8..=26).contains(nodes)), "{few} in a zone: {met:?}");
+        let sending_nodes = simulate(plan).sending_nodes;
+        assert!(
+            sending_nodes.iter().sum::<usize>() <= 15 * sending_nodes.len(),
+            "{zone_size} in a zone: {sending_nodes:?}"
+        );
+        // Subsets are resized by the nodes' own rates, so a server that was in a subset only for a while
+        // counts, too.
+        assert!(
+            sending_nodes.iter().all(|nodes| (8..=26).contains(nodes)),
+            "{zone_size} in a zone: {sending_nodes:?}"
+        );
     }
 }
 
-/// Size day join+vast: one in five servers answered six in ten requests with an error. Three in a row took one out, at each node, for
-/// 0.8 s each time, and one success in between forgave all: they had more requests than sound ones.
+/// Scenario join+vast: one in five servers answered six in ten requests with an error. Each node ejected such
+/// a server only after three errors in a row, for 0.8 s each time, and a single success reset the count:
+/// these servers got more requests than healthy ones.
 #[test]
-fn servers_that_err_are_left_by_all_nodes_after_an_error_each() {
+fn each_node_ejects_a_faulty_server_after_one_error() {
     let mut servers: Vec<Server> = (0..36).map(|n| large(n % 3)).collect();
-    for ill in servers.iter_mut().step_by(6) {
-        ill.errors = 0.6;
+    for faulty in servers.iter_mut().step_by(6) {
+        faulty.errors = 0.6;
     }
     let plan = plan(servers, 1000.0, 20_000.0, 4);
-    let out = play(plan);
-    let failed: usize = out.failed.iter().sum();
-    assert!(failed * 27 <= out.offered, "{failed} errors of {} requests", out.offered);
-    assert!(out.in_time * 100 >= out.offered * 95, "{} of {} in time", out.in_time, out.offered);
+    let outcomes = simulate(plan);
+    let failed: usize = outcomes.failed.iter().sum();
+    assert!(failed * 27 <= outcomes.offered, "{failed} errors of {} requests", outcomes.offered);
+    assert!(
+        outcomes.in_time * 100 >= outcomes.offered * 95,
+        "{} of {} in time",
+        outcomes.in_time,
+        outcomes.offered
+    );
 }
 
-/// Settings of odd but legal sizes: a node starts, refuses while it knows no server, and serves once it does.
+/// With any valid number of nodes and servers, a node refuses while it knows no server and sends once it
+/// knows one.
 #[test]
 fn fleets_of_any_size_serve() {
     for nodes in [1, 2, 13, 1000] {
         for servers in [1, 2, 60] {
             for price in [0.0, 0.08] {
-                let mut all = Settings { nodes, node_index: nodes - 1, zone: 7, ..settings() };
-                (all.probe_price, all.cross_zone_price) = (price, price);
-                let mut node = common::Node::new(all, 3);
-                assert!(common::refused(&node.request(1, 0, 800.0)), "{nodes} nodes, nobody to send to");
+                let mut settings = Settings { nodes, node_index: nodes - 1, zone: 7, ..settings() };
+                (settings.probe_price, settings.cross_zone_price) = (price, price);
+                let mut node = common::Node::new(settings, 3);
+                assert!(common::refused(&node.request(1, 0, 800.0)), "{nodes} nodes, no server known");
                 node.servers(common::ready(0..servers));
                 let mut actions = node.request(2, 0, 800.0);
                 for action in actions.clone() {
@@ -102,15 +125,15 @@
                     "{nodes} nodes, {servers} servers, price {price}: {actions:?}"
                 );
                 node.servers(Vec::new());
-                assert!(common::refused(&node.request(3, 0, 800.0)), "{nodes} nodes, nobody is left");
+                assert!(common::refused(&node.request(3, 0, 800.0)), "{nodes} nodes, no server left");
             }
         }
     }
 }
 
-/// Servers of two kinds, one nearly three times as strong as the other, of which some restart while the rest has more than it can serve and
-/// clients that are refused come again.
-fn restarting(nodes: usize, load: f64, retries: usize, seed: u64) -> Plan {
+/// Returns a plan with servers of two kinds, one nearly three times as fast as the other. Some of them
+/// restart. `load` is the traffic relative to the capacity of all; refused clients retry.
+fn restarting(nodes: usize, load: f64, client_retries: usize, seed: u64) -> Plan {
     let count = [10, 30, 60][usize::from(nodes > 12) + usize::from(nodes > 100)];
     let kind = |n: usize| match n % 5 < 3 {
         true => Server { zone: n % 3, workers: 2, service_ms: 36.0, errors: 0.0 },
@@ -122,7 +145,7 @@
     (settings.slow_start_min_capacity, settings.slow_start_ms) = (0.3, 8_900.0);
     (settings.collapse_multiple, settings.collapse_after_ms) = (2.5, 3_000.0);
     (settings.max_retry_after_ms, settings.kinds) = (Some(400.0), 2);
-    let servers_anew = (0..count).filter(|n| n % 5 == 0 || n % 5 == 4).collect();
+    let restarted = (0..count).filter(|n| n % 5 == 0 || n % 5 == 4).collect();
     Plan {
         servers,
         nodes,
@@ -131,27 +154,37 @@
         length_ms: 15_000.0,
         settings,
         seed,
-        restart: Restart { servers: servers_anew, at_ms: 6_000.0, nodes: false },
-        queue_most: 25,
-        retries,
-        busiest: 1.0,
+        restart: Restart { servers: restarted, at_ms: 6_000.0, nodes: false },
+        max_queue: 25,
+        client_retries,
+        busy_factor: 1.0,
     }
 }
 
-/// Guess of the stricter acceptance, ruled out: that draws at each node add up over a cold server's budget where clients come again,
-/// nodes are young themselves and some have five times the traffic of others. Beyond the budget only chance is allowed.
+/// The random decisions of all nodes together must stay within what a server in slow start can take, also
+/// where clients retry, the nodes have just started themselves and some have five times the traffic of
+/// others. Only chance may exceed it.
 #[test]
-fn three_thirty_and_three_hundred_nodes_together_keep_within_a_cold_servers_budget() {
+fn three_thirty_and_three_hundred_nodes_together_keep_within_a_slow_start_servers_limit() {
     for nodes in [3, 30, 300] {
-        for (load, retries, young, busiest) in [(1.3, 3, true, 5.0), (0.6, 0, false, 1.0)] {
-            let mut plan = restarting(nodes, load, retries, 2);
-            (plan.restart.nodes, plan.busiest) = (young, busiest);
-            let out = play(plan.clone());
+        for (load, client_retries, restart_nodes, busy_factor) in [(1.3, 3, true, 5.0), (0.6, 0, false, 1.0)]
+        {
+            let mut plan = restarting(nodes, load, client_retries, 2);
+            (plan.restart.nodes, plan.busy_factor) = (restart_nodes, busy_factor);
+            let outcomes = simulate(plan.clone());
             let case = format!("{nodes} nodes, load {load}");
-            assert!(out.pressed(&plan) <= 1.0, "{case}: {}", out.pressed(&plan));
-            // None is left idle.
-            let to = |server| out.cold.iter().filter(|(at, _)| *at == server).count();
-            assert!(plan.restart.servers.iter().all(|server| to(*server) >= 20), "{case}: {:?}", out.sent);
+            assert!(
+                outcomes.max_slow_start_load(&plan) <= 1.0,
+                "{case}: {}",
+                outcomes.max_slow_start_load(&plan)
+            );
+            // No restarted server is left idle.
+            let sent_to = |server| outcomes.sent_after_restart.iter().filter(|(at, _)| *at == server).count();
+            assert!(
+                plan.restart.servers.iter().all(|server| sent_to(*server) >= 20),
+                "{case}: {:?}",
+                outcomes.sent
+            );
         }
     }
 }
--- a/crates/spurdrum-policy/tests/rules.rs
+++ b/crates/spurdrum-policy/tests/rules.rs
@@ -1,4 +1,5 @@
-//! The four rules at their edges, and on generated days against a checker of its own.
+//! Edge cases of the rules for retries, draining, slow start and refusals; and generated runs, which an
+//! independent checker verifies.
 
 mod common;
 use common::*;
@@ -7,13 +8,13 @@
 
 use spurdrum_policy::*;
 
-// ---- Edges
+// ---- Edge cases
 
 #[test]
-fn no_servers_still_gives_one_answer_at_once() {
+fn without_servers_each_request_gets_one_answer_at_once() {
     for effect in [Effect::Safe, Effect::Keyed { group: Group::Cell, window_ms: 500.0 }, Effect::Unsafe] {
         let mut node = Node::new(one_class(effect), 1);
-        assert!(refused(&node.request(1, 0, 100.0)), "nothing ran, so a refusal is true");
+        assert!(refused(&node.request(1, 0, 100.0)), "nothing ran, so a refusal is correct");
         node.servers(Vec::new());
         assert!(refused(&node.request(2, 0, 100.0)));
     }
@@ -26,29 +27,32 @@
     assert!(failed(&node.request(1, 7, 100.0)));
 }
 
-/// A refusal says when to come back, where clients are told: as long as answers take, up to what they heed.
+/// If the settings allow a retry-after time, a refusal has one: the time that answers take, up to the
+/// maximum.
 #[test]
-fn a_refusal_says_when_to_come_back() {
-    for (most, told) in [(None, None), (Some(400.0), Some(100.0)), (Some(30.0), Some(30.0))] {
+fn a_refusal_has_a_retry_after_time() {
+    for (max_retry_after_ms, expected) in [(None, None), (Some(400.0), Some(100.0)), (Some(30.0), Some(30.0))]
+    {
         let mut settings = one_class(Effect::Safe);
-        settings.max_retry_after_ms = most;
+        settings.max_retry_after_ms = max_retry_after_ms;
         let mut node = Node::new(settings, 1);
-        let refuse = Action::Refuse { request: RequestId(1), retry_after_ms: told };
+        let refuse = Action::Refuse { request: RequestId(1), retry_after_ms: expected };
         assert_eq!(node.request(1, 0, 800.0), [refuse]);
         node.servers(ready(0..2));
         node.sent_to(2);
         node.end(2, 0, 20.0, Ending::Served);
         node.servers(Vec::new());
-        let told = most.map(|_| 20.0);
-        let refuse = Action::Refuse { request: RequestId(3), retry_after_ms: told };
+        let expected = max_retry_after_ms.map(|_| 20.0);
+        let refuse = Action::Refuse { request: RequestId(3), retry_after_ms: expected };
         assert_eq!(node.request(3, 0, 800.0), [refuse]);
     }
 }
 
-/// An unsafe request is sent again only with proof that nothing ran, and otherwise not refused either.
+/// An unsafe request is sent again only if it certainly did not run. If it may have run, it fails and is not
+/// refused.
 #[test]
-fn unsafe_after_each_ending() {
-    for (ending, again) in [
+fn an_unsafe_request_after_each_ending() {
+    for (ending, retried) in [
         (Ending::Full, true),
         (Ending::Unreachable, true),
         (Ending::NotSent, true),
@@ -62,35 +66,35 @@
         node.sent_to(1);
         node.now += 5.0;
         let actions = node.end(1, 0, 5.0, ending);
-        assert_eq!(send_of(&actions).is_some(), again, "{ending:?}");
-        assert_eq!(failed(&actions), !again, "{ending:?}");
+        assert_eq!(send_of(&actions).is_some(), retried, "{ending:?}");
+        assert_eq!(failed(&actions), !retried, "{ending:?}");
         assert!(!refused(&actions), "{ending:?}");
     }
 }
 
 #[test]
-fn keyed_stays_in_its_cell_and_window() {
+fn a_keyed_request_stays_in_its_cell_and_window() {
     let settings = one_class(Effect::Keyed { group: Group::Cell, window_ms: 500.0 });
-    for (wait, again) in [(5.0, true), (399.0, true), (401.0, false), (600.0, false)] {
+    for (wait_ms, retried) in [(5.0, true), (399.0, true), (401.0, false), (600.0, false)] {
         for seed in 0..20 {
             let mut node = Node::new(settings.clone(), seed);
             let mut entries = ready(0..6);
             entries.iter_mut().enumerate().for_each(|(i, e)| e.cell = i / 2);
             node.servers(entries);
             let first = node.sent_to(1);
-            node.now += wait;
-            let actions = node.end(1, 0, wait, Ending::Error);
-            assert!(!refused(&actions), "a refusal would promise that nothing ran");
+            node.now += wait_ms;
+            let actions = node.end(1, 0, wait_ms, Ending::Error);
+            assert!(!refused(&actions), "a refusal would say that nothing ran");
             match send_of(&actions) {
-                Some(at) => assert!(again && at / 2 == first / 2, "{wait} ms: {first} then {at}"),
-                None => assert!(!again && failed(&actions), "{wait} ms"),
+                Some(next) => assert!(retried && next / 2 == first / 2, "{wait_ms} ms: {first} then {next}"),
+                None => assert!(!retried && failed(&actions), "{wait_ms} ms"),
             }
         }
     }
 }
 
 #[test]
-fn keyed_with_group_all_may_be_refused_after_it_ran() {
+fn a_keyed_request_of_group_all_may_be_refused_after_it_ran() {
     let mut settings = one_class(Effect::Keyed { group: Group::All, window_ms: 500.0 });
     settings.max_attempts = 1;
     let mut node = Node::new(settings, 1);
@@ -107,7 +111,7 @@
     node.sent_to(1);
     node.now += 800.0;
     assert!(failed(&node.end(1, 0, 800.0, Ending::TimedOut)));
-    assert!(node.end(1, 0, 801.0, Ending::Served).is_empty(), "an ending comes once");
+    assert!(node.end(1, 0, 801.0, Ending::Served).is_empty(), "an attempt ends once");
 }
 
 #[test]
@@ -122,7 +126,7 @@
 }
 
 #[test]
-fn drained_and_gone_servers_get_nothing_new() {
+fn draining_and_gone_servers_get_no_new_requests() {
     let mut node = Node::new(one_class(Effect::Safe), 1);
     node.servers(ready(0..3));
     let mut entry = ServerEntry::new(ServerId(0), Availability::Draining);
@@ -131,17 +135,16 @@
     entry.availability = Availability::Gone;
     node.feed(Event::Servers(ListUpdate::Changes(vec![entry])));
     assert!((0..20).all(|id| node.sent_to(id) == 2));
-    // A complete list without it removes the last one, too.
+    // A complete list without the last server removes it, too.
     node.servers(ready(3..4));
     assert!((20..40).all(|id| node.sent_to(id) == 3));
 }
 
-/// A cold server reports nothing queued and would draw everything; one node carrying most of the
-/// traffic must stay under the budget that all nodes share.
-/// A server that has gone is forgotten once nothing is out to it: what ends late finds nothing amiss, and a
-/// keyed request keeps to its cell though the server that may have run it is no longer known.
+/// A server that is gone is removed once no attempt is in flight there. Outcomes and reports that come later
+/// must be harmless, and a keyed request must stay in its cell though the server that may have run it is no
+/// longer known.
 #[test]
-fn what_ends_late_on_a_forgotten_server_does_no_harm() {
+fn late_outcomes_of_a_removed_server_are_harmless() {
     let cell = |i, cell| ServerEntry { cell, ..ServerEntry::new(ServerId(i), Availability::Ready) };
     let mut node = Node::new(one_class(Effect::Keyed { group: Group::Cell, window_ms: 500.0 }), 1);
     node.servers(vec![cell(0, 7)]);
@@ -157,8 +160,10 @@
     assert!(failed(&node.end(2, 1, 50.0, Ending::Reset)));
 }
 
+/// A server in slow start reports no queue and would attract all requests. A node with most of the traffic
+/// must stay within what all nodes together may send to it.
 #[test]
-fn a_cold_server_gets_no_more_than_its_budget() {
+fn a_server_in_slow_start_gets_no_more_than_its_limit() {
     let mut settings = one_class(Effect::Safe);
     settings.nodes = 3;
     settings.slow_start_min_capacity = 0.3;
@@ -167,41 +172,41 @@
     settings.collapse_after_ms = 3_000.0;
     let mut node = Node::new(settings, 1);
     node.servers(ready(0..10));
-    let mut at = BTreeMap::new();
-    let mut cold_sends = Vec::new();
+    let mut server_of = BTreeMap::new();
+    let mut slow_start_sends = Vec::new();
     for id in 0..3_000 {
         if id == 1_500 {
             let mut entries = ready(0..11);
             entries[10].started_at = Some(node.now);
             node.servers(entries);
         }
-        at.insert(id, node.sent_to(id));
-        if at[&id] == 10 {
-            cold_sends.push(node.now);
+        server_of.insert(id, node.sent_to(id));
+        if server_of[&id] == 10 {
+            slow_start_sends.push(node.now);
         }
         node.now += 4.0;
         if id >= 10 {
-            // Cold as it is, it answers fast and reports next to nothing held.
-            let cold = at[&(id - 10)] == 10;
-            let held = if cold { 0.1 * (id % 2) as f64 } else { (300 + id % 2) as f64 };
-            let elapsed = if cold { 10.0 } else { 40.0 };
-            node.report(id - 10, 0, elapsed, Ending::Served, Some(held));
+            // The server in slow start answers fast and reports almost no load.
+            let in_slow_start = server_of[&(id - 10)] == 10;
+            let in_flight = if in_slow_start { 0.1 * (id % 2) as f64 } else { (300 + id % 2) as f64 };
+            let elapsed = if in_slow_start { 10.0 } else { 40.0 };
+            node.report(id - 10, 0, elapsed, Ending::Served, Some(in_flight));
         }
     }
-    // The fleet serves 250 a second on ten servers; a cold one's capacity begins at 0.3 of a tenth.
+    // Ten servers serve 250 requests per second; the new server's capacity starts at 0.3 of a tenth of that.
     let start = 1_000.0 + 1_500.0 * 4.0;
     for window in 0..6 {
         let from = start + f64::from(window) * 500.0;
-        let sent = cold_sends.iter().filter(|t| (from..from + 3_000.0).contains(*t)).count() as f64;
+        let sent = slow_start_sends.iter().filter(|t| (from..from + 3_000.0).contains(*t)).count() as f64;
         let capacity = 25.0 * 3.0 * (0.3 + 0.7 * (from + 3_000.0 - start) / 9_000.0);
         assert!(sent < 2.5 * capacity, "{sent} in window {window}, capacity {capacity}");
     }
-    assert!(!cold_sends.is_empty(), "it gets some work");
+    assert!(!slow_start_sends.is_empty(), "it gets some requests");
 }
 
-/// A node that restarted has served nothing yet; what it knows of starts is in its list.
+/// A node that has just restarted knows only from its list which servers have just started.
 #[test]
-fn a_restarted_node_spares_cold_servers() {
+fn a_restarted_node_limits_requests_to_servers_in_slow_start() {
     let mut settings = one_class(Effect::Safe);
     (settings.slow_start_min_capacity, settings.slow_start_ms) = (0.3, 9_000.0);
     (settings.collapse_multiple, settings.collapse_after_ms) = (2.5, 3_000.0);
@@ -209,44 +214,48 @@
     let mut entries = ready(0..2);
     entries[1].started_at = Some(node.now - 100.0);
     node.feed(Event::Servers(ListUpdate::Cached(entries)));
-    let cold = (0..40).filter(|id| send_of(&node.request(*id, 0, 800.0)) == Some(1)).count();
-    // Had both all of their capacity, each would get twenty.
-    assert!(cold as f64 <= 2.5 * 0.3 * 20.0, "{cold} of 40");
+    let to_slow_start = (0..40).filter(|id| send_of(&node.request(*id, 0, 800.0)) == Some(1)).count();
+    // With full capacity, each server would get twenty.
+    assert!(to_slow_start as f64 <= 2.5 * 0.3 * 20.0, "{to_slow_start} of 40");
 }
 
-/// Incidents ie11f3d and ia94218: a floor of one send a node and window let hundreds of nodes push a cold
-/// server over together. What counts is the sum over the nodes.
+/// Incidents ie11f3d and ia94218: a minimum of one request per node and window let hundreds of nodes together
+/// overload a server in slow start until it collapsed. The limit must hold for the sum over all nodes.
 #[test]
-fn hundreds_of_nodes_together_spare_a_cold_server() {
+fn hundreds_of_nodes_together_limit_requests_to_a_server_in_slow_start() {
     let mut settings = one_class(Effect::Safe);
     (settings.nodes, settings.max_attempts) = (400, 1);
     (settings.slow_start_min_capacity, settings.slow_start_ms) = (0.2, 20_000.0);
     (settings.collapse_multiple, settings.collapse_after_ms) = (2.5, 1_500.0);
-    let (mut cold, mut sent) = (0, 0);
-    for me in 0..400 {
-        settings.node_index = me;
-        let mut node = Node::new(settings.clone(), me as u64);
+    let (mut to_slow_start, mut sent) = (0, 0);
+    for node_index in 0..400 {
+        settings.node_index = node_index;
+        let mut node = Node::new(settings.clone(), node_index as u64);
         let mut entries = ready(0..10);
         entries[7].started_at = Some(node.now);
         node.servers(entries);
         for id in 0..30 {
             node.now += 50.0;
-            let at = node.sent_to(id);
+            let server = node.sent_to(id);
             node.end(id, 0, 40.0, Ending::Served);
             sent += 1;
-            cold += usize::from(at == 7);
+            to_slow_start += usize::from(server == 7);
         }
     }
-    // A warm server gets a tenth of it all; the cold one holds a fifth of that and a little more.
+    // A warm server gets a tenth of all requests; the one in slow start can take a fifth of that and a little
+    // more.
     let fair = f64::from(sent) / 10.0;
-    assert!((cold as f64) < 2.5 * 0.2 * fair, "{cold} to the cold server, {fair} to a warm one");
-    assert!(cold > 0, "it gets some work");
+    assert!(
+        (to_slow_start as f64) < 2.5 * 0.2 * fair,
+        "{to_slow_start} in slow start, {fair} to a warm server"
+    );
+    assert!(to_slow_start > 0, "it gets some requests");
 }
 
-// ---- Following the list
+// ---- The list of servers
 
 #[test]
-fn it_subscribes_at_once_and_again_after_failures() {
+fn a_node_subscribes_at_once_and_again_after_failures() {
     let mut settings = one_class(Effect::Safe);
     settings.discovery = Discovery::Subscribe;
     settings.resubscribe_within_ms = 10_000.0;
@@ -257,37 +266,37 @@
     for call in 0..8 {
         let actions = node.feed(Event::Servers(ListUpdate::Failed));
         let notes = actions.iter().filter(|a| matches!(a, Action::Note(_))).count();
-        assert_eq!(notes, usize::from(call == 0), "the loss is noted once: {actions:?}");
+        assert_eq!(notes, usize::from(call == 0), "the loss is logged once: {actions:?}");
         let [.., Action::SetTimer { timer, after_ms }] = actions[..] else { panic!("{actions:?}") };
-        assert!(node.feed(Event::Servers(ListUpdate::Failed)).is_empty(), "one call at a time");
+        assert!(node.feed(Event::Servers(ListUpdate::Failed)).is_empty(), "one subscription call at a time");
         waits.push(after_ms);
         node.now += after_ms;
         assert_eq!(node.feed(Event::Timer(timer)), [Action::Subscribe]);
-        assert!(node.feed(Event::Timer(timer)).is_empty(), "a timer is used once");
+        assert!(node.feed(Event::Timer(timer)).is_empty(), "a timer takes effect once");
     }
     assert!(waits[0] < waits[4] && waits.iter().all(|w| *w <= 2_500.0), "{waits:?}");
     let list = || Event::Servers(ListUpdate::Full(ready(0..2)));
-    let noted = node.feed(list());
-    assert!(matches!(noted[..], [Action::Note(_)]), "and so is the end of it: {noted:?}");
+    let actions = node.feed(list());
+    assert!(matches!(actions[..], [Action::Note(_)]), "the recovery is logged: {actions:?}");
     assert!(node.feed(list()).is_empty(), "once");
 }
 
 // ---- Health
 
-/// A server that fails quickly reports a short queue and would draw more.
+/// A server that fails quickly reports a short queue, which would attract more requests.
 #[test]
-fn quick_failures_take_a_server_out_and_success_brings_it_back() {
+fn quick_failures_eject_a_server_and_a_success_restores_it() {
     let mut node = Node::new(one_class(Effect::Safe), 1);
     node.servers(ready(0..4));
-    let run = |node: &mut Node, from: u64, bad: bool| {
+    let run = |node: &mut Node, from: u64, failing: bool| {
         let mut sent = 0;
         for id in from..from + 400 {
-            let at = node.sent_to(id);
+            let server = node.sent_to(id);
             node.now += 10.0;
-            sent += usize::from(at == 0);
-            if bad && at == 0 {
-                let again = node.report(id, 0, 2.0, Ending::Error, Some(0.0));
-                let attempt = usize::from(send_of(&again).is_some());
+            sent += usize::from(server == 0);
+            if failing && server == 0 {
+                let retry = node.report(id, 0, 2.0, Ending::Error, Some(0.0));
+                let attempt = usize::from(send_of(&retry).is_some());
                 node.end(id, attempt, 30.0, Ending::Served);
             } else {
                 node.end(id, 0, 30.0, Ending::Served);
@@ -300,33 +309,33 @@
     run(&mut node, 2_000, false);
     node.now += 10_000.0;
     run(&mut node, 2_500, false);
-    assert!(run(&mut node, 3_000, false) > 50, "it never came back");
+    assert!(run(&mut node, 3_000, false) > 50, "it was never restored");
 }
 
-/// A server that takes requests and answers none has an ordinary count.
+/// A server that accepts requests and answers none has an ordinary count, but must not be used.
 #[test]
-fn a_silent_server_is_passed_over() {
+fn a_silent_server_is_avoided() {
     let mut node = Node::new(one_class(Effect::Safe), 1);
     node.servers(ready(0..4));
-    let mut hung = 0;
+    let mut unanswered = 0;
     for id in 0..600 {
-        let at = send_of(&node.request(id, 0, 800.0));
+        let server = send_of(&node.request(id, 0, 800.0));
         node.now += 10.0;
-        if id > 200 && at == Some(0) {
-            hung += 1;
-        } else if at.is_some() {
+        if id > 200 && server == Some(0) {
+            unanswered += 1;
+        } else if server.is_some() {
             node.report(id, 0, 30.0, Ending::Served, Some((1 + id % 3) as f64));
         }
     }
-    assert!(hung < 12, "{hung} requests went to a silent server");
+    assert!(unanswered < 12, "{unanswered} requests went to a silent server");
 }
 
-/// With everything failing there is nobody better: traffic must go on, and recover by itself.
-/// A server that falls silent costs requests their time; those that may be repeated are sent elsewhere.
+/// A server that falls silent delays its requests. Those that may be repeated are abandoned there and sent
+/// elsewhere.
 #[test]
-fn attempts_on_a_silent_server_are_cut_where_a_repeat_is_allowed() {
+fn attempts_at_a_silent_server_are_abandoned_where_a_retry_is_allowed() {
     let keyed = |window_ms| Effect::Keyed { group: Group::All, window_ms };
-    for (effect, heard, cut) in [
+    for (effect, answers, abandoned) in [
         (Effect::Safe, false, true),
         (keyed(5_000.0), false, true),
         (keyed(500.0), false, false),
@@ -336,41 +345,42 @@
         let mut node = Node::new(one_class(effect), 1);
         node.servers(ready(0..2));
         let ids = 1..=6;
-        let at: BTreeMap<u64, usize> = ids.clone().map(|id| (id, node.sent_to(id))).collect();
+        let server_of: BTreeMap<u64, usize> = ids.clone().map(|id| (id, node.sent_to(id))).collect();
         node.now += 20.0;
-        let silent: Vec<u64> = ids.clone().filter(|id| at[id] == 0).collect();
-        for id in ids.filter(|id| at[id] == 1 || heard && *id == silent[0]) {
+        let silent: Vec<u64> = ids.clone().filter(|id| server_of[id] == 0).collect();
+        for id in ids.filter(|id| server_of[id] == 1 || answers && *id == silent[0]) {
             node.end(id, 0, 20.0, Ending::Served);
         }
         node.now += 700.0;
-        // The timer of the third attempt there shows what became of the others, too.
+        // The timer of the third attempt there abandons the others, too.
         let actions = node.feed(Event::Timer(silent[2] + 1));
         for id in silent {
             let cancel = Action::Cancel { request: RequestId(id), attempt: 0 };
-            assert_eq!(actions.contains(&cancel), cut, "{effect:?} {heard}");
-            if !cut {
+            assert_eq!(actions.contains(&cancel), abandoned, "{effect:?}, answers {answers}");
+            if !abandoned {
                 continue;
             }
             assert_eq!(send_of(&node.end(id, 0, 720.0, Ending::Cancelled)), Some(1));
-            assert_eq!(node.feed(Event::Timer(id + 1)), [], "the second attempt has its own time");
+            assert_eq!(node.feed(Event::Timer(id + 1)), [], "the second attempt has its own timer");
         }
     }
 }
 
-/// A count that no server can have would keep its server out for good.
+/// A count that no server can have would exclude its server for good.
 #[test]
-fn an_absurd_report_changes_no_count() {
+fn an_implausible_report_changes_no_count() {
     let mut node = Node::new(one_class(Effect::Safe), 1);
     node.servers(ready(0..2));
     let mut sent = [0; 2];
     for id in 1..=40 {
-        let at = node.sent_to(id);
-        sent[at] += 1;
-        node.report(id, 0, 20.0, Ending::Served, Some(if at == 0 { 1e300 } else { f64::INFINITY }));
+        let server = node.sent_to(id);
+        sent[server] += 1;
+        node.report(id, 0, 20.0, Ending::Served, Some(if server == 0 { 1e300 } else { f64::INFINITY }));
     }
     assert_eq!(sent, [20, 20]);
 }
 
+/// With all servers failing there is no better one. Traffic must go on, and recover by itself.
 #[test]
 fn refusals_end_when_the_servers_recover() {
     let mut settings = one_class(Effect::Safe);
@@ -390,107 +400,110 @@
             last = (last.0 + usize::from(sent), last.1 + 1);
         }
     }
-    assert!(last.0 * 100 > last.1 * 95, "{last:?} sent long after the trouble");
+    assert!(last.0 * 100 > last.1 * 95, "{last:?} sent long after the fault");
 }
 
-/// With everything late, nodes try idle servers to learn when that ends. Many nodes must not try so
-/// often that the trials alone keep the servers crowded.
+/// When all answers are late, nodes send trial requests to idle servers to detect the recovery. Many nodes
+/// must not send so many that the trials alone keep the servers overloaded.
 #[test]
 fn trials_of_many_nodes_stay_few() {
     let mut settings = one_class(Effect::Safe);
     (settings.nodes, settings.max_attempts) = (16, 1);
     let mut node = Node::new(settings, 1);
     node.servers(ready(0..10));
-    let mut tried = 0;
+    let mut trials = 0;
     for id in 0..4_000 {
         let sent = send_of(&node.request(id, 0, 800.0)).is_some();
         node.now += 10.0;
         if sent {
             node.end(id, 0, 790.0, Ending::Served);
-            tried += u32::from(id >= 2_000);
+            trials += u32::from(id >= 2_000);
         }
     }
-    // Twenty seconds are fifty aims; sixteen nodes together may try each server some hundred times.
-    assert!((10..=10 * 2 * 50 / 16 * 3 / 2).contains(&tried), "{tried} trials");
+    // Twenty seconds are fifty latency objectives; sixteen nodes together may try each server about a hundred
+    // times.
+    assert!((10..=10 * 2 * 50 / 16 * 3 / 2).contains(&trials), "{trials} trials");
 }
 
-/// A node that sees little keeps few answers of each server: after a crowded start the slow ones must not be
-/// believed for long, or the node refuses what idle servers would take.
+/// A node with little traffic has few answers of each server. After an overload at the start, the slow
+/// answers must not count for long, or the node refuses what idle servers could take.
 #[test]
-fn a_crowded_start_is_soon_forgotten() {
+fn an_overload_at_the_start_is_soon_forgotten() {
     let mut settings = one_class(Effect::Safe);
     (settings.nodes, settings.max_attempts) = (12, 1);
     let mut node = Node::new(settings, 1);
     node.servers(ready(0..20));
-    let mut out = std::collections::VecDeque::new();
-    let (mut asked, mut refusals) = (0, 0);
+    let mut in_flight = std::collections::VecDeque::new();
+    let (mut offered, mut refusals) = (0, 0);
     for id in 0..620_u64 {
         node.now += 10.0;
-        let crowded = id < 120;
-        while out.front().is_some_and(|(_, _, end)| *end <= node.now) {
-            let (id, elapsed, _) = out.pop_front().expect("checked");
+        let overloaded = id < 120;
+        while in_flight.front().is_some_and(|(_, _, end)| *end <= node.now) {
+            let (id, elapsed, _) = in_flight.pop_front().expect("checked");
             node.end(id, 0, elapsed, Ending::Served);
         }
         let sent = send_of(&node.request(id, 0, 800.0)).is_some();
         if sent {
-            let elapsed = if crowded { 600.0 } else { 50.0 };
-            out.push_back((id, elapsed, node.now + elapsed));
+            let elapsed = if overloaded { 600.0 } else { 50.0 };
+            in_flight.push_back((id, elapsed, node.now + elapsed));
         }
-        // From two seconds after the crowd has gone, for three seconds.
+        // Counted from two seconds after the end of the overload, for three seconds.
         if (320..620).contains(&id) {
-            asked += 1;
+            offered += 1;
             refusals += u32::from(!sent);
         }
     }
-    assert!(refusals * 4 < asked, "{refusals} of {asked} refused by what was long past");
+    assert!(refusals * 4 < offered, "{refusals} of {offered} refused long after the overload");
 }
 
 // ---- Overload
 
-/// Incident i007987: where each of hundreds of nodes sees a few requests a second, a bound that is all or nothing
-/// makes them refuse all together, then none. Over the bound a node of many takes a part of what comes.
+/// Incident i007987: where each of hundreds of nodes gets a few requests per second, a hard bound makes all
+/// of them refuse everything at the same time, and then nothing. Over the bound, one of many nodes admits a
+/// part of its requests.
 #[test]
-fn a_node_of_many_takes_a_part_of_what_is_over_the_bound() {
+fn one_of_many_nodes_admits_a_part_of_the_requests_over_the_bound() {
     let mut settings = one_class(Effect::Safe);
     (settings.nodes, settings.max_attempts) = (400, 1);
     let mut node = Node::new(settings, 1);
     node.servers(ready(0..4));
     let mut sent = 0;
     for id in 0..400 {
-        let taken = send_of(&node.request(id, 0, 800.0)).is_some();
+        let admitted = send_of(&node.request(id, 0, 800.0)).is_some();
         node.now += 300.0;
-        if taken {
+        if admitted {
             node.end(id, 0, 300.0, Ending::Served);
         }
-        sent += usize::from(taken && id >= 100);
+        sent += usize::from(admitted && id >= 100);
     }
-    // 300 ms are expected where 180 are the bound: neither all 300 nor none.
+    // 300 ms are expected and the bound is 180: neither all 300 requests nor none are sent.
     assert!((60..240).contains(&sent), "{sent} of 300");
 }
 
-/// ktm-cards, calm+mass: answers take 45 ms of an aim of 90 where one request is at work, so a bound at a part of the aim refused a
-/// third of all requests before servers that had hardly a queue. Where they hold a long one the bound is as it was.
+/// Scenario ktm-cards, calm+mass: with a latency objective of 90 ms, answers took 45 ms where a single
+/// request was in work. A bound at a fraction of the objective then refused a third of all requests, though
+/// the servers had almost no queue. With a long queue the bound is as before.
 #[test]
-fn no_aim_is_too_short_for_servers_that_have_no_queue() {
+fn no_latency_objective_is_too_short_for_servers_without_a_queue() {
     let mut sent = [0, 0];
-    for (crowded, sent) in sent.iter_mut().enumerate() {
+    for (queued, sent) in sent.iter_mut().enumerate() {
         let mut settings = one_class(Effect::Safe);
         (settings.nodes, settings.max_attempts, settings.responses_carry_load) = (300, 1, true);
         (settings.classes[0].latency_objective_ms, settings.classes[0].late_value) = (90.0, 0.0);
         let mut node = Node::new(settings, 1);
         node.servers(ready(0..4));
-        let (held, elapsed) = if crowded == 1 { (9.0, 180.0) } else { (1.0, 45.0) };
+        let (in_flight, elapsed) = if queued == 1 { (9.0, 180.0) } else { (1.0, 45.0) };
         for id in 0..400 {
-            let taken = send_of(&node.request(id, 0, 400.0)).is_some();
+            let admitted = send_of(&node.request(id, 0, 400.0)).is_some();
             node.now += 200.0;
-            if taken {
-                node.report(id, 0, elapsed, Ending::Served, Some(held));
+            if admitted {
+                node.report(id, 0, elapsed, Ending::Served, Some(in_flight));
             }
-            *sent += usize::from(taken && id >= 100);
+            *sent += usize::from(admitted && id >= 100);
         }
     }
-    assert!(sent[0] >= 295, "{} of 300 taken where nothing waits", sent[0]);
-    assert!(sent[1] < 100, "{} of 300 taken where nine wait", sent[1]);
+    assert!(sent[0] >= 295, "{} of 300 admitted without a queue", sent[0]);
+    assert!(sent[1] < 100, "{} of 300 admitted with nine in flight", sent[1]);
 }
 
 #[test]
@@ -507,7 +520,7 @@
         let actions = node.feed(Event::Request(request));
         refusals[tenant] += usize::from(refused(&actions));
         node.now += 10.0;
-        // Two servers that each answer in 25 ms for every request they hold: near their limit.
+        // Each server answers in 25 ms for every request it has: both are near their capacity.
         if id >= 4 {
             node.end(id - 4, 0, 100.0 + (id % 7) as f64 * 20.0, Ending::Served);
         }
@@ -515,10 +528,11 @@
     assert!(refusals[1] > refusals[0], "{refusals:?}");
 }
 
-/// Incident ie11f3d: with hundreds of nodes a tenant's part at one node is under one request a second, and a
-/// bucket with no room for one request never held any: every tenant was beyond its quota everywhere.
+/// Incident ie11f3d: with hundreds of nodes, a tenant's part of its quota at one node is under one request
+/// per second. A token bucket smaller than one request never admits any, so every tenant was beyond its quota
+/// at every node.
 #[test]
-fn a_small_part_of_a_quota_is_still_a_quota() {
+fn a_quota_of_less_than_one_request_per_second_at_a_node_is_usable() {
     let mut settings = one_class(Effect::Safe);
     settings.nodes = 800;
     settings.quotas_per_s = vec![400.0, 40.0];
@@ -528,7 +542,8 @@
     node.servers(ready(0..4));
     let mut refusals = [0; 2];
     for id in 0..2_000_u64 {
-        // One request in two seconds of the first tenant is within its part, of the second it is not.
+        // One request in two seconds is within the first tenant's part of its quota, but not within the
+        // second's.
         let tenant = (id % 2) as usize;
         let request = Request { tenant, ..Request::new(RequestId(id), 0, 800.0) };
         refusals[tenant] += usize::from(refused(&node.feed(Event::Request(request))));
@@ -538,40 +553,40 @@
     assert!(refusals[0] < 20 && refusals[1] > 400, "{refusals:?}");
 }
 
-/// A class of low worth with a distant aim could wait long; it must not fill the queues in which a worthier
-/// class with a near aim would be late.
+/// A class of low value with a long latency objective could wait long. It must not fill the queues in which a
+/// class of higher value with a short objective would be late.
 #[test]
-fn low_worth_does_not_crowd_out_what_is_worth_more() {
-    let mut near = Class::new(200.0, 2_000.0, Effect::Safe);
-    near.value = 5.0;
-    let mut settings = Settings::new(vec![near, Class::new(4_000.0, 8_000.0, Effect::Safe)]);
+fn requests_of_low_value_do_not_crowd_out_those_of_higher_value() {
+    let mut valuable = Class::new(200.0, 2_000.0, Effect::Safe);
+    valuable.value = 5.0;
+    let mut settings = Settings::new(vec![valuable, Class::new(4_000.0, 8_000.0, Effect::Safe)]);
     settings.max_attempts = 1;
     let mut node = Node::new(settings, 1);
     node.servers(ready(0..2));
     let mut refusals = [0; 2];
-    let mut out = std::collections::VecDeque::new();
+    let mut in_flight = std::collections::VecDeque::new();
     for id in 0..4_000_u64 {
         let class = (id % 2) as usize;
         let sent = send_of(&node.request(id, class, 2_000.0)).is_some();
         if sent {
-            out.push_back((id, node.now));
+            in_flight.push_back((id, node.now));
         } else {
             refusals[class] += 1;
         }
         node.now += 10.0;
-        // One answer in 20 ms is half of what is asked for; answers wait for all that is before them.
+        // One answer in 20 ms serves half of the requests, in the order of sending.
         if id % 2 == 0 {
-            if let Some((id, since)) = out.pop_front() {
-                node.end(id, 0, node.now - since, Ending::Served);
+            if let Some((id, sent_at)) = in_flight.pop_front() {
+                node.end(id, 0, node.now - sent_at, Ending::Served);
             }
         }
     }
     assert!(refusals[1] > 2 * refusals[0], "{refusals:?}");
 }
 
-/// Guards against a class that is refused before an idle server because its first answer came at a bad moment.
+/// A class must not be refused at an idle server because its first answer happened to be slow.
 #[test]
-fn one_slow_answer_of_a_class_does_not_have_it_refused() {
+fn one_slow_answer_of_a_class_does_not_make_it_refused() {
     let class = || Class::new(1_000.0, 2_000.0, Effect::Unsafe);
     let mut node = Node::new(Settings::new(vec![class(), class()]), 1);
     node.servers(ready(0..1));
@@ -583,7 +598,7 @@
     assert!(send_of(&node.request(200, 1, 2_000.0)).is_some());
     node.now += 75.0;
     node.end(200, 0, 75.0, Ending::Served);
-    // Four are out: the next answer is expected in some 35 ms, of an aim of a second.
+    // Four are in flight: the next answer is expected in about 35 ms, with a latency objective of a second.
     for id in 201..205 {
         node.sent_to(id);
     }
@@ -591,21 +606,24 @@
     assert!(send_of(&actions).is_some(), "{actions:?}");
 }
 
-// ---- Generated days
+// ---- Generated runs
 
-/// Keeps the four rules' books from events and actions alone.
+/// Checks the rules from the events and actions alone, independently of the balancer's own state.
 struct Checker {
     settings: Settings,
-    requests: BTreeMap<u64, Entry>,
+    requests: BTreeMap<u64, CheckedRequest>,
     servers: BTreeMap<usize, ServerEntry>,
-    told_gone: BTreeMap<usize, f64>,
+    /// Time since which each server has been listed as draining or gone.
+    unavailable_since: BTreeMap<usize, f64>,
     grace_ms: f64,
 }
 
-struct Entry {
+struct CheckedRequest {
     class: usize,
     deadline: f64,
+    /// Of each attempt: its server, when it was sent, and how it ended.
     attempts: Vec<(usize, f64, Option<Ending>)>,
+    /// Whether the request needs no further answer.
     done: bool,
 }
 
@@ -614,21 +632,21 @@
         if complete {
             let named: Vec<usize> = entries.iter().map(|e| e.server.0).collect();
             for gone in self.servers.keys().filter(|s| !named.contains(s)) {
-                self.told_gone.entry(*gone).or_insert(now);
+                self.unavailable_since.entry(*gone).or_insert(now);
             }
         }
         for entry in entries {
             self.servers.insert(entry.server.0, entry.clone());
             if entry.availability == Availability::Ready {
-                self.told_gone.remove(&entry.server.0);
+                self.unavailable_since.remove(&entry.server.0);
             } else {
-                self.told_gone.entry(entry.server.0).or_insert(now);
+                self.unavailable_since.entry(entry.server.0).or_insert(now);
             }
         }
     }
 
-    /// Notes what an event says just before the module hears it.
-    fn learn(&mut self, event: &mut Event) {
+    /// Records an event just before it is fed to the balancer.
+    fn record(&mut self, event: &mut Event) {
         match event {
             Event::Outcome(outcome) => {
                 let entry = self.requests.get_mut(&outcome.request.0).expect("sent");
@@ -641,23 +659,24 @@
         }
     }
 
-    fn act(&mut self, now: f64, action: &Action) {
+    /// Asserts that an action is allowed, and records it.
+    fn check(&mut self, now: f64, action: &Action) {
         match action {
             Action::Send { request, server } => {
-                let gone = self.told_gone.get(&server.0);
-                assert!(gone.is_none_or(|t| now <= t + self.grace_ms), "sent to a drained server");
+                let since = self.unavailable_since.get(&server.0);
+                assert!(since.is_none_or(|t| now <= t + self.grace_ms), "sent to a draining or gone server");
                 let target = self.servers.get(&server.0).expect("a listed server");
                 let entry = self.requests.get_mut(&request.0).expect("a known request");
                 assert!(!entry.done, "sent after the final answer");
                 assert!(entry.attempts.len() < self.settings.max_attempts, "too many attempts");
-                assert!(entry.attempts.iter().all(|a| a.2.is_some()), "two attempts at once");
+                assert!(entry.attempts.iter().all(|a| a.2.is_some()), "two attempts in flight");
                 let ran = entry.attempts.iter().find(|a| a.2.is_none_or(Ending::may_have_run));
-                if let Some((first, at, _)) = ran {
+                if let Some((first, sent_at, _)) = ran {
                     match self.settings.classes[entry.class].effect {
                         Effect::Safe => {}
                         Effect::Unsafe => panic!("an unsafe request was sent twice"),
                         Effect::Keyed { group, window_ms } => {
-                            assert!(now - at < window_ms, "resent past its window");
+                            assert!(now - sent_at < window_ms, "sent again after its window");
                             let first = &self.servers[first];
                             assert!(match group {
                                 Group::All => true,
@@ -677,7 +696,7 @@
                 if matches!(action, Action::Refuse { .. }) && ran {
                     let effect = self.settings.classes[entry.class].effect;
                     let harmless = matches!(effect, Effect::Safe | Effect::Keyed { group: Group::All, .. });
-                    assert!(harmless, "a refusal that promises falsely");
+                    assert!(harmless, "a refusal though the request may have run");
                 }
             }
             Action::Cancel { request, attempt } => {
@@ -694,14 +713,16 @@
         }
     }
 
-    fn overdue(&self, now: f64) {
+    /// Asserts that no request is past its deadline without an answer.
+    fn check_deadlines(&self, now: f64) {
         let late = self.requests.iter().find(|(_, e)| !e.done && now > e.deadline + 20.0);
         assert!(late.is_none(), "request {:?} got no answer in time", late.map(|(id, _)| id));
     }
 }
 
-/// One legal day from a seed: lists that come and go, endings of every kind, clients that leave.
-fn generated_day(seed: u64) -> usize {
+/// Runs a random sequence of valid events from a seed: lists that change, endings of every kind, clients that
+/// leave. Returns the number of attempts sent.
+fn generated_run(seed: u64) -> usize {
     let mut random = fastrand::Rng::with_seed(seed);
     let groups = [Group::All, Group::Zone, Group::Cell];
     let mut settings = Settings::new(vec![
@@ -722,11 +743,11 @@
         settings: settings.clone(),
         requests: BTreeMap::new(),
         servers: BTreeMap::new(),
-        told_gone: BTreeMap::new(),
+        unavailable_since: BTreeMap::new(),
         grace_ms: 0.0,
     };
     let mut node = Node::new(settings, seed);
-    let mut out: Vec<(f64, u64, usize, Ending)> = Vec::new();
+    let mut in_flight: Vec<(f64, u64, usize, Ending)> = Vec::new();
     let mut sends = 0;
     let mut timers: Vec<(f64, u64)> = Vec::new();
     let mut probes: Vec<(f64, ServerId)> = Vec::new();
@@ -760,9 +781,9 @@
         if random.u32(..60) == 0 {
             events.push(Event::Servers(ListUpdate::Failed));
         }
-        out.sort_by(|a, b| a.0.total_cmp(&b.0));
-        while out.first().is_some_and(|o| o.0 <= now) {
-            let (_, id, attempt, ending) = out.remove(0);
+        in_flight.sort_by(|a, b| a.0.total_cmp(&b.0));
+        while in_flight.first().is_some_and(|a| a.0 <= now) {
+            let (_, id, attempt, ending) = in_flight.remove(0);
             let entry = checker.requests.get_mut(&id).expect("sent");
             let sent_at = entry.attempts[attempt].1;
             events.push(Event::Outcome(Outcome {
@@ -792,19 +813,19 @@
             events.push(Event::Probed { server, ending, report });
         }
         if random.u32(..40) == 0 && id > 20 {
-            let gone = id - 1 - random.u64(..20);
-            events.push(Event::ClientGone(RequestId(gone)));
+            let left = id - 1 - random.u64(..20);
+            events.push(Event::ClientGone(RequestId(left)));
         }
         let class = random.usize(..3);
         let budget = checker.settings.classes[class].deadline_ms * (0.3 + 0.7 * random.f64());
         checker
             .requests
-            .insert(id, Entry { class, deadline: now + budget, attempts: Vec::new(), done: false });
+            .insert(id, CheckedRequest { class, deadline: now + budget, attempts: Vec::new(), done: false });
         events.push(Event::Request(Request::new(RequestId(id), class, budget)));
         for mut event in events {
-            checker.learn(&mut event);
+            checker.record(&mut event);
             for action in node.feed(event) {
-                checker.act(now, &action);
+                checker.check(now, &action);
                 match action {
                     Action::Send { request, .. } => {
                         sends += 1;
@@ -825,7 +846,7 @@
                         } else {
                             (at, ending)
                         };
-                        out.push((at, request.0, entry.attempts.len() - 1, ending));
+                        in_flight.push((at, request.0, entry.attempts.len() - 1, ending));
                     }
                     Action::SetTimer { timer, after_ms } => timers.push((now + after_ms, timer)),
                     Action::Probe { server } => probes.push((now + random.f64() * 40.0, server)),
@@ -833,21 +854,21 @@
                 }
             }
         }
-        // The day moves in steps of up to 20 ms, which is the slack of the first rule.
-        checker.overdue(now - 20.0);
+        // Time moves in steps of up to 20 ms, which is how late an answer may be.
+        checker.check_deadlines(now - 20.0);
     }
     sends
 }
 
 #[test]
-fn generated_days_break_no_rule() {
-    let sends: usize = (0..72).map(generated_day).sum();
+fn generated_runs_break_no_rule() {
+    let sends: usize = (0..72).map(generated_run).sum();
     assert!(sends > 20_000, "{sends} sends are too few to mean much");
 }
 
-/// Events about things never heard of must not disturb anything.
+/// Events about unknown requests, servers and timers must have no effect.
 #[test]
-fn unknown_ids_are_passed_over() {
+fn unknown_ids_are_ignored() {
     let mut node = Node::new(one_class(Effect::Safe), 1);
     node.servers(ready(0..2));
     assert!(node.end(77, 0, 5.0, Ending::Served).is_empty());
@@ -861,12 +882,12 @@
     assert!(node.end(1, 9, 5.0, Ending::Error).is_empty(), "an attempt that was never made");
 }
 
-/// Where a way swallows answers, a request is not left to wait for one that most likely never comes; where answers that
-/// take long do come, nothing is sent twice; and no server is held to be ill for it.
+/// Where the network loses answers, a request must not wait for an answer that most likely never comes. Where
+/// slow answers do come, nothing may be sent twice. And lost answers must not eject a server.
 #[test]
-fn a_lost_answer_is_given_up_where_most_that_stood_so_long_never_came() {
+fn an_attempt_is_abandoned_where_most_answers_overtaken_for_so_long_never_came() {
     let keyed = |window_ms| Effect::Keyed { group: Group::All, window_ms };
-    for (effect, lost, cut) in [
+    for (effect, lost, abandoned) in [
         (Effect::Safe, true, true),
         (keyed(500.0), true, true),
         (keyed(60.0), true, false),
@@ -875,9 +896,9 @@
     ] {
         let mut node = Node::new(one_class(effect), 7);
         node.servers(ready(0..2));
-        let (mut id, mut cuts, mut out) = (0, 0, Vec::new());
+        let (mut id, mut abandoned_count, mut slow) = (0, 0, Vec::new());
         for round in 0..400 {
-            // One in ten stays out; all others are answered in 20 ms.
+            // One in ten stays unanswered; all others are answered in 20 ms.
             for n in 0..10 {
                 id += 1;
                 let actions = node.request(id, 0, 800.0);
@@ -887,56 +908,57 @@
                         Action::SetTimer { timer, after_ms } if *timer == id + 1 => Some(node.now + after_ms),
                         _ => None,
                     });
-                    out.push((id, node.now, timer));
+                    slow.push((id, node.now, timer));
                 } else {
                     node.now += 2.0;
                     node.end(id, 0, 20.0, Ending::Served);
                 }
             }
-            for (id, sent_at, timer) in std::mem::take(&mut out) {
+            for (id, sent_at, timer) in std::mem::take(&mut slow) {
                 let elapsed = node.now - sent_at;
-                let timed = timer.is_some_and(|at| at <= node.now);
-                if timed
+                let fired = timer.is_some_and(|at| at <= node.now);
+                if fired
                     && node
                         .feed(Event::Timer(id + 1))
                         .contains(&Action::Cancel { request: RequestId(id), attempt: 0 })
                 {
-                    cuts += 1;
+                    abandoned_count += 1;
                     assert!(
                         send_of(&node.end(id, 0, elapsed, Ending::Cancelled)).is_some(),
-                        "it goes on at once"
+                        "it is retried at once"
                     );
                     node.end(id, 1, 20.0, Ending::Served);
                 } else if elapsed >= 750.0 {
                     let ending = if lost { Ending::TimedOut } else { Ending::Served };
                     let actions = node.end(id, 0, elapsed, ending);
-                    let taken_out = actions.iter().any(|a| matches!(a, Action::Ejected { .. }));
-                    assert!(!taken_out || round < 60, "a server is not ill for what its way loses");
+                    let ejected = actions.iter().any(|a| matches!(a, Action::Ejected { .. }));
+                    assert!(!ejected || round < 60, "a server was ejected for lost answers");
                 } else {
-                    out.push((id, sent_at, timer.filter(|_| !timed)));
+                    slow.push((id, sent_at, timer.filter(|_| !fired)));
                 }
             }
         }
-        assert_eq!(cuts > 250, cut, "{effect:?}, lost {lost}: {cuts}");
-        assert!(cut || cuts == 0, "{effect:?}, lost {lost}: {cuts}");
+        assert_eq!(abandoned_count > 250, abandoned, "{effect:?}, lost {lost}: {abandoned_count}");
+        assert!(abandoned || abandoned_count == 0, "{effect:?}, lost {lost}: {abandoned_count}");
     }
 }
 
-/// A count rises with each send and falls by a report alone: a server that failed for two seconds kept what had been sent to it
-/// meanwhile, was above all others from then on, and never got anything again.
+/// A count rises with each attempt and falls only by a report. A server that failed for two seconds kept the
+/// count of what was sent to it meanwhile, which was then the highest, and never got a request again.
 #[test]
 fn a_server_that_failed_for_a_while_is_not_left_idle() {
-    for (nodes, lost) in [(1, 99), (12, 99), (12, 2), (300, 99), (300, 2)] {
+    for (nodes, max_failures) in [(1, 99), (12, 99), (12, 2), (300, 99), (300, 2)] {
         let mut settings = one_class(Effect::Safe);
         (settings.nodes, settings.probe_price) = (nodes, 1.0);
         let mut node = Node::new(settings, 4);
         node.servers(ready(0..3));
         let mut failures = 0;
-        let mut back = [0; 3];
+        let mut sent_later = [0; 3];
         for id in 0..1_000 {
             let Some(mut server) = send_of(&node.request(id, 0, 800.0)) else { continue };
             let mut attempt = 0;
-            while server == 1 && (2_000.0..4_000.0).contains(&(node.now - 1_000.0)) && failures < lost {
+            while server == 1 && (2_000.0..4_000.0).contains(&(node.now - 1_000.0)) && failures < max_failures
+            {
                 failures += 1;
                 let Some(next) = send_of(&node.end(id, attempt, 1.0, Ending::Unreachable)) else { break };
                 (server, attempt) = (next, attempt + 1);
@@ -944,9 +966,12 @@
             node.now += 20.0;
             node.report(id, attempt, 20.0, Ending::Served, Some(2.0));
             if node.now > 12_000.0 {
-                back[server] += 1;
+                sent_later[server] += 1;
             }
         }
-        assert!(failures > 0 && back[1] > back[0] / 3, "{nodes} nodes, {failures} failures: {back:?}");
+        assert!(
+            failures > 0 && sent_later[1] > sent_later[0] / 3,
+            "{nodes} nodes, {failures} failures: {sent_later:?}"
+        );
     }
 }
