--- a/crates/spurdrum-keeper/src/hand.rs
+++ b/crates/spurdrum-keeper/src/hand.rs
@@ -1,50 +1,51 @@
-//! What the keeper of a node does next. No clock, no I/O.
+//! The state machine of a node's supervisor. It has no clock and does no I/O.
 //!
-//! A node has two slots; a process runs in one, and the one that takes over from it starts in the other. What has been told
-//! lasts: each step is written to the disk before it is begun and when it has ended, and nothing is answered before it is
-//! written. Which processes run is never read from the record but looked up.
+//! A node has two slots: its process runs in one of them, and the process that takes over from it is started in
+//! the other. Requests are durable: a step is written to the record on the disk before it begins and when it has
+//! ended, and no request that changes the record is answered before the record is written. Which processes run is
+//! never taken from the record; the shell finds them by searching.
 
 use serde::{Deserialize, Serialize};
 use spurdrum_rollout::orders::{Generation, Status, StepResult, SupervisorRequest};
 use spurdrum_rollout::version::{ApplyMethod, Change, Version};
 
-/// A place for a process.
+/// One of the two places in which a process of the node can run: 0 or 1.
 pub type Slot = usize;
 
-/// A process that keeps ending is started so often before the keeper goes back to the good version.
+/// Number of consecutive crashes after which the supervisor falls back to the good version.
 const MAX_CRASHES: u32 = 3;
 
-/// What lasts.
+/// The durable state of a supervisor.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Record {
-    /// Who directs.
+    /// The newest generation that has claimed the node.
     pub generation: Option<Generation>,
-    /// What runs, or is to run.
+    /// The version that runs, or is to be started.
     pub runs: Option<Version>,
-    /// What the keeper goes back to by itself.
+    /// The version that the supervisor falls back to on its own.
     pub good: Option<Version>,
     /// The step that is under way.
     pub step: Option<Step>,
-    /// The last one that ended.
+    /// The result of the last step.
     pub last: Option<StepResult>,
-    /// Processes that ended by themselves.
+    /// Number of times that a process exited without the supervisor's doing.
     pub crashes: u64,
-    /// It went back by itself since the last step.
+    /// Whether the supervisor has fallen back to the good version on its own since the last step.
     pub fell_back: bool,
 }
 
-/// A step.
+/// A step that a rollout controller requested.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Step {
-    /// Whose.
+    /// The generation of the controller.
     pub generation: Generation,
-    /// Which.
+    /// The number of the step within this generation.
     pub step: u64,
-    /// What is to run.
+    /// The version to run, and how to apply it.
     pub change: Change,
-    /// Whether it takes a change back.
+    /// Whether the step rolls a change back.
     pub back: bool,
-    /// What ran before it.
+    /// The version that ran before the step.
     pub from: Option<Version>,
 }
 
@@ -72,7 +73,8 @@
     RecordWritten,
     /// The record could not be written, for this reason.
     RecordWriteFailed(String),
-    /// The files of the step's version are present and intact, and the program accepts the settings; or the reason why not.
+    /// The files of the step's version are present and intact, and the program accepts the settings; or the
+    /// reason why not.
     Fetched(Result<(), String>),
     /// The process has loaded its new settings; or it rejected them and keeps its old ones, or could not be signalled.
     Reloaded(Result<(), String>),
@@ -113,87 +115,90 @@
     Note(String),
 }
 
-/// Where a step is.
+/// The phase of the current step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum At {
+enum Phase {
     /// No step is under way.
-    Rest,
-    /// Files are fetched and checked.
+    Idle,
+    /// The files are being fetched and checked.
     Fetching,
-    /// A process starts in this slot.
+    /// The new process is starting in this slot.
     Starting(Slot),
-    /// The old process in this slot was told to end.
-    Ending(Slot),
-    /// The process reads its settings.
+    /// The old process in this slot was told to terminate.
+    Terminating(Slot),
+    /// The process is loading the new settings.
     Reloading,
-    /// The process reads its old settings again, for a step that was cut off.
-    Undoing,
+    /// The process is loading its old settings again, because a reload was interrupted by a restart of the supervisor.
+    RevertingReload,
 }
 
-/// What goes on once the record is written.
+/// What follows once the record is written.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Then {
-    Answer,
-    Begin,
-    /// The new process is ready, in this slot, and is what runs.
-    Succeed(Slot),
-    Rest,
+enum AfterWrite {
+    /// Accept the request.
+    Reply,
+    /// Accept the step and begin it.
+    BeginStep,
+    /// The new process in this slot is ready and becomes the serving one.
+    Promote(Slot),
+    /// Delete the files that are no longer needed.
+    Prune,
 }
 
-/// The decisions of a keeper.
+/// The decisions of a supervisor.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Supervisor {
     record: Record,
-    /// What the record is to be once it is written, and what follows.
-    writing: Option<(Record, Then)>,
-    at: At,
-    /// The process that serves: its slot.
-    serves: Option<Slot>,
-    /// Whether it says that it can.
+    /// The record that is being written, and what follows.
+    pending_write: Option<(Record, AfterWrite)>,
+    phase: Phase,
+    /// The slot of the serving process.
+    serving: Option<Slot>,
+    /// Whether the serving process reports that it is ready.
     ready: bool,
-    /// Ends in a row.
     consecutive_crashes: u32,
 }
 
 impl Supervisor {
-    /// With what the disk has; nothing where it has nothing that can be believed. `first` is what runs on a machine that was
-    /// never told anything.
+    /// Creates a supervisor with the record from the disk, or none if there is no intact one. `initial` is the
+    /// version to run on a machine that no controller has ever directed.
     #[must_use]
-    pub fn new(record: Option<Record>, first: Version) -> Self {
-        let none = || Record { runs: Some(first.clone()), good: Some(first.clone()), ..Record::default() };
+    pub fn new(record: Option<Record>, initial: Version) -> Self {
+        let empty =
+            || Record { runs: Some(initial.clone()), good: Some(initial.clone()), ..Record::default() };
         Self {
-            record: record.unwrap_or_else(none),
-            writing: None,
-            at: At::Rest,
-            serves: None,
+            record: record.unwrap_or_else(empty),
+            pending_write: None,
+            phase: Phase::Idle,
+            serving: None,
             ready: false,
             consecutive_crashes: 0,
         }
     }
 
-    /// What lasts.
+    /// The durable state.
     #[must_use]
     pub fn record(&self) -> &Record {
         &self.record
     }
 
-    /// The slot of the process that serves.
+    /// The slot of the serving process.
     #[must_use]
     pub fn serving_slot(&self) -> Option<Slot> {
-        self.serves
+        self.serving
     }
 
-    /// Ends in a row of a process that should run: for how long to rest before it is started again.
+    /// Number of consecutive crashes; the delay before the next start depends on it.
     #[must_use]
     pub fn consecutive_crashes(&self) -> u32 {
         self.consecutive_crashes
     }
 
-    /// The slot of a process that is to become ready.
+    /// The slot of a process that has been started by the current step and is not ready yet.
     #[must_use]
     pub fn starting_slot(&self) -> Option<Slot> {
-        match self.at {
-            At::Starting(slot) => Some(slot),
+        match self.phase {
+            Phase::Starting(slot) => Some(slot),
             _ => None,
         }
     }
@@ -204,7 +209,7 @@
         self.record.step.is_some()
     }
 
-    /// What a conductor is told; its figures are the shell's to add.
+    /// Returns the answer to a controller. The shell adds the statistics.
     #[must_use]
     pub fn status(&self, name: &str, refused: Option<String>) -> Status {
         let record = &self.record;
@@ -215,7 +220,7 @@
             last: record.last.clone(),
             runs: record.runs.clone(),
             good: record.good.clone(),
-            ready: self.serves.is_some() && self.ready,
+            ready: self.serving.is_some() && self.ready,
             crashes: record.crashes,
             fell_back: record.fell_back,
             refused,
@@ -223,156 +228,158 @@
         }
     }
 
-    /// Handles what happened.
+    /// Handles an event and appends the resulting actions.
     pub fn handle(&mut self, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::ProcessesFound(processes) => self.found(&processes, actions),
-            Event::Request(order) => self.told(order, actions),
-            Event::RecordWritten => self.written(actions),
-            Event::RecordWriteFailed(why) => self.unwritten(why, actions),
-            Event::Fetched(Ok(())) if self.at == At::Fetching => self.fetched(actions),
-            Event::Fetched(Err(why)) if self.at == At::Fetching => self.finish(Err(why), actions),
-            Event::Reloaded(done) if self.at == At::Reloading => self.finish(done, actions),
-            Event::Reloaded(_) if self.at == At::Undoing => {
-                self.cut_off(actions);
+            Event::ProcessesFound(processes) => self.on_processes_found(&processes, actions),
+            Event::Request(request) => self.on_request(request, actions),
+            Event::RecordWritten => self.on_record_written(actions),
+            Event::RecordWriteFailed(why) => self.on_record_write_failed(why, actions),
+            Event::Fetched(Ok(())) if self.phase == Phase::Fetching => self.on_fetched(actions),
+            Event::Fetched(Err(why)) if self.phase == Phase::Fetching => self.finish(Err(why), actions),
+            Event::Reloaded(result) if self.phase == Phase::Reloading => self.finish(result, actions),
+            Event::Reloaded(_) if self.phase == Phase::RevertingReload => {
+                self.finish_interrupted(actions);
             }
-            Event::Ready(slot) => self.came_up(slot, actions),
-            Event::NotReady(slot) => self.ready &= self.serves != Some(slot),
-            Event::Exited(slot) => self.gone(slot, actions),
-            Event::Timer(timer) => self.timer(timer, actions),
+            Event::Ready(slot) => self.on_ready(slot, actions),
+            Event::NotReady(slot) => self.ready &= self.serving != Some(slot),
+            Event::Exited(slot) => self.on_exited(slot, actions),
+            Event::Timer(timer) => self.on_timer(timer, actions),
             Event::Fetched(_) | Event::Reloaded(_) => {}
         }
     }
 
-    fn write(&mut self, record: Record, then: Then, actions: &mut Vec<Action>) {
+    fn write(&mut self, record: Record, then: AfterWrite, actions: &mut Vec<Action>) {
         actions.push(Action::WriteRecord(Box::new(record.clone())));
-        self.writing = Some((record, then));
+        self.pending_write = Some((record, then));
     }
 
-    // ---- What conductors say
+    // ---- Requests of controllers
 
-    fn told(&mut self, order: SupervisorRequest, actions: &mut Vec<Action>) {
+    fn on_request(&mut self, request: SupervisorRequest, actions: &mut Vec<Action>) {
         let refuse = |why: &str| Action::Reply(Some(why.to_owned()));
-        let ours = self.record.generation;
-        match order {
+        let current = self.record.generation;
+        match request {
             SupervisorRequest::GetStatus => actions.push(Action::Reply(None)),
-            SupervisorRequest::Claim(generation) if ours == Some(generation) => {
+            SupervisorRequest::Claim(generation) if current == Some(generation) => {
                 actions.push(Action::Reply(None))
             }
-            SupervisorRequest::Claim(generation) if ours.is_some_and(|ours| generation < ours) => {
+            SupervisorRequest::Claim(generation) if current.is_some_and(|current| generation < current) => {
                 actions.push(refuse("a newer conductor directs"));
             }
             SupervisorRequest::Claim(generation) => {
                 let record = Record { generation: Some(generation), ..self.record.clone() };
-                self.write(record, Then::Answer, actions);
+                self.write(record, AfterWrite::Reply, actions);
             }
             SupervisorRequest::ExecuteStep { generation, .. }
             | SupervisorRequest::MarkGood { generation, .. }
-                if ours != Some(generation) =>
+                if current != Some(generation) =>
             {
                 actions.push(refuse("another conductor directs"));
             }
             SupervisorRequest::ExecuteStep { generation, step, change, back } => {
-                let same = |(of, done): (Generation, u64)| of == generation && done >= step;
+                let covers = |(of, done): (Generation, u64)| of == generation && done >= step;
                 let last = self.record.last.as_ref().map(|last| (last.generation, last.step));
                 let under_way = self.record.step.as_ref().map(|step| (step.generation, step.step));
-                if last.is_some_and(same) || under_way == Some((generation, step)) {
-                    // It was heard before.
+                if last.is_some_and(covers) || under_way == Some((generation, step)) {
+                    // This step was received before.
                     return actions.push(Action::Reply(None));
                 }
                 if under_way.is_some() {
-                    return actions.push(refuse("it is at another step"));
+                    return actions.push(refuse("another step is under way"));
                 }
-                if self.serves.is_none() && !back {
-                    return actions.push(refuse("no process runs that could be replaced"));
+                if self.serving.is_none() && !back {
+                    return actions.push(refuse("no process is running that could be replaced"));
                 }
-                if self.at != At::Rest {
-                    return actions.push(refuse("a process of before still ends"));
+                if self.phase != Phase::Idle {
+                    return actions.push(refuse("the process of an earlier step has not exited yet"));
                 }
                 let from = self.record.runs.clone();
                 let step = Some(Step { generation, step, change, back, from });
-                self.write(Record { step, ..self.record.clone() }, Then::Begin, actions);
+                self.write(Record { step, ..self.record.clone() }, AfterWrite::BeginStep, actions);
             }
             SupervisorRequest::MarkGood { version, .. } => {
                 if self.record.runs.as_ref() != Some(&version) || self.is_busy() {
-                    return actions.push(refuse("that does not run"));
+                    return actions.push(refuse("that version is not running"));
                 }
                 let record = Record { good: Some(version), ..self.record.clone() };
-                self.write(record, Then::Answer, actions);
+                self.write(record, AfterWrite::Reply, actions);
             }
         }
     }
 
-    fn written(&mut self, actions: &mut Vec<Action>) {
-        let Some((record, then)) = self.writing.take() else { return };
+    fn on_record_written(&mut self, actions: &mut Vec<Action>) {
+        let Some((record, then)) = self.pending_write.take() else { return };
         self.record = record;
         match then {
-            Then::Answer => actions.push(Action::Reply(None)),
-            Then::Begin => {
+            AfterWrite::Reply => actions.push(Action::Reply(None)),
+            AfterWrite::BeginStep => {
                 actions.push(Action::Reply(None));
-                self.at = At::Fetching;
+                self.phase = Phase::Fetching;
                 if let Some(step) = &self.record.step {
                     actions.push(Action::Fetch(step.change.clone()));
                 }
             }
-            Then::Succeed(slot) => {
-                let old = self.serves.replace(slot).filter(|old| *old != slot);
+            AfterWrite::Promote(slot) => {
+                let old = self.serving.replace(slot).filter(|old| *old != slot);
                 self.ready = true;
                 match old {
                     Some(old) => {
-                        self.at = At::Ending(old);
+                        self.phase = Phase::Terminating(old);
                         actions.push(Action::Terminate(old));
                         actions.push(Action::SetTimer(Timer::TerminateTimeout));
                     }
                     None => self.finish(Ok(()), actions),
                 }
             }
-            Then::Rest => {
+            AfterWrite::Prune => {
                 let record = &self.record;
-                let kept = [&record.runs, &record.good].into_iter().flatten().cloned().collect();
-                actions.push(Action::Prune(kept));
+                let needed = [&record.runs, &record.good].into_iter().flatten().cloned().collect();
+                actions.push(Action::Prune(needed));
             }
         }
     }
 
-    /// The disk takes nothing: what was to be done is not, and what is known stays as the disk has it.
-    fn unwritten(&mut self, why: String, actions: &mut Vec<Action>) {
-        let Some((record, then)) = self.writing.take() else { return };
+    /// Handles a record that could not be written: the change that depended on it is not made, and the state
+    /// stays as it is on the disk.
+    fn on_record_write_failed(&mut self, why: String, actions: &mut Vec<Action>) {
+        let Some((record, then)) = self.pending_write.take() else { return };
         let why = format!("the keeper's record cannot be written: {why}");
         actions.push(Action::Note(why.clone()));
         match then {
-            Then::Answer | Then::Begin => actions.push(Action::Reply(Some(why))),
-            // The process that was there serves on.
-            Then::Succeed(slot) if self.serves.is_some() => {
+            AfterWrite::Reply | AfterWrite::BeginStep => actions.push(Action::Reply(Some(why))),
+            // The old process continues to serve.
+            AfterWrite::Promote(slot) if self.serving.is_some() => {
                 actions.push(Action::Kill(slot));
                 self.finish(Err(why), actions);
             }
-            // There is none but this one.
-            Then::Succeed(slot) => {
-                (self.serves, self.ready) = (Some(slot), true);
+            // There is no process but the new one, so it serves even though this is not on the disk.
+            AfterWrite::Promote(slot) => {
+                (self.serving, self.ready) = (Some(slot), true);
                 self.record = record;
                 self.finish(Ok(()), actions);
             }
-            // It has happened, whatever the disk says: the keeper that comes next finds the processes as they are.
-            Then::Rest => self.record = record,
+            // The step has ended, whatever the disk says. After a restart, the supervisor finds the processes as
+            // they are.
+            AfterWrite::Prune => self.record = record,
         }
     }
 
-    // ---- A step
+    // ---- Steps
 
-    fn fetched(&mut self, actions: &mut Vec<Action>) {
+    fn on_fetched(&mut self, actions: &mut Vec<Action>) {
         let Some(step) = self.record.step.clone() else { return };
         let version = step.change.version;
-        let same = self.record.runs.as_ref().is_some_and(|runs| runs.program == version.program);
-        match self.serves {
+        let same_program = self.record.runs.as_ref().is_some_and(|runs| runs.program == version.program);
+        match self.serving {
             Some(_) if self.record.runs.as_ref() == Some(&version) => self.finish(Ok(()), actions),
-            Some(slot) if step.change.how == ApplyMethod::Reload && same && self.ready => {
-                self.at = At::Reloading;
+            Some(slot) if step.change.how == ApplyMethod::Reload && same_program && self.ready => {
+                self.phase = Phase::Reloading;
                 actions.push(Action::Reload(slot, version));
             }
-            serves => {
-                let slot = serves.map_or(0, |slot| 1 - slot);
-                self.at = At::Starting(slot);
+            serving => {
+                let slot = serving.map_or(0, |slot| 1 - slot);
+                self.phase = Phase::Starting(slot);
                 actions.push(Action::CancelTimer(Timer::RestartDelay));
                 actions.push(Action::Start(slot, version));
                 actions.push(Action::SetTimer(Timer::ReadyTimeout));
@@ -380,17 +387,18 @@
         }
     }
 
-    /// The keeper that began the step has died: it is undone, and may be told again.
-    fn cut_off(&mut self, actions: &mut Vec<Action>) {
-        self.end(Err("the keeper was started again in the middle of it".into()), true, actions);
+    /// Ends a step that an earlier run of the supervisor began and that has been undone. The controller may
+    /// request it again.
+    fn finish_interrupted(&mut self, actions: &mut Vec<Action>) {
+        self.end_step(Err("the keeper was restarted during the step".into()), true, actions);
     }
 
     fn finish(&mut self, result: Result<(), String>, actions: &mut Vec<Action>) {
-        self.end(result, false, actions);
+        self.end_step(result, false, actions);
     }
 
-    fn end(&mut self, result: Result<(), String>, interrupted: bool, actions: &mut Vec<Action>) {
-        self.at = At::Rest;
+    fn end_step(&mut self, result: Result<(), String>, interrupted: bool, actions: &mut Vec<Action>) {
+        self.phase = Phase::Idle;
         for timer in [Timer::ReadyTimeout, Timer::TerminateTimeout] {
             actions.push(Action::CancelTimer(timer));
         }
@@ -398,7 +406,7 @@
         let Some(step) = record.step.take() else { return };
         let reverted = step.from.filter(|_| step.back && result.is_ok());
         if result.is_ok() {
-            // A step that replaces has written it already: what runs is what the step wanted.
+            // A step that replaced the process has already recorded its version when the new process became ready.
             record.runs = Some(step.change.version);
             record.fell_back = false;
         }
@@ -409,102 +417,104 @@
             failed: result.err(),
             interrupted,
         });
-        if self.serves.is_some() {
+        if self.serving.is_some() {
             self.consecutive_crashes = 0;
             actions.push(Action::SetTimer(Timer::Stable));
         } else if record.last.as_ref().is_some_and(|last| last.failed.is_some()) {
             actions.push(Action::SetTimer(Timer::RestartDelay));
         }
-        self.write(record, Then::Rest, actions);
+        self.write(record, AfterWrite::Prune, actions);
     }
 
     // ---- Processes
 
-    fn came_up(&mut self, slot: Slot, actions: &mut Vec<Action>) {
-        if self.at == At::Starting(slot) {
+    fn on_ready(&mut self, slot: Slot, actions: &mut Vec<Action>) {
+        if self.phase == Phase::Starting(slot) {
             let Some(step) = &self.record.step else { return };
             let version = step.change.version.clone();
             actions.push(Action::CancelTimer(Timer::ReadyTimeout));
             let record = Record { runs: Some(version), ..self.record.clone() };
-            self.write(record, Then::Succeed(slot), actions);
-        } else if self.serves == Some(slot) && !std::mem::replace(&mut self.ready, true) {
+            self.write(record, AfterWrite::Promote(slot), actions);
+        } else if self.serving == Some(slot) && !std::mem::replace(&mut self.ready, true) {
             actions.push(Action::SetTimer(Timer::Stable));
         }
     }
 
-    fn gone(&mut self, slot: Slot, actions: &mut Vec<Action>) {
-        match self.at {
-            At::Starting(new) if new == slot => {
-                return self.finish(Err("the new process ended before it could serve".into()), actions);
+    fn on_exited(&mut self, slot: Slot, actions: &mut Vec<Action>) {
+        match self.phase {
+            Phase::Starting(new) if new == slot => {
+                return self.finish(Err("the new process exited before it was ready".into()), actions);
             }
-            At::Ending(old) if old == slot => return self.finish(Ok(()), actions),
+            Phase::Terminating(old) if old == slot => return self.finish(Ok(()), actions),
             _ => {}
         }
-        if self.serves != Some(slot) {
+        if self.serving != Some(slot) {
             return;
         }
-        (self.serves, self.ready) = (None, false);
+        (self.serving, self.ready) = (None, false);
         self.consecutive_crashes += 1;
         self.record.crashes += 1;
         actions.push(Action::CancelTimer(Timer::Stable));
-        match self.at {
-            // The one that starts takes its place.
-            At::Starting(_) => {}
-            At::Reloading | At::Undoing => {
-                self.finish(Err("the process ended when it was to read its settings".into()), actions);
+        match self.phase {
+            // The process that is starting will take its place.
+            Phase::Starting(_) => {}
+            Phase::Reloading | Phase::RevertingReload => {
+                self.finish(Err("the process exited during the reload of its settings".into()), actions);
             }
             _ => actions.push(Action::SetTimer(Timer::RestartDelay)),
         }
     }
 
-    fn timer(&mut self, timer: Timer, actions: &mut Vec<Action>) {
-        match (timer, self.at) {
-            (Timer::ReadyTimeout, At::Starting(slot)) => {
+    fn on_timer(&mut self, timer: Timer, actions: &mut Vec<Action>) {
+        match (timer, self.phase) {
+            (Timer::ReadyTimeout, Phase::Starting(slot)) => {
                 actions.push(Action::Kill(slot));
-                self.finish(Err("the new process was not ready in its time".into()), actions);
+                self.finish(Err("the new process was not ready in time".into()), actions);
             }
-            (Timer::TerminateTimeout, At::Ending(slot)) => actions.push(Action::Kill(slot)),
-            (Timer::RestartDelay, _) if self.serves.is_none() => self.restart(actions),
+            (Timer::TerminateTimeout, Phase::Terminating(slot)) => actions.push(Action::Kill(slot)),
+            (Timer::RestartDelay, _) if self.serving.is_none() => self.restart(actions),
             (Timer::Stable, _) if self.ready => self.consecutive_crashes = 0,
             _ => {}
         }
     }
 
-    /// Starts what ran, or what is good where that keeps ending.
+    /// Starts the version that ran, or the good version if that one keeps crashing.
     fn restart(&mut self, actions: &mut Vec<Action>) {
         let good = self.record.good.clone().filter(|good| self.record.runs.as_ref() != Some(good));
         if let Some(good) = good.filter(|_| self.consecutive_crashes >= MAX_CRASHES && !self.is_busy()) {
-            actions.push(Action::Note("the process keeps ending: going back to the good version".into()));
+            actions.push(Action::Note("the process keeps crashing: falling back to the good version".into()));
             self.consecutive_crashes = 0;
             (self.record.runs, self.record.fell_back) = (Some(good), true);
-            self.write(self.record.clone(), Then::Rest, actions);
+            self.write(self.record.clone(), AfterWrite::Prune, actions);
         }
         let Some(version) = self.record.runs.clone() else { return };
-        (self.serves, self.ready) = (Some(0), false);
+        (self.serving, self.ready) = (Some(0), false);
         actions.push(Action::Start(0, version));
     }
 
-    /// This one serves; another that runs is told to end. Whether there is one.
+    /// Takes the process in this slot as the serving one and tells another one, if any, to terminate. Returns
+    /// whether there is another one.
     fn adopt(&mut self, slot: Slot, processes: &[(Slot, Version)], actions: &mut Vec<Action>) -> bool {
-        (self.serves, self.ready) = (Some(slot), false);
+        (self.serving, self.ready) = (Some(slot), false);
         let other = processes.iter().map(|(other, _)| *other).find(|other| *other != slot);
         if let Some(other) = other {
-            self.at = At::Ending(other);
+            self.phase = Phase::Terminating(other);
             actions.push(Action::Terminate(other));
             actions.push(Action::SetTimer(Timer::TerminateTimeout));
         }
         other.is_some()
     }
 
-    /// The keeper begins, and finds what runs.
-    fn found(&mut self, processes: &[(Slot, Version)], actions: &mut Vec<Action>) {
-        let wanted = self.record.step.clone();
-        let of =
+    /// Handles the start of the supervisor, given the processes that already run.
+    fn on_processes_found(&mut self, processes: &[(Slot, Version)], actions: &mut Vec<Action>) {
+        let step = self.record.step.clone();
+        let slot_of =
             |version: &Version| processes.iter().find(|(_, runs)| runs == version).map(|(slot, _)| *slot);
-        let new = wanted.as_ref().and_then(|step| of(&step.change.version));
-        let old = self.record.runs.as_ref().and_then(of);
-        match (&wanted, new, old) {
-            // It had become what runs before the keeper ended, or there is no other: the step is done but for the old one.
+        let new = step.as_ref().and_then(|step| slot_of(&step.change.version));
+        let old = self.record.runs.as_ref().and_then(slot_of);
+        match (&step, new, old) {
+            // The new process was promoted before the supervisor died, or is the only one. What is left of the
+            // step is to terminate the old process.
             (Some(step), Some(new), old)
                 if old.is_none() || self.record.runs.as_ref() == Some(&step.change.version) =>
             {
@@ -513,36 +523,38 @@
                     self.finish(Ok(()), actions);
                 }
             }
-            // Both run, and the new one was not known to be ready: it had better not be.
+            // Both run, and the new process was not known to be ready. The step is undone: the old process
+            // continues to serve.
             (Some(_), Some(new), Some(old)) => {
-                (self.serves, self.ready) = (Some(old), false);
+                (self.serving, self.ready) = (Some(old), false);
                 actions.push(Action::Kill(new));
-                self.cut_off(actions);
+                self.finish_interrupted(actions);
             }
             (Some(step), None, Some(old)) => {
-                (self.serves, self.ready) = (Some(old), false);
+                (self.serving, self.ready) = (Some(old), false);
                 let version = self.record.runs.clone();
                 match version.filter(|_| step.change.how == ApplyMethod::Reload) {
                     Some(version) => {
-                        self.at = At::Undoing;
+                        self.phase = Phase::RevertingReload;
                         actions.push(Action::Reload(old, version));
                     }
                     None => {
-                        self.cut_off(actions);
+                        self.finish_interrupted(actions);
                     }
                 }
             }
             (None, _, Some(old)) => drop(self.adopt(old, processes, actions)),
-            // What runs is not what should: it serves until it is told what else. Only the record is wrong.
+            // The running version is not the recorded one. It continues to serve until a controller requests
+            // another one; the record is corrected.
             (None, _, None) if !processes.is_empty() => {
                 let (slot, version) = processes[0].clone();
                 self.adopt(slot, processes, actions);
                 let record = Record { runs: Some(version), ..self.record.clone() };
-                self.write(record, Then::Rest, actions);
+                self.write(record, AfterWrite::Prune, actions);
             }
             _ => {
-                if wanted.is_some() {
-                    self.cut_off(actions);
+                if step.is_some() {
+                    self.finish_interrupted(actions);
                 }
                 actions.push(Action::SetTimer(Timer::RestartDelay));
             }
--- a/crates/spurdrum-keeper/src/host.rs
+++ b/crates/spurdrum-keeper/src/host.rs
@@ -1,4 +1,4 @@
-//! Files by their content, and processes of this machine.
+//! The files of programs and settings, stored by their content hash, and the node's processes on this machine.
 
 use std::fs::{self, File};
 use std::io::{self, Write};
@@ -16,214 +16,219 @@
 use crate::hand::Slot;
 use crate::record::write_atomically;
 
-/// A program has so long to say whether it takes a file.
-const CHECK_MOST: Duration = Duration::from_secs(10);
-/// How often is looked whether it has.
-const LOOK: Duration = Duration::from_millis(10);
-/// Lines of a program's complaint that are told on.
-const SAID_MOST: usize = 400;
+/// Time that a program has to check a settings file.
+const CHECK_TIMEOUT: Duration = Duration::from_secs(10);
+/// Interval at which the end of a process is polled, and delay between attempts to start one.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Maximum number of characters of a program's error message that are reported.
+const MAX_MESSAGE_CHARS: usize = 400;
 
-/// The keeper's folder.
+/// The supervisor's folder on this machine.
 ///
-/// `programs/HASH` and `settings/HASH` hold what was fetched, by content; `run/SLOT.toml` is the file of the process in a slot
-/// and `run/SLOT.json` says which version it is of; `sockets` is where the processes meet for a handover; `node.log` is theirs.
+/// `programs/HASH` and `settings/HASH` hold the stored files, named by their content hash. `run/SLOT.toml` is the
+/// settings file of the process in a slot, and `run/SLOT.json` states its version. The processes meet in
+/// `sockets` for a handover, and `node.log` is their log.
 #[derive(Clone, Debug)]
 pub struct Host {
     folder: PathBuf,
-    own: PathBuf,
-    ops: [SocketAddr; 2],
+    node_settings: PathBuf,
+    admin_addresses: [SocketAddr; 2],
 }
 
-/// A process that was found or started.
+/// A process of the node, found or started.
 #[derive(Debug)]
 pub struct Process {
     pid: i32,
-    /// When it was started, as the system counts: a number is given out again.
-    born: u64,
-    /// It is this keeper's own child.
+    /// Start time in clock ticks since the system booted. Tells the process from a later one to which the system
+    /// gives the same pid.
+    started_at: u64,
+    /// Set if the process is a child of this supervisor.
     child: Option<Child>,
 }
 
+/// The content of `run/SLOT.json`.
 #[derive(Serialize, Deserialize)]
-struct Runs {
+struct RunningVersion {
     version: Version,
 }
 
 impl Host {
-    /// In this folder, which is made where it is not there.
+    /// Creates the folder and its subfolders if they do not exist.
     ///
     /// # Errors
     ///
-    /// It cannot be made.
-    pub fn new(folder: &Path, own: &Path, ops: [SocketAddr; 2]) -> io::Result<Self> {
-        for part in ["programs", "settings", "run", "sockets"] {
-            fs::create_dir_all(folder.join(part))?;
+    /// A folder cannot be created.
+    pub fn new(folder: &Path, node_settings: &Path, admin_addresses: [SocketAddr; 2]) -> io::Result<Self> {
+        for subfolder in ["programs", "settings", "run", "sockets"] {
+            fs::create_dir_all(folder.join(subfolder))?;
         }
-        Ok(Self { folder: folder.to_owned(), own: own.to_owned(), ops })
+        Ok(Self { folder: folder.to_owned(), node_settings: node_settings.to_owned(), admin_addresses })
     }
 
-    fn program(&self, hash: &Hash) -> PathBuf {
+    fn program_path(&self, hash: &Hash) -> PathBuf {
         self.folder.join("programs").join(hash.text())
     }
 
-    fn settings(&self, hash: &Hash) -> PathBuf {
+    fn settings_path(&self, hash: &Hash) -> PathBuf {
         self.folder.join("settings").join(hash.text())
     }
 
-    fn run(&self, slot: Slot, kind: &str) -> PathBuf {
-        self.folder.join("run").join(format!("{slot}.{kind}"))
+    fn run_path(&self, slot: Slot, extension: &str) -> PathBuf {
+        self.folder.join("run").join(format!("{slot}.{extension}"))
     }
 
-    /// Takes in what runs first: its version.
+    /// Stores the files of the initial version and returns it.
     ///
     /// # Errors
     ///
-    /// A file cannot be read or kept.
+    /// A file cannot be read or stored.
     pub fn import_initial_version(&self, program: &Path, settings: &Path) -> Result<Version, String> {
         let hash = |path: &Path| Hash::of_file(path).map_err(|error| format!("{}: {error}", path.display()));
         let version = Version { program: hash(program)?, settings: hash(settings)? };
-        self.have(&self.program(&version.program), &version.program, Some(program))?;
-        self.have(&self.settings(&version.settings), &version.settings, Some(settings))?;
+        self.store_file(&self.program_path(&version.program), &version.program, Some(program))?;
+        self.store_file(&self.settings_path(&version.settings), &version.settings, Some(settings))?;
         Ok(version)
     }
 
-    /// Has the files of a change there, by their content, and asks the program whether it takes the settings. What was
-    /// fetched earlier counts only while its content is what its name says.
+    /// Stores the files of a change, unless they are stored already, and has the program check the settings. A
+    /// stored file is used only if its content still matches its name.
     ///
     /// # Errors
     ///
-    /// Says what is not there, is not what it should be, or why the program turns the settings down.
+    /// A file is missing or has another content, or the program rejects the settings; the error says which and why.
     pub fn fetch(&self, change: &Change) -> Result<(), String> {
         let Version { program, settings } = &change.version;
-        self.have(&self.program(program), program, change.program.as_deref())?;
-        self.have(&self.settings(settings), settings, change.settings.as_deref())?;
+        self.store_file(&self.program_path(program), program, change.program.as_deref())?;
+        self.store_file(&self.settings_path(settings), settings, change.settings.as_deref())?;
         self.check(&change.version)
     }
 
-    fn have(&self, place: &Path, hash: &Hash, from: Option<&Path>) -> Result<(), String> {
-        // The hash names a file: nothing else may.
+    fn store_file(&self, target: &Path, hash: &Hash, source: Option<&Path>) -> Result<(), String> {
+        // The hash becomes a file name, so no other text may pass.
         if !hash.is_well_formed() {
-            return Err("a version is not told by 64 hexadecimal digits".into());
+            return Err("a hash of the version is not 64 hexadecimal digits".into());
         }
-        if Hash::of_file(place).is_ok_and(|found| found == *hash) {
+        if Hash::of_file(target).is_ok_and(|found| found == *hash) {
             return Ok(());
         }
-        let from = from.ok_or_else(|| format!("what has the content {hash} is not here any more"))?;
-        let shown = from.display();
-        let bytes = fs::read(from).map_err(|error| format!("{shown}: {error}"))?;
+        let source =
+            source.ok_or_else(|| format!("the file with the content {hash} is not here any more"))?;
+        let shown = source.display();
+        let bytes = fs::read(source).map_err(|error| format!("{shown}: {error}"))?;
         if Hash::of(&bytes) != *hash {
-            return Err(format!("{shown} has not the content {hash}"));
+            return Err(format!("{shown} does not have the content {hash}"));
         }
-        let kept = write_atomically(place, &bytes)
-            .and_then(|()| fs::set_permissions(place, fs::Permissions::from_mode(0o755)));
-        kept.map_err(|error| format!("{}: {error}", place.display()))
+        let stored = write_atomically(target, &bytes)
+            .and_then(|()| fs::set_permissions(target, fs::Permissions::from_mode(0o755)));
+        stored.map_err(|error| format!("{}: {error}", target.display()))
     }
 
-    /// The file of a process: the node's own part, and what all share behind it.
-    fn file(&self, version: &Version) -> Result<Vec<u8>, String> {
+    /// Returns the settings file of a process: the node's own part, followed by the settings that all nodes share.
+    fn settings_file(&self, version: &Version) -> Result<Vec<u8>, String> {
         let read = |path: &Path| fs::read(path).map_err(|error| format!("{}: {error}", path.display()));
-        let mut file = read(&self.own)?;
-        file.push(b'\n');
-        file.extend(read(&self.settings(&version.settings))?);
-        Ok(file)
+        let mut content = read(&self.node_settings)?;
+        content.push(b'\n');
+        content.extend(read(&self.settings_path(&version.settings))?);
+        Ok(content)
     }
 
     fn check(&self, version: &Version) -> Result<(), String> {
         let path = self.folder.join("run").join("check.toml");
-        written(&path, &self.file(version)?)?;
-        let mut command = Command::new(self.program(&version.program));
+        write_file(&path, &self.settings_file(version)?)?;
+        let mut command = Command::new(self.program_path(&version.program));
         command.arg("check").arg(&path).stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
         let mut check =
             spawn(&mut command).map_err(|error| format!("the program does not start: {error}"))?;
-        let since = Instant::now();
-        let ended = loop {
+        let started = Instant::now();
+        let exit_status = loop {
             match check.try_wait() {
                 Ok(Some(status)) => break status,
-                Ok(None) if since.elapsed() < CHECK_MOST => std::thread::sleep(LOOK),
+                Ok(None) if started.elapsed() < CHECK_TIMEOUT => std::thread::sleep(POLL_INTERVAL),
                 _ => {
                     let _ = (check.kill(), check.wait());
-                    return Err("the program does not say whether it takes the settings".into());
+                    return Err("the program did not finish its check of the settings in time".into());
                 }
             }
         };
-        let mut said = String::new();
-        if let Some(mut from) = check.stderr.take() {
-            // What it says is for people: nothing hangs on it.
-            let _ = io::Read::read_to_string(&mut from, &mut said);
+        let mut message = String::new();
+        if let Some(mut stderr) = check.stderr.take() {
+            // The message is for operators only, so a read error is ignored.
+            let _ = io::Read::read_to_string(&mut stderr, &mut message);
         }
-        match ended.success() {
+        match exit_status.success() {
             true => Ok(()),
-            false => Err(format!("the program turns the settings down: {}", line(&said))),
+            false => Err(format!("the program turns the settings down: {}", first_line(&message))),
         }
     }
 
-    /// Processes of this node that run, by their slots.
+    /// Returns the running processes of this node and their slots and versions.
     #[must_use]
     pub fn find_processes(&self) -> Vec<(Slot, Version, Process)> {
         let mut found = Vec::new();
         for slot in 0..2 {
-            let path = self.run(slot, "toml");
-            let told = fs::read(self.run(slot, "json")).ok();
-            let Some(runs) = told.and_then(|json| serde_json::from_slice::<Runs>(&json).ok()) else {
+            let path = self.run_path(slot, "toml");
+            let json = fs::read(self.run_path(slot, "json")).ok();
+            let Some(running) = json.and_then(|json| serde_json::from_slice::<RunningVersion>(&json).ok())
+            else {
                 continue;
             };
-            if let Some(process) = process_of(&path) {
-                found.push((slot, runs.version, process));
+            if let Some(process) = find_process(&path) {
+                found.push((slot, running.version, process));
             }
         }
         found
     }
 
-    /// Starts a process of a version in a slot. What runs there still is ended first.
+    /// Starts a process of a version in a slot. A process that still runs there is killed first.
     ///
     /// # Errors
     ///
-    /// Says why it cannot be started.
+    /// The process cannot be started.
     pub fn start(&self, slot: Slot, version: &Version) -> Result<Process, String> {
-        if let Some(mut left) = process_of(&self.run(slot, "toml")) {
-            left.kill();
-            left.wait(CHECK_MOST);
+        if let Some(mut leftover) = find_process(&self.run_path(slot, "toml")) {
+            leftover.kill();
+            leftover.wait(CHECK_TIMEOUT);
         }
         self.write_settings(slot, version)?;
         self.write_version(slot, version)?;
-        let path = self.run(slot, "toml");
+        let path = self.run_path(slot, "toml");
         let log = self.folder.join("node.log");
-        let to = File::options().create(true).append(true).open(&log);
-        let to = to.map_err(|error| format!("{}: {error}", log.display()))?;
-        let mut command = Command::new(self.program(&version.program));
-        command.arg("--config").arg(&path).arg("--ops").arg(self.ops[slot].to_string());
+        let stderr = File::options().create(true).append(true).open(&log);
+        let stderr = stderr.map_err(|error| format!("{}: {error}", log.display()))?;
+        let mut command = Command::new(self.program_path(&version.program));
+        command.arg("--config").arg(&path).arg("--ops").arg(self.admin_addresses[slot].to_string());
         command.env("TMPDIR", self.folder.join("sockets"));
-        command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(to);
-        // It outlives its keeper, also one that is interrupted at a terminal.
+        command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(stderr);
+        // In a process group of its own the node survives when its supervisor is interrupted at a terminal.
         command.process_group(0);
         let child = spawn(&mut command).map_err(|error| format!("the program does not start: {error}"))?;
         let pid = child.id().cast_signed();
-        let born = stat(pid).map_or(0, |(_, born)| born);
-        Ok(Process { pid, born, child: Some(child) })
+        let started_at = stat(pid).map_or(0, |(_, started_at)| started_at);
+        Ok(Process { pid, started_at, child: Some(child) })
     }
 
-    /// Gives the process in a slot a file: it reads it when it starts, or when it is told to.
+    /// Writes the settings file of a slot, which its process reads when it starts or is told to reload.
     ///
     /// # Errors
     ///
-    /// It cannot be written.
+    /// The file cannot be written.
     pub fn write_settings(&self, slot: Slot, version: &Version) -> Result<(), String> {
-        written(&self.run(slot, "toml"), &self.file(version)?)
+        write_file(&self.run_path(slot, "toml"), &self.settings_file(version)?)
     }
 
-    /// Notes which version the process in a slot is of.
+    /// Writes down the version of the process in a slot.
     ///
     /// # Errors
     ///
-    /// It cannot be written.
+    /// The file cannot be written.
     pub fn write_version(&self, slot: Slot, version: &Version) -> Result<(), String> {
-        let runs = serde_json::to_vec(&Runs { version: version.clone() }).unwrap_or_default();
-        written(&self.run(slot, "json"), &runs)
+        let json = serde_json::to_vec(&RunningVersion { version: version.clone() }).unwrap_or_default();
+        write_file(&self.run_path(slot, "json"), &json)
     }
 
-    /// Keeps only the files of these versions.
+    /// Deletes the stored files of all versions but these.
     pub fn prune(&self, versions: &[Version]) {
-        let kept = |folder: &str, name: &str| {
+        let is_needed = |folder: &str, name: &str| {
             versions.iter().any(|version| match folder {
                 "programs" => version.program.text() == name,
                 _ => version.settings.text() == name,
@@ -232,81 +237,84 @@
         for folder in ["programs", "settings"] {
             let Ok(entries) = fs::read_dir(self.folder.join(folder)) else { continue };
             for entry in entries.flatten() {
-                if !kept(folder, &entry.file_name().to_string_lossy()) {
-                    // What stays costs a few megabytes.
+                if !is_needed(folder, &entry.file_name().to_string_lossy()) {
+                    // A file that cannot be deleted costs only a few megabytes.
                     let _ = fs::remove_file(entry.path());
                 }
             }
         }
     }
 
-    /// Where the process in a slot answers operators.
+    /// The admin address of the process in a slot.
     #[must_use]
     pub fn admin_address(&self, slot: Slot) -> SocketAddr {
-        self.ops[slot]
+        self.admin_addresses[slot]
     }
 }
 
-fn written(path: &Path, bytes: &[u8]) -> Result<(), String> {
+fn write_file(path: &Path, bytes: &[u8]) -> Result<(), String> {
     write_atomically(path, bytes).map_err(|error| format!("{}: {error}", path.display()))
 }
 
-/// A program that has just been written may still be open elsewhere in a process that is about to become another program.
+/// Starts a process. Retries while the program file is busy: a child process that another thread has just forked
+/// may still hold the file open for writing until it executes its own program.
 fn spawn(command: &mut Command) -> io::Result<Child> {
-    let mut tries = 0;
+    let mut retries = 0;
     loop {
         match command.spawn() {
-            Err(error) if error.kind() == io::ErrorKind::ExecutableFileBusy && tries < 100 => {
-                tries += 1;
-                std::thread::sleep(LOOK);
+            Err(error) if error.kind() == io::ErrorKind::ExecutableFileBusy && retries < 100 => {
+                retries += 1;
+                std::thread::sleep(POLL_INTERVAL);
             }
-            done => return done,
+            result => return result,
         }
     }
 }
 
-fn line(said: &str) -> String {
-    let line = said.lines().next().unwrap_or("it does not say why");
-    line.chars().take(SAID_MOST).collect()
+fn first_line(message: &str) -> String {
+    let line = message.lines().next().unwrap_or("it gives no reason");
+    line.chars().take(MAX_MESSAGE_CHARS).collect()
 }
 
-/// Whether a process runs (one that has ended and was not looked after does not), and when it was started.
+/// Returns whether a process is running (a zombie is not), and its start time in clock ticks since the system booted.
 fn stat(pid: i32) -> Option<(bool, u64)> {
     let stat = fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
-    // The name may hold anything; what follows it does not.
+    // The process name in parentheses may contain spaces and parentheses; the fields behind the last one do not.
     let mut fields = stat.rsplit_once(')')?.1.split_whitespace();
-    let runs = !matches!(fields.next()?, "Z" | "X");
-    Some((runs, fields.nth(18)?.parse().ok()?))
+    let running = !matches!(fields.next()?, "Z" | "X");
+    Some((running, fields.nth(18)?.parse().ok()?))
 }
 
-/// The process that was started with this file: where several were, the one that started the others.
-fn process_of(path: &Path) -> Option<Process> {
-    let wanted = path.as_os_str().as_encoded_bytes();
-    let numbers = fs::read_dir("/proc").ok()?.flatten();
-    let pids = numbers.filter_map(|entry| entry.file_name().to_str()?.parse::<i32>().ok());
-    let with = pids.filter(|pid| {
-        let line = fs::read(format!("/proc/{pid}/cmdline")).unwrap_or_default();
-        let words: Vec<&[u8]> = line.split(|byte| *byte == 0).collect();
-        words.windows(2).any(|pair| pair[0] == b"--config" && pair[1] == wanted)
+/// Returns the running process that was started with this settings file. If there are several, the oldest: the
+/// others are its children.
+fn find_process(path: &Path) -> Option<Process> {
+    let config = path.as_os_str().as_encoded_bytes();
+    let entries = fs::read_dir("/proc").ok()?.flatten();
+    let pids = entries.filter_map(|entry| entry.file_name().to_str()?.parse::<i32>().ok());
+    let matching = pids.filter(|pid| {
+        let command_line = fs::read(format!("/proc/{pid}/cmdline")).unwrap_or_default();
+        let arguments: Vec<&[u8]> = command_line.split(|byte| *byte == 0).collect();
+        arguments.windows(2).any(|pair| pair[0] == b"--config" && pair[1] == config)
     });
-    let found = with.filter_map(|pid| stat(pid).filter(|(runs, _)| *runs).map(|(_, born)| (born, pid)));
-    let (born, pid) = found.min()?;
-    Some(Process { pid, born, child: None })
+    let running = matching
+        .filter_map(|pid| stat(pid).filter(|(running, _)| *running).map(|(_, started_at)| (started_at, pid)));
+    let (started_at, pid) = running.min()?;
+    Some(Process { pid, started_at, child: None })
 }
 
 impl Process {
-    /// Its number.
+    /// The process id.
     #[must_use]
     pub fn pid(&self) -> i32 {
         self.pid
     }
 
-    /// Whether it has ended.
+    /// Whether the process has exited.
     pub fn has_exited(&mut self) -> bool {
         if let Some(child) = &mut self.child {
             return !matches!(child.try_wait(), Ok(None));
         }
-        stat(self.pid).is_none_or(|(runs, born)| !runs || born != self.born)
+        stat(self.pid).is_none_or(|(running, started_at)| !running || started_at != self.started_at)
     }
 
     fn signal(&mut self, signal: Signal) {
@@ -314,46 +322,46 @@
             return;
         }
         if let Some(pid) = Pid::from_raw(self.pid) {
-            // It fails where it has just ended.
+            // Fails if the process has just exited.
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// Tells it to end.
+    /// Asks the process to exit (SIGTERM).
     pub fn terminate(&mut self) {
         self.signal(Signal::TERM);
     }
 
-    /// Ends it.
+    /// Kills the process (SIGKILL).
     pub fn kill(&mut self) {
         self.signal(Signal::KILL);
     }
 
-    /// Tells it to read its file again.
+    /// Tells the process to reload its settings file (SIGHUP).
     pub fn reload(&mut self) {
         self.signal(Signal::HUP);
     }
 
-    fn wait(&mut self, most: Duration) {
-        let since = Instant::now();
-        while !self.has_exited() && since.elapsed() < most {
-            std::thread::sleep(LOOK);
+    fn wait(&mut self, timeout: Duration) {
+        let started = Instant::now();
+        while !self.has_exited() && started.elapsed() < timeout {
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Memory in bytes and descriptors.
+    /// Returns the resident memory in bytes and the number of open descriptors.
     #[must_use]
     pub fn resources(&self) -> (u64, u64) {
         let statm = fs::read_to_string(format!("/proc/{}/statm", self.pid)).unwrap_or_default();
         let pages = statm.split_whitespace().nth(1).and_then(|pages| pages.parse::<u64>().ok());
-        let open = fs::read_dir(format!("/proc/{}/fd", self.pid)).map_or(0, Iterator::count);
-        (pages.unwrap_or(0) * rustix::param::page_size() as u64, open as u64)
+        let descriptors = fs::read_dir(format!("/proc/{}/fd", self.pid)).map_or(0, Iterator::count);
+        (pages.unwrap_or(0) * rustix::param::page_size() as u64, descriptors as u64)
     }
 }
 
-/// Says something to people that must not be lost with the keeper.
+/// Appends a message to `keeper.log`, which stays when the supervisor dies.
 pub fn append_log(folder: &Path, text: &str) {
     let log = File::options().create(true).append(true).open(folder.join("keeper.log"));
-    // A disk that takes nothing has no log either.
+    // The message is lost if the disk cannot be written.
     let _ = log.and_then(|mut log| writeln!(log, "{text}"));
 }
--- a/crates/spurdrum-keeper/src/lib.rs
+++ b/crates/spurdrum-keeper/src/lib.rs
@@ -1,11 +1,12 @@
-//! The hand of a rollout on one machine, one for each node: it starts the program, replaces it by a handover, has it read new
-//! settings, starts it again when it ends, and goes back to the last good version by itself when it keeps ending. It holds
-//! no request: the node does not notice when its keeper dies, and a new keeper finds the node again.
+//! The supervisor of one node. It starts the node's program, replaces it by a handover, has it reload its
+//! settings, restarts it when it exits, and falls back to the last good version on its own when the process keeps
+//! crashing. It executes the steps of a rollout on its machine. It carries no requests of clients: the node does
+//! not notice when its supervisor dies, and a new supervisor finds the running node again.
 //!
-//! - [`hand`]: what is done next. Pure.
-//! - [`record`]: what lasts, on a disk that may be torn, old, lost or full.
-//! - [`host`]: files by their content, and processes of this machine.
-//! - [`shell`]: sockets, timers and threads round the hand.
+//! - [`hand`]: the state machine that decides what is done next. Pure: no clock, no I/O.
+//! - [`record`]: the durable state, on a disk whose files may be torn, old, lost, or cannot be written.
+//! - [`host`]: files stored by their content hash, and the processes of this machine.
+//! - [`shell`]: sockets, timers and threads round the state machine.
 
 pub mod hand;
 pub mod host;
--- a/crates/spurdrum-keeper/src/record.rs
+++ b/crates/spurdrum-keeper/src/record.rs
@@ -1,8 +1,9 @@
-//! What lasts, on a disk that may lie.
+//! The supervisor's durable state, stored so that a torn or lost write does no harm.
 //!
-//! Two files take turns; each is written whole beside its place, synced and renamed over it, and ends with a checksum. Of those
-//! that are sound the newer one counts: a torn one costs one step, which its conductor tells again. What neither file has is
-//! looked up: which processes run is never believed from here.
+//! Two files are written in turn. Each is written to a temporary file, synced and renamed into place, and ends
+//! with a checksum. Of the intact files the one with the higher number counts: a torn file loses one step, which
+//! the controller requests again. Which processes run is never taken from the record; the shell finds them by
+//! searching.
 
 use std::fs::{self, File};
 use std::io::{self, Write};
@@ -13,8 +14,8 @@
 
 use crate::hand::Record;
 
-/// Files that are longer are no record.
-const LONGEST: u64 = 1 << 20;
+/// Larger files are not accepted as a record.
+const MAX_FILE_BYTES: u64 = 1 << 20;
 
 #[derive(Serialize, Deserialize)]
 struct Numbered {
@@ -22,82 +23,83 @@
     record: Record,
 }
 
-/// Where the record is.
+/// The two files of the record.
 #[derive(Debug)]
 pub struct RecordStore {
     folder: PathBuf,
     number: u64,
 }
 
-/// Writes a file whole, or leaves what was there.
+/// Replaces a file atomically: afterwards it has either the new content or the old one.
 ///
 /// # Errors
 ///
-/// The system refuses; nothing has changed then.
+/// An I/O operation fails; the file is unchanged then.
 pub fn write_atomically(path: &Path, bytes: &[u8]) -> io::Result<()> {
-    let mut beside = path.as_os_str().to_owned();
-    beside.push(".new");
-    let beside = PathBuf::from(beside);
+    let mut temporary = path.as_os_str().to_owned();
+    temporary.push(".new");
+    let temporary = PathBuf::from(temporary);
     let written = (|| {
-        let mut file = File::create(&beside)?;
+        let mut file = File::create(&temporary)?;
         file.write_all(bytes)?;
         file.sync_all()
     })();
-    let renamed = written.and_then(|()| fs::rename(&beside, path));
+    let renamed = written.and_then(|()| fs::rename(&temporary, path));
     if renamed.is_err() {
-        let _ = fs::remove_file(&beside);
+        let _ = fs::remove_file(&temporary);
         return renamed;
     }
-    // The name lasts with its folder.
+    // The rename is durable only once the folder has been synced.
     path.parent().map_or(Ok(()), |folder| File::open(folder)?.sync_all())
 }
 
 fn read(path: &Path) -> io::Result<Option<Numbered>> {
-    let about = match fs::metadata(path) {
+    let metadata = match fs::metadata(path) {
         Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
-        about => about?,
+        metadata => metadata?,
     };
-    let unsound = || io::Error::new(io::ErrorKind::InvalidData, "it is torn, or no record");
-    if about.len() > LONGEST {
-        return Err(unsound());
+    let corrupt = || io::Error::new(io::ErrorKind::InvalidData, "the record is torn or corrupt");
+    if metadata.len() > MAX_FILE_BYTES {
+        return Err(corrupt());
     }
     let text = fs::read_to_string(path)?;
-    let (json, sum) = text.trim_end().rsplit_once('\n').ok_or_else(unsound)?;
-    if Hash::of(json.as_bytes()).text() != sum {
-        return Err(unsound());
+    let (json, checksum) = text.trim_end().rsplit_once('\n').ok_or_else(corrupt)?;
+    if Hash::of(json.as_bytes()).text() != checksum {
+        return Err(corrupt());
     }
-    serde_json::from_str(json).map(Some).map_err(|_| unsound())
+    serde_json::from_str(json).map(Some).map_err(|_| corrupt())
 }
 
 impl RecordStore {
-    /// In this folder, with the newest record that is sound; and what is wrong with the others.
+    /// Opens the record in this folder. Returns the newest intact record, if any, and a message for each file
+    /// that is not intact.
     #[must_use]
     pub fn open(folder: &Path) -> (Self, Option<Record>, Vec<String>) {
-        let mut shelf = Self { folder: folder.to_owned(), number: 0 };
-        let (mut newest, mut wrong): (Option<Numbered>, Vec<String>) = (None, Vec::new());
-        for turn in 0..2 {
-            let path = shelf.path(turn);
+        let mut store = Self { folder: folder.to_owned(), number: 0 };
+        let (mut newest, mut errors): (Option<Numbered>, Vec<String>) = (None, Vec::new());
+        for file in 0..2 {
+            let path = store.path(file);
             match read(&path) {
                 Ok(Some(found)) if newest.as_ref().is_none_or(|newest| newest.number < found.number) => {
                     newest = Some(found);
                 }
                 Ok(_) => {}
-                Err(error) => wrong.push(format!("{}: {error}", path.display())),
+                Err(error) => errors.push(format!("{}: {error}", path.display())),
             }
         }
-        shelf.number = newest.as_ref().map_or(0, |newest| newest.number);
-        (shelf, newest.map(|newest| newest.record), wrong)
+        store.number = newest.as_ref().map_or(0, |newest| newest.number);
+        (store, newest.map(|newest| newest.record), errors)
     }
 
-    fn path(&self, turn: u64) -> PathBuf {
-        self.folder.join(format!("record.{turn}"))
+    fn path(&self, file: u64) -> PathBuf {
+        self.folder.join(format!("record.{file}"))
     }
 
-    /// Writes it. It is on the disk when this returns.
+    /// Writes the record. It is durable when this returns.
     ///
     /// # Errors
     ///
-    /// The system refuses; the record that was there counts.
+    /// An I/O operation fails; the previous record is still in force.
     pub fn write(&mut self, record: &Record) -> io::Result<()> {
         let numbered = Numbered { number: self.number + 1, record: record.clone() };
         let json = serde_json::to_string(&numbered).map_err(io::Error::other)?;
@@ -113,7 +115,7 @@
     use super::*;
 
     fn folder(name: &str) -> PathBuf {
-        let folder = std::env::temp_dir().join(format!("spurdrum-shelf-{name}-{}", std::process::id()));
+        let folder = std::env::temp_dir().join(format!("spurdrum-record-{name}-{}", std::process::id()));
         let _ = fs::remove_dir_all(&folder);
         fs::create_dir_all(&folder).expect("a folder");
         folder
@@ -123,46 +125,47 @@
         Record { crashes, ..Record::default() }
     }
 
-    /// Whatever is cut off or spoilt of either file, wherever: the newest that is whole counts, and none is made up.
+    /// Truncates the newest file at every position, and flips a bit at every position: the newest intact record
+    /// counts, and corrupt content is never accepted.
     #[test]
-    fn a_torn_record_costs_one_step_and_nothing_is_made_up() {
+    fn a_torn_record_loses_one_step_and_corrupt_content_is_never_accepted() {
         let folder = folder("torn");
-        let (mut shelf, none, _) = RecordStore::open(&folder);
+        let (mut store, none, _) = RecordStore::open(&folder);
         assert_eq!(none, None);
-        (1..=5).for_each(|n| shelf.write(&record(n)).expect("written"));
-        let newest = fs::read(shelf.path(1)).expect("there");
+        (1..=5).for_each(|n| store.write(&record(n)).expect("written"));
+        let newest = fs::read(store.path(1)).expect("there");
         let found = || RecordStore::open(&folder).1.map(|record| record.crashes);
         assert_eq!(found(), Some(5));
-        for cut in 0..newest.len() - 1 {
-            fs::write(shelf.path(1), &newest[..cut]).expect("torn");
-            assert_eq!(found(), Some(4), "cut at {cut}");
-            let mut spoilt = newest.clone();
-            spoilt[cut] ^= 1;
-            fs::write(shelf.path(1), spoilt).expect("spoilt");
-            assert_eq!(found(), Some(4), "spoilt at {cut}");
+        for at in 0..newest.len() - 1 {
+            fs::write(store.path(1), &newest[..at]).expect("truncated");
+            assert_eq!(found(), Some(4), "truncated at {at}");
+            let mut corrupt = newest.clone();
+            corrupt[at] ^= 1;
+            fs::write(store.path(1), corrupt).expect("corrupted");
+            assert_eq!(found(), Some(4), "corrupted at {at}");
         }
-        // It goes on from there, and the next one counts again.
-        let (mut shelf, _, wrong) = RecordStore::open(&folder);
-        assert_eq!(wrong.len(), 1);
-        shelf.write(&record(6)).expect("written");
+        // Writing continues after the intact record, and the next record counts again.
+        let (mut store, _, errors) = RecordStore::open(&folder);
+        assert_eq!(errors.len(), 1);
+        store.write(&record(6)).expect("written");
         assert_eq!(found(), Some(6));
-        fs::write(shelf.path(0), b"").expect("spoilt");
-        fs::write(shelf.path(1), b"").expect("spoilt");
+        fs::write(store.path(0), b"").expect("emptied");
+        fs::write(store.path(1), b"").expect("emptied");
         assert_eq!(found(), None);
         fs::remove_dir_all(folder).expect("removed");
     }
 
     #[test]
-    fn what_cannot_be_written_leaves_what_was_there() {
+    fn a_failed_write_leaves_the_previous_record() {
         let folder = folder("refused");
-        let (mut shelf, ..) = RecordStore::open(&folder);
-        shelf.write(&record(1)).expect("written");
-        // Where the next one is to be made, something else is.
+        let (mut store, ..) = RecordStore::open(&folder);
+        store.write(&record(1)).expect("written");
+        // A folder in place of the temporary file makes the next write fail.
         fs::create_dir_all(folder.join("record.0.new")).expect("in the way");
-        shelf.write(&record(2)).expect_err("refused");
+        store.write(&record(2)).expect_err("refused");
         assert_eq!(RecordStore::open(&folder).1, Some(record(1)));
         fs::remove_dir_all(folder.join("record.0.new")).expect("out of the way");
-        shelf.write(&record(3)).expect("written");
+        store.write(&record(3)).expect("written");
         assert_eq!(RecordStore::open(&folder).1, Some(record(3)));
         fs::remove_dir_all(folder).expect("removed");
     }
--- a/crates/spurdrum-keeper/src/settings.rs
+++ b/crates/spurdrum-keeper/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a keeper is told, by its TOML file.
+//! The settings of a supervisor, read from a TOML file.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -13,6 +13,7 @@
     keeper: Table,
 }
 
+/// The `[keeper]` table; the field names are its keys, described at [`Settings`].
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Table {
@@ -23,120 +24,121 @@
     own: PathBuf,
     program: PathBuf,
     settings: PathBuf,
-    #[serde(default = "ready")]
+    #[serde(default = "default_ready_ms")]
     ready_ms: u64,
-    #[serde(default = "end")]
+    #[serde(default = "default_end_ms")]
     end_ms: u64,
-    #[serde(default = "restart_least")]
+    #[serde(default = "default_restart_least_ms")]
     restart_least_ms: u64,
-    #[serde(default = "restart_most")]
+    #[serde(default = "default_restart_most_ms")]
     restart_most_ms: u64,
-    #[serde(default = "stable")]
+    #[serde(default = "default_stable_ms")]
     stable_ms: u64,
 }
 
-fn ready() -> u64 {
+fn default_ready_ms() -> u64 {
     10_000
 }
 
-fn end() -> u64 {
+fn default_end_ms() -> u64 {
     30_000
 }
 
-fn restart_least() -> u64 {
+fn default_restart_least_ms() -> u64 {
     200
 }
 
-fn restart_most() -> u64 {
+fn default_restart_most_ms() -> u64 {
     30_000
 }
 
-fn stable() -> u64 {
+fn default_stable_ms() -> u64 {
     60_000
 }
 
-/// What a keeper goes by.
+/// The settings of a supervisor.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// The node's name.
+    /// The name of the node.
     pub name: String,
-    /// Where conductors call.
+    /// The address at which rollout controllers call.
     pub listen: SocketAddr,
-    /// Where the keeper has its record, programs, settings and the node's log.
+    /// The folder of the record, the stored programs and settings, and the node's log.
     pub folder: PathBuf,
-    /// Where the node's processes answer operators, in turn.
-    pub ops: [SocketAddr; 2],
-    /// The node's own part of its file; what all nodes share comes behind it.
-    pub own: PathBuf,
-    /// The program that runs first, on a machine that was never told anything.
-    pub program: PathBuf,
-    /// The settings, likewise.
-    pub settings: PathBuf,
-    /// A process that starts has so long to say that it can serve.
-    pub ready: Duration,
-    /// One that was told to end has so long.
-    pub end: Duration,
-    /// Pause before one that ended by itself is started again, doubled with each in a row ...
-    pub restart_least: Duration,
+    /// Admin addresses of the node's processes, one for each slot.
+    pub admin_addresses: [SocketAddr; 2],
+    /// The node's own part of its settings file; the settings that all nodes share are appended to it.
+    pub node_settings: PathBuf,
+    /// The program of the initial version, on a machine that no controller has ever directed.
+    pub initial_program: PathBuf,
+    /// The shared settings of the initial version.
+    pub initial_settings: PathBuf,
+    /// Time that a starting process has to become ready.
+    pub ready_timeout: Duration,
+    /// Time that a process has to exit after it was told to terminate.
+    pub terminate_timeout: Duration,
+    /// Delay before a process that exited on its own is started again; doubled with each consecutive crash ...
+    pub min_restart_delay: Duration,
     /// ... up to this.
-    pub restart_most: Duration,
-    /// One that has run for so long does not keep ending.
-    pub stable: Duration,
+    pub max_restart_delay: Duration,
+    /// A process that has run for this long resets the count of consecutive crashes.
+    pub stable_after: Duration,
 }
 
 impl Settings {
-    /// Reads a file. The error names the file, the line and the key.
+    /// Reads the settings from a file. The error names the file, the line and the key.
     ///
     /// # Errors
     ///
-    /// It cannot be read, or makes no sense.
+    /// The file cannot be read, or the settings are invalid.
     pub fn read(path: &Path) -> Result<Self, String> {
         file::read(path, Self::parse)
     }
 
-    /// Reads a file's text. The error begins with the line.
+    /// Parses the text of a settings file. The error begins with the line.
     fn parse(text: &str) -> Result<Self, String> {
         let File { keeper: table } = file::from_toml(text)?;
         let line_of = |key: &str| {
             text.lines().position(|line| line.trim_start().starts_with(key)).map_or(1, |line| line + 1)
         };
-        let wrong = |key: &str, why: &str| Err(format!("{}: `keeper.{key}`: {why}", line_of(key)));
+        let invalid = |key: &str, why: &str| Err(format!("{}: `keeper.{key}`: {why}", line_of(key)));
         if table.ops[0] == table.ops[1] {
-            return wrong("ops", "two processes need two addresses");
+            return invalid("ops", "must be two different addresses, one for each of two processes");
         }
         if table.ready_ms == 0 || table.end_ms == 0 || table.restart_least_ms == 0 {
-            return wrong("ready_ms", "`ready_ms`, `end_ms` or `restart_least_ms` is 0");
+            return invalid("ready_ms", "`ready_ms`, `end_ms` and `restart_least_ms` must be above 0");
         }
         if table.restart_most_ms < table.restart_least_ms {
-            return wrong("restart_most_ms", "is below `restart_least_ms`");
+            return invalid("restart_most_ms", "is below `restart_least_ms`");
         }
         let time = Duration::from_millis;
         let folder = std::path::absolute(&table.folder);
         Ok(Self {
             name: table.name,
             listen: table.listen,
-            // Processes are known again by the paths in it.
+            // Absolute, because running processes are recognised by the paths on their command lines.
             folder: folder.map_err(|error| format!("{}: `keeper.folder`: {error}", line_of("folder")))?,
-            ops: table.ops,
-            own: table.own,
-            program: table.program,
-            settings: table.settings,
-            ready: time(table.ready_ms),
-            end: time(table.end_ms),
-            restart_least: time(table.restart_least_ms),
-            restart_most: time(table.restart_most_ms),
-            stable: time(table.stable_ms),
+            admin_addresses: table.ops,
+            node_settings: table.own,
+            initial_program: table.program,
+            initial_settings: table.settings,
+            ready_timeout: time(table.ready_ms),
+            terminate_timeout: time(table.end_ms),
+            min_restart_delay: time(table.restart_least_ms),
+            max_restart_delay: time(table.restart_most_ms),
+            stable_after: time(table.stable_ms),
         })
     }
 
-    /// The pause before a process that ended so often in a row is started again.
+    /// Returns the delay before a process is started again after this many consecutive crashes.
     #[must_use]
     pub fn restart_delay(&self, consecutive_crashes: u32) -> Duration {
-        let doubled = self.restart_least.saturating_mul(1 << consecutive_crashes.saturating_sub(1).min(16));
+        let doubled =
+            self.min_restart_delay.saturating_mul(1 << consecutive_crashes.saturating_sub(1).min(16));
         if consecutive_crashes == 0 {
             Duration::ZERO
         } else {
-            doubled.min(self.restart_most)
+            doubled.min(self.max_restart_delay)
         }
     }
 }
--- a/crates/spurdrum-keeper/src/shell.rs
+++ b/crates/spurdrum-keeper/src/shell.rs
@@ -1,4 +1,4 @@
-//! Sockets, timers and threads round the hand.
+//! Sockets, timers and threads round the supervisor's state machine.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -19,65 +19,67 @@
 use crate::record::RecordStore;
 use crate::Settings;
 
-/// How often processes are looked at.
-const LOOK: Duration = Duration::from_millis(50);
-/// How often the one that serves is asked for its figures.
-const FIGURES: Duration = Duration::from_millis(500);
-/// A process has so long to read its settings.
-const RELOAD_MOST: Duration = Duration::from_secs(10);
+/// Interval at which exits of processes, the readiness of a starting process, and the result of a reload are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval at which the serving process is polled for its readiness and its statistics.
+const STATISTICS_INTERVAL: Duration = Duration::from_millis(500);
+/// Time that a process has to load new settings.
+const RELOAD_TIMEOUT: Duration = Duration::from_secs(10);
 
 struct SupervisorShell {
     settings: Settings,
     host: Host,
-    hand: RefCell<Supervisor>,
-    shelf: RefCell<RecordStore>,
+    supervisor: RefCell<Supervisor>,
+    store: RefCell<RecordStore>,
     processes: RefCell<BTreeMap<Slot, Process>>,
     timers: Rc<Timers<Timer>>,
     statistics: RefCell<Option<(Slot, NodeStatistics)>>,
-    /// The answer to what is being said.
-    answer: RefCell<Option<Option<String>>>,
+    /// The answer to the request that is being handled: none while there is no answer yet, else why the request
+    /// is refused, if it is.
+    reply: RefCell<Option<Option<String>>>,
 }
 
-/// Keeps a node for as long as this is awaited.
+/// Supervises a node for as long as the future is polled.
 ///
 /// # Errors
 ///
-/// The folder, the first version's files or the address cannot be had.
+/// The folder cannot be created, the files of the initial version cannot be stored, or the address is in use.
 pub async fn supervise(settings: Settings) -> Result<(), String> {
     let folder = settings.folder.clone();
-    let shown = |error: std::io::Error| format!("`keeper.folder`: {}: {error}", folder.display());
-    let host = Host::new(&folder, &settings.own, settings.ops).map_err(shown)?;
-    // Before anything is looked up: two keepers of one node cannot both listen.
+    let folder_error = |error: std::io::Error| format!("`keeper.folder`: {}: {error}", folder.display());
+    let host = Host::new(&folder, &settings.node_settings, settings.admin_addresses).map_err(folder_error)?;
+    // The address is bound before the record and the processes are looked at: it can be bound only once, so two
+    // supervisors of one node never act at the same time.
     let listener = TcpListener::bind(settings.listen).await;
     let listener = listener.map_err(|error| format!("`keeper.listen`: {}: {error}", settings.listen))?;
-    let (shelf, record, wrong) = RecordStore::open(&folder);
-    let first = match &record {
-        // What was first need not be there any more.
+    let (store, record, errors) = RecordStore::open(&folder);
+    let initial = match &record {
+        // The files of the initial version are not needed any more and may be gone.
         Some(record) if record.runs.is_some() => record.runs.clone().unwrap_or_else(no_version),
-        _ => host.import_initial_version(&settings.program, &settings.settings)?,
+        _ => host.import_initial_version(&settings.initial_program, &settings.initial_settings)?,
     };
-    let keeper = Rc::new(SupervisorShell {
+    let shell = Rc::new(SupervisorShell {
         settings,
         host,
-        hand: RefCell::new(Supervisor::new(record, first)),
-        shelf: RefCell::new(shelf),
+        supervisor: RefCell::new(Supervisor::new(record, initial)),
+        store: RefCell::new(store),
         processes: RefCell::default(),
         timers: Rc::default(),
         statistics: RefCell::default(),
-        answer: RefCell::default(),
+        reply: RefCell::default(),
     });
-    wrong.iter().for_each(|wrong| keeper.note(wrong));
+    errors.iter().for_each(|error| shell.note(error));
     let mut versions = Vec::new();
-    for (slot, version, process) in keeper.host.find_processes() {
-        keeper.note(&format!("process {} runs in slot {slot}: {version}", process.pid()));
+    for (slot, version, process) in shell.host.find_processes() {
+        shell.note(&format!("process {} already runs in slot {slot}: {version}", process.pid()));
         versions.push((slot, version));
-        keeper.processes.borrow_mut().insert(slot, process);
+        shell.processes.borrow_mut().insert(slot, process);
     }
-    keeper.handle(Event::ProcessesFound(versions));
-    tokio::task::spawn_local(Rc::clone(&keeper).look());
-    tokio::task::spawn_local(Rc::clone(&keeper).ask());
-    let lines = spurdrum_ops::Settings { line: MAX_LINE_BYTES, ..spurdrum_ops::Settings::default() };
-    spurdrum_ops::serve(listener, Conductors(keeper), lines).await;
+    shell.handle(Event::ProcessesFound(versions));
+    tokio::task::spawn_local(Rc::clone(&shell).watch_processes());
+    tokio::task::spawn_local(Rc::clone(&shell).collect_statistics());
+    let line_settings = spurdrum_ops::Settings { line: MAX_LINE_BYTES, ..spurdrum_ops::Settings::default() };
+    spurdrum_ops::serve(listener, ControllerRequests(shell), line_settings).await;
     Ok(())
 }
 
@@ -94,29 +96,29 @@
 
     fn handle(self: &Rc<Self>, event: Event) {
         let mut actions = Vec::new();
-        self.hand.borrow_mut().handle(event, &mut actions);
+        self.supervisor.borrow_mut().handle(event, &mut actions);
         for action in actions {
-            self.carry_out(action);
+            self.execute(action);
         }
     }
 
-    fn carry_out(self: &Rc<Self>, action: Action) {
+    fn execute(self: &Rc<Self>, action: Action) {
         match action {
             Action::WriteRecord(record) => {
-                let written = self.shelf.borrow_mut().write(&record);
+                let written = self.store.borrow_mut().write(&record);
                 self.handle(match written {
                     Ok(()) => Event::RecordWritten,
                     Err(error) => Event::RecordWriteFailed(error.to_string()),
                 });
             }
-            Action::Reply(refused) => drop(self.answer.replace(Some(refused))),
+            Action::Reply(refused) => drop(self.reply.replace(Some(refused))),
             Action::Fetch(change) => {
-                let keeper = Rc::clone(self);
+                let shell = Rc::clone(self);
                 let host = self.host.clone();
                 tokio::task::spawn_local(async move {
                     let fetched = tokio::task::spawn_blocking(move || host.fetch(&change)).await;
-                    let fetched = fetched.unwrap_or_else(|_| Err("fetching died".into()));
-                    keeper.handle(Event::Fetched(fetched));
+                    let fetched = fetched.unwrap_or_else(|_| Err("the fetch task panicked".into()));
+                    shell.handle(Event::Fetched(fetched));
                 });
             }
             Action::Start(slot, version) => {
@@ -129,61 +131,66 @@
                     Err(why) => {
                         self.note(&why);
                         self.processes.borrow_mut().remove(&slot);
-                        // Not from within what is being handled.
-                        let keeper = Rc::clone(self);
-                        tokio::task::spawn_local(async move { keeper.handle(Event::Exited(slot)) });
+                        // Handled in a task of its own, because the current event is still being handled.
+                        let shell = Rc::clone(self);
+                        tokio::task::spawn_local(async move { shell.handle(Event::Exited(slot)) });
                     }
                 }
             }
-            Action::Terminate(slot) => self.with(slot, Process::terminate),
-            Action::Kill(slot) => self.with(slot, Process::kill),
+            Action::Terminate(slot) => self.with_process(slot, Process::terminate),
+            Action::Kill(slot) => self.with_process(slot, Process::kill),
             Action::Reload(slot, version) => {
-                let keeper = Rc::clone(self);
+                let shell = Rc::clone(self);
                 tokio::task::spawn_local(async move {
-                    let done = keeper.reload(slot, &version).await;
-                    keeper.handle(Event::Reloaded(done));
+                    let result = shell.reload(slot, &version).await;
+                    shell.handle(Event::Reloaded(result));
                 });
             }
-            Action::SetTimer(timer) => self.set(timer),
+            Action::SetTimer(timer) => self.set_timer(timer),
             Action::CancelTimer(timer) => self.timers.cancel(timer),
             Action::Prune(versions) => self.host.prune(&versions),
             Action::Note(text) => self.note(&text),
         }
     }
 
-    fn with(&self, slot: Slot, signal: impl FnOnce(&mut Process)) {
+    fn with_process(&self, slot: Slot, signal: impl FnOnce(&mut Process)) {
         if let Some(process) = self.processes.borrow_mut().get_mut(&slot) {
             signal(process);
         }
     }
 
-    fn set(self: &Rc<Self>, timer: Timer) {
-        let length = match timer {
-            Timer::ReadyTimeout => self.settings.ready,
-            Timer::TerminateTimeout => self.settings.end,
-            Timer::RestartDelay => self.settings.restart_delay(self.hand.borrow().consecutive_crashes()),
-            Timer::Stable => self.settings.stable,
+    fn set_timer(self: &Rc<Self>, timer: Timer) {
+        let duration = match timer {
+            Timer::ReadyTimeout => self.settings.ready_timeout,
+            Timer::TerminateTimeout => self.settings.terminate_timeout,
+            Timer::RestartDelay => {
+                self.settings.restart_delay(self.supervisor.borrow().consecutive_crashes())
+            }
+            Timer::Stable => self.settings.stable_after,
         };
-        let keeper = Rc::clone(self);
-        self.timers.set(timer, length, move || keeper.handle(Event::Timer(timer)));
+        let shell = Rc::clone(self);
+        self.timers.set(timer, duration, move || shell.handle(Event::Timer(timer)));
     }
 
-    /// Has a process read other settings: whether it took them. One that turns them down has its old ones before it again.
+    /// Has a process load the settings of a version, and waits until it has accepted or rejected them. If it
+    /// rejects them or does not load them in time, its settings file gets the old content back.
     async fn reload(&self, slot: Slot, version: &Version) -> Result<(), String> {
-        let before = self.reconfigured(slot).await.ok_or("the process does not tell its figures")?;
-        let old = self.hand.borrow().record().runs.clone();
+        let before = self.reload_counts(slot).await.ok_or("the process does not report its reload counts")?;
+        let old = self.supervisor.borrow().record().runs.clone();
         self.host.write_settings(slot, version)?;
-        self.with(slot, Process::reload);
-        let since = Instant::now();
-        let told = loop {
-            match self.reconfigured(slot).await {
+        self.with_process(slot, Process::reload);
+        let started = Instant::now();
+        let result = loop {
+            match self.reload_counts(slot).await {
                 Some(now) if now.0 > before.0 => break Ok(()),
                 Some(now) if now.1 > before.1 => break Err("the process turns the settings down"),
-                _ if since.elapsed() > RELOAD_MOST => break Err("the process does not read its settings"),
-                _ => sleep(LOOK).await,
+                _ if started.elapsed() > RELOAD_TIMEOUT => {
+                    break Err("the process did not load its settings in time")
+                }
+                _ => sleep(POLL_INTERVAL).await,
             }
         };
-        match told {
+        match result {
             Ok(()) => self.host.write_version(slot, version),
             Err(why) => {
                 if let Some(old) = old {
@@ -194,68 +201,72 @@
         }
     }
 
-    /// Files that a process took and turned down since it began.
-    async fn reconfigured(&self, slot: Slot) -> Option<(u64, u64)> {
-        let told: Value =
+    /// Returns how many reloads a process has accepted and how many it has rejected since it started.
+    async fn reload_counts(&self, slot: Slot) -> Option<(u64, u64)> {
+        let telemetry: Value =
             serde_json::from_str(&call(self.host.admin_address(slot), "telemetry").await.ok()?).ok()?;
-        Some((told["reconfig_ok"].as_u64()?, told["reconfig_failed"].as_u64()?))
+        Some((telemetry["reconfig_ok"].as_u64()?, telemetry["reconfig_failed"].as_u64()?))
     }
 
-    /// Looks whether processes have ended and whether they can serve.
-    async fn look(self: Rc<Self>) {
-        let mut asked = Instant::now();
+    /// Watches for exits of processes and polls the readiness of the starting and the serving one.
+    async fn watch_processes(self: Rc<Self>) {
+        let mut last_poll = Instant::now();
         loop {
-            sleep(LOOK).await;
-            let gone: Vec<Slot> = {
+            sleep(POLL_INTERVAL).await;
+            let exited: Vec<Slot> = {
                 let mut processes = self.processes.borrow_mut();
-                let gone: Vec<Slot> =
+                let exited: Vec<Slot> =
                     processes.iter_mut().filter_map(|(slot, p)| p.has_exited().then_some(*slot)).collect();
-                gone.iter().for_each(|slot| drop(processes.remove(slot)));
-                gone
+                exited.iter().for_each(|slot| drop(processes.remove(slot)));
+                exited
             };
-            for slot in gone {
-                self.note(&format!("the process in slot {slot} has ended"));
+            for slot in exited {
+                self.note(&format!("the process in slot {slot} has exited"));
                 self.handle(Event::Exited(slot));
             }
-            let awaits = self.hand.borrow().starting_slot();
-            let serves = self.hand.borrow().serving_slot().filter(|_| asked.elapsed() >= FIGURES);
-            if serves.is_some() {
-                asked = Instant::now();
+            let starting = self.supervisor.borrow().starting_slot();
+            let serving = self
+                .supervisor
+                .borrow()
+                .serving_slot()
+                .filter(|_| last_poll.elapsed() >= STATISTICS_INTERVAL);
+            if serving.is_some() {
+                last_poll = Instant::now();
             }
-            for slot in awaits.into_iter().chain(serves) {
+            for slot in starting.into_iter().chain(serving) {
                 if !self.processes.borrow().contains_key(&slot) {
                     continue;
                 }
-                let ready = call(self.host.admin_address(slot), "readyz").await;
-                // Guards against an answer of a process that has gone meanwhile.
+                let answer = call(self.host.admin_address(slot), "readyz").await;
+                // If the process exited during the call, its late answer is ignored.
                 if self.processes.borrow().contains_key(&slot) {
-                    let ready = ready.is_ok_and(|answer| answer.starts_with("YES"));
+                    let ready = answer.is_ok_and(|answer| answer.starts_with("YES"));
                     self.handle(if ready { Event::Ready(slot) } else { Event::NotReady(slot) });
                 }
             }
         }
     }
 
-    /// Asks the process that serves for its figures.
-    async fn ask(self: Rc<Self>) {
+    /// Polls the serving process for its statistics.
+    async fn collect_statistics(self: Rc<Self>) {
         loop {
-            sleep(FIGURES).await;
-            let Some(slot) = self.hand.borrow().serving_slot() else { continue };
-            let asked =
+            sleep(STATISTICS_INTERVAL).await;
+            let Some(slot) = self.supervisor.borrow().serving_slot() else { continue };
+            let process =
                 self.processes.borrow().get(&slot).map(|process| (process.pid(), process.resources()));
-            let Some((pid, (memory, descriptors))) = asked else { continue };
-            let told = call(self.host.admin_address(slot), "telemetry").await.ok();
-            let Some(told) = told.and_then(|told| serde_json::from_str::<Value>(&told).ok()) else {
+            let Some((pid, (memory, descriptors))) = process else { continue };
+            let telemetry = call(self.host.admin_address(slot), "telemetry").await.ok();
+            let Some(telemetry) = telemetry.and_then(|text| serde_json::from_str::<Value>(&text).ok()) else {
                 continue;
             };
-            // An old program does not know the call, and most need not: then answers are not compared by their time.
+            // An older program does not know this call; its latencies are then not compared.
             let latencies = call(self.host.admin_address(slot), "latencies").await.unwrap_or_default();
-            let count = |key: &str| told[key].as_u64().unwrap_or(0);
-            let calls = told["calls"].as_object().into_iter().flatten();
-            let of = |calls: &Value, key: &str| calls[key].as_u64().unwrap_or(0);
+            let count = |key: &str| telemetry[key].as_u64().unwrap_or(0);
+            let calls = telemetry["calls"].as_object().into_iter().flatten();
+            let count_of = |calls: &Value, key: &str| calls[key].as_u64().unwrap_or(0);
             let calls = calls.map(|(class, calls)| {
-                let (success, busy) = (of(calls, "success"), of(calls, "busy"));
-                (class.clone(), RequestCounts { success, busy, failure: of(calls, "failure") })
+                let (success, busy) = (count_of(calls, "success"), count_of(calls, "busy"));
+                (class.clone(), RequestCounts { success, busy, failure: count_of(calls, "failure") })
             });
             let statistics = NodeStatistics {
                 process: pid.unsigned_abs().into(),
@@ -272,25 +283,27 @@
     }
 }
 
-/// What conductors may say to a keeper.
-struct Conductors(Rc<SupervisorShell>);
+/// Answers the requests of rollout controllers.
+struct ControllerRequests(Rc<SupervisorShell>);
 
-impl Answers for Conductors {
+impl Answers for ControllerRequests {
     fn answer(&self, line: &str) -> String {
-        let keeper = &self.0;
-        keeper.answer.replace(None);
+        let shell = &self.0;
+        shell.reply.replace(None);
         let refused = match serde_json::from_str::<SupervisorRequest>(line) {
-            Ok(order) => {
-                keeper.handle(Event::Request(order));
-                keeper.answer.take().unwrap_or_else(|| Some("the keeper has no answer".into()))
+            Ok(request) => {
+                shell.handle(Event::Request(request));
+                shell.reply.take().unwrap_or_else(|| Some("the keeper did not decide on the request".into()))
             }
-            Err(error) => Some(format!("that is no order: {error}")),
+            Err(error) => Some(format!("the request cannot be parsed: {error}")),
         };
-        let mut status = keeper.hand.borrow().status(&keeper.settings.name, refused);
-        let serves = keeper.hand.borrow().serving_slot();
-        let statistics = keeper.statistics.borrow();
-        status.statistics =
-            statistics.as_ref().filter(|(slot, _)| Some(*slot) == serves).map(|(_, f)| f.clone());
+        let mut status = shell.supervisor.borrow().status(&shell.settings.name, refused);
+        let serving = shell.supervisor.borrow().serving_slot();
+        let statistics = shell.statistics.borrow();
+        status.statistics = statistics
+            .as_ref()
+            .filter(|(slot, _)| Some(*slot) == serving)
+            .map(|(_, of_slot)| of_slot.clone());
         serde_json::to_string(&status).unwrap_or_default() + "\n"
     }
 }
--- a/crates/spurdrum-keeper/tests/hand.rs
+++ b/crates/spurdrum-keeper/tests/hand.rs
@@ -115,7 +115,7 @@
     );
     assert_eq!(
         kept.told(SupervisorRequest::MarkGood { generation: OURS, version: old() }),
-        Some("that does not run".into())
+        Some("that version is not running".into())
     );
     assert_eq!(kept.told(SupervisorRequest::MarkGood { generation: OURS, version: new() }), None);
     assert_eq!(kept.status().good, Some(new()));
@@ -125,7 +125,7 @@
 fn whatever_fails_leaves_the_old_process_and_says_why() {
     let fails: [(Vec<Event>, &str); 3] = [
         (vec![Event::Fetched(Err("it is not there".into()))], "it is not there"),
-        (vec![Event::Fetched(Ok(())), Event::Exited(1)], "ended before"),
+        (vec![Event::Fetched(Ok(())), Event::Exited(1)], "exited before"),
         (vec![Event::Fetched(Ok(())), Event::Timer(Timer::ReadyTimeout)], "not ready"),
     ];
     for (events, says) in fails {
