--- a/crates/spurdrum-policy/src/rules.rs
+++ b/crates/spurdrum-policy/src/rules.rs
@@ -1,6 +1,5 @@
-//! Every decision of a node. Its inputs and outputs are defined in `src/interface.rs`. Times are in
-//! milliseconds; constants in `_OBJECTIVES` are multiples of a latency objective, in `_LATENCIES` of a mean
-//! latency.
+//! Every decision of a node, on the inputs and outputs of `src/interface.rs`. Times are in milliseconds;
+//! constants in `_OBJECTIVES` count latency objectives, those in `_LATENCIES` mean latencies.
 //!
 //! The ordinary path is HSQ (Islam, "Network Load Balancing Methods", IV.E): `Balancer::pick` chooses the
 //! server with the lowest count, `Balancer::send` adds one to that count, and `Balancer::record_report`
@@ -45,8 +44,8 @@
 /// ... and the fraction of that bound which is left for requests of the lowest value.
 const MIN_VALUE_FRACTION: f64 = 0.5;
 /// A request is admitted, whatever part of its objective that takes, if it waits for no more than one request
-/// in service and one more: a queue that short does not justify a refusal. In service times of an otherwise
-/// idle server.
+/// in service and one more: a queue that short does not justify a refusal. In service times of an idle
+/// server.
 const ALWAYS_ADMITTED_SERVICE_TIMES: f64 = 3.0;
 /// Minimum burst of a tenant's token bucket, in requests, at one of many nodes. With a smaller bucket no
 /// request would ever be within the quota.
@@ -111,13 +110,12 @@
 /// ... once this many attempts sent to the same server later were answered ...
 const LOST_OVERTAKERS: u64 = 3;
 /// ... if more than this fraction of the answers overtaken for so long never came ...
-const MAX_LOST: f64 = 0.5;
+const MAX_LOST_RATIO: f64 = 0.5;
 /// ... by a mean over this many.
 const LOST_SAMPLES: f64 = 8.0;
 /// Only this fraction of the attempts whose answer is presumed lost is abandoned: the rest shows whether
-/// answers still get lost. For keyed requests, also the fraction of the time for a retry after which that is
-/// decided.
-const LOST_ABANDON_FRACTION: f64 = 0.9;
+/// answers still get lost. Keyed requests are decided after this fraction of the time for a retry.
+const LOST_ABANDON_RATIO: f64 = 0.9;
 /// Reports above this number in flight are ignored: a count of that size would never be the lowest again.
 const MAX_REPORTED_IN_FLIGHT: f64 = 100_000.0;
 /// Fraction of its latency objective that a request waits for the answers to its probes.
@@ -232,6 +230,7 @@
     zone: usize,
     cell: usize,
     sent_at: f64,
+    /// Number of requests at the server when the attempt was sent, as far as this node knows.
     depth: f64,
     /// By how much the server's load reports exceeded what is usual when the attempt was sent.
     load_excess: [f64; 2],
@@ -240,7 +239,7 @@
     abandon_at: f64,
     /// Whether the attempt was abandoned, because its server is silent or its answer is presumed lost.
     abandoned: bool,
-    /// `Server::answers` by the time that all attempts sent before this one could have been answered.
+    /// Value of `Server::answers` by which all attempts sent before this one could have been answered.
     answers_ahead: u64,
     /// When the answer may be presumed lost.
     lost_at: f64,
@@ -335,6 +334,7 @@
     subscribed: bool,
     /// Whether a timer for a new subscription is set.
     backoff: bool,
+    /// Failed discovery calls in a row, at most 4: the exponent of the backoff.
     failed_calls: i32,
 }
 
@@ -873,8 +873,7 @@
             if pending.awaited.is_empty() {
                 due.push(*id);
             } else if pending.reporting == [server] {
-                // After the first answer only those of the same instant are waited for: servers that answer
-                // later are busy.
+                // After the first answer only those of the same instant are awaited: later ones are busy.
                 actions.push(Action::SetTimer { timer: id.0 + 1, after_ms: 0.0 });
             }
         }
@@ -894,8 +893,8 @@
         true
     }
 
-    /// Returns the longest expected latency with which a request is still admitted, so that late work does
-    /// not crowd out the rest.
+    /// Returns the longest expected latency at which a request is admitted: late work must not crowd out
+    /// others.
     fn admission_bound(&self, pending: &Pending, within_quota: bool) -> f64 {
         // A node that has just started knows no latency to justify a refusal, unless it probes for counts.
         if self.probe_count == 0 && self.overall.samples < MEAN_SAMPLES {
@@ -974,20 +973,21 @@
         if self.settings.cancel && may_abandon && in_time {
             actions.push(Action::SetTimer { timer: id.0 + 1, after_ms });
         }
-        if self.settings.cancel && self.lost_fraction > MAX_LOST && self.random.f64() < LOST_ABANDON_FRACTION
+        if self.settings.cancel
+            && self.lost_fraction > MAX_LOST_RATIO
+            && self.random.f64() < LOST_ABANDON_RATIO
         {
             actions.push(Action::SetTimer { timer: id.0 + 1, after_ms: lost_at - now });
         }
     }
 
-    /// Returns when the answer to an attempt sent now is presumed lost: late for its class, in time for a
-    /// retry.
+    /// Returns when the answer to an attempt sent now is presumed lost: late for its class, in time to retry.
     fn lost_at(&self, now: f64, pending: &Pending) -> f64 {
         let late = now + LOST_LATENCIES * self.classes.get(pending.class).unwrap_or(&self.overall).latency_ms;
         let first = pending.first_run.map_or(now, |first| pending.attempts[first].sent_at);
         match pending.rules.effect {
             Effect::Keyed { window_ms, .. } => {
-                late.min(first + window_ms * RETRY_WINDOW_FRACTION * LOST_ABANDON_FRACTION).max(now)
+                late.min(first + window_ms * RETRY_WINDOW_FRACTION * LOST_ABANDON_RATIO).max(now)
             }
             Effect::Safe | Effect::Unsafe => late,
         }
@@ -1003,7 +1003,7 @@
     /// Without this, such a network path would cost each of its requests the whole time until its deadline.
     fn abandon_lost(&mut self, now: f64, id: RequestId, actions: &mut Vec<Action>) {
         let Some(mut pending) = self.pending.remove(&id) else { return };
-        let likely = self.lost_fraction > MAX_LOST;
+        let likely = self.lost_fraction > MAX_LOST_RATIO;
         let last = pending.attempts.last().filter(|a| likely && a.in_flight && self.is_overtaken(now, a));
         let may_retry = pending.attempts.len() < pending.max_attempts && self.retry_tokens >= 1.0;
         if last.is_some_and(|last| !last.abandoned)
@@ -1169,7 +1169,7 @@
                 (f64::from(u8::from(outcome.ending == Ending::TimedOut)) - self.lost_fraction) / LOST_SAMPLES;
         }
         // An answer that was lost in the network says nothing about the server.
-        let lost = overtaken && self.lost_fraction > MAX_LOST && outcome.ending == Ending::TimedOut;
+        let lost = overtaken && self.lost_fraction > MAX_LOST_RATIO && outcome.ending == Ending::TimedOut;
         // During a pause the node could not read an answer.
         let unheard = attempt.spans_pause && outcome.ending == Ending::TimedOut;
         if !unheard {
