--- a/crates/spurdrum-handover/src/incoming.rs
+++ b/crates/spurdrum-handover/src/incoming.rs
@@ -8,7 +8,7 @@
     /// The channel to the outgoing process is open.
     Connected,
     /// A message has arrived.
-    Said(Message),
+    Received(Message),
     /// There is no outgoing process, it has gone, it sent an invalid message, or it did not answer in time.
     Lost,
 }
@@ -32,7 +32,7 @@
     /// Serve the connection that was received; these bytes have been read from it already.
     Serve(Vec<u8>),
     /// The outgoing process has gone; the whole budget belongs to this process.
-    Alone,
+    OutgoingGone,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -64,30 +64,32 @@
                 self.state = State::Greeted;
                 actions.push(IncomingAction::Send(Message::Hello(self.identity.clone())));
             }
-            (State::Greeted, IncomingEvent::Said(Message::Offer { share, state })) => {
+            (State::Greeted, IncomingEvent::Received(Message::Offer { share, state })) => {
                 self.state = State::TakenOver;
                 actions.push(IncomingAction::TakeOver { share, state });
                 actions.push(IncomingAction::Send(Message::Confirm));
             }
-            (State::Greeted, IncomingEvent::Said(Message::Decline(why))) => self.start_alone(why, actions),
-            (State::TakenOver, IncomingEvent::Said(Message::Share(share))) => {
+            (State::Greeted, IncomingEvent::Received(Message::Decline(why))) => {
+                self.start_alone(why, actions)
+            }
+            (State::TakenOver, IncomingEvent::Received(Message::Share(share))) => {
                 actions.push(IncomingAction::Share(share));
             }
-            (State::TakenOver, IncomingEvent::Said(Message::Connection)) => {
+            (State::TakenOver, IncomingEvent::Received(Message::Connection)) => {
                 actions.push(IncomingAction::Serve(Vec::new()));
             }
-            (State::TakenOver, IncomingEvent::Said(Message::Request { read })) => {
+            (State::TakenOver, IncomingEvent::Received(Message::Request { read })) => {
                 actions.push(IncomingAction::Serve(read));
             }
             (State::Begun | State::Greeted, IncomingEvent::Lost) => {
                 self.start_alone("no process answers".into(), actions);
             }
-            (State::Greeted, IncomingEvent::Said(_)) => {
+            (State::Greeted, IncomingEvent::Received(_)) => {
                 self.start_alone("it answers out of turn".into(), actions);
             }
             (State::TakenOver, _) => {
                 self.state = State::Alone;
-                actions.push(IncomingAction::Alone);
+                actions.push(IncomingAction::OutgoingGone);
             }
             (State::Begun | State::Alone, _) | (State::Greeted, IncomingEvent::Connected) => {}
         }
--- a/crates/spurdrum-handover/src/lib.rs
+++ b/crates/spurdrum-handover/src/lib.rs
@@ -18,7 +18,7 @@
 
 pub use endpoint::path;
 pub use incoming::{Incoming, IncomingAction, IncomingEvent};
-pub use message::{Frames, Identity, Message, Unsound, FORMAT, FRAME_MOST};
+pub use message::{FrameError, Frames, Identity, Message, FORMAT, MAX_FRAME_PAYLOAD};
 pub use offer::{BudgetOwner, Offer};
 pub use outgoing::{IncomingId, Outgoing, OutgoingAction, OutgoingEvent};
 pub use takeover::{Takeover, TakeoverEvent};
--- a/crates/spurdrum-handover/src/message.rs
+++ b/crates/spurdrum-handover/src/message.rs
@@ -7,7 +7,7 @@
 /// The version of the message format; processes with different versions do not hand over.
 pub const FORMAT: u32 = 1;
 /// The longest payload of a frame, in bytes.
-pub const FRAME_MOST: usize = 1 << 20;
+pub const MAX_FRAME_PAYLOAD: usize = 1 << 20;
 
 const MAGIC: [u8; 4] = *b"SPHO";
 const HEAD: usize = 16;
@@ -88,10 +88,10 @@
 
 /// Why received bytes are not a valid frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unsound {
+pub enum FrameError {
     /// They do not start with the magic bytes.
     Magic,
-    /// The payload is longer than [`FRAME_MOST`].
+    /// The payload is longer than [`MAX_FRAME_PAYLOAD`].
     Length,
     /// The checksum does not match.
     Checksum,
@@ -99,7 +99,7 @@
     Payload,
 }
 
-impl fmt::Display for Unsound {
+impl fmt::Display for FrameError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Magic => "what came is no message",
@@ -110,7 +110,7 @@
     }
 }
 
-impl std::error::Error for Unsound {}
+impl std::error::Error for FrameError {}
 
 /// Assembles messages from bytes that arrive in arbitrary pieces.
 #[derive(Debug, Default)]
@@ -129,22 +129,22 @@
     /// # Errors
     ///
     /// The bytes are not a valid frame; no further message can be read.
-    pub fn take(&mut self) -> Result<Option<Message>, Unsound> {
+    pub fn take(&mut self) -> Result<Option<Message>, FrameError> {
         let known = self.bytes.len().min(MAGIC.len());
         if self.bytes[..known] != MAGIC[..known] {
-            return Err(Unsound::Magic);
+            return Err(FrameError::Magic);
         }
         let Some((head, rest)) = self.bytes.split_at_checked(HEAD) else { return Ok(None) };
         let number = |at: std::ops::Range<usize>| head[at].iter().fold(0, |n, b| n << 8 | u64::from(*b));
         let length = number(4..8) as usize;
-        if length > FRAME_MOST {
-            return Err(Unsound::Length);
+        if length > MAX_FRAME_PAYLOAD {
+            return Err(FrameError::Length);
         }
         let Some(payload) = rest.get(..length) else { return Ok(None) };
         if checksum(payload) != number(8..16) {
-            return Err(Unsound::Checksum);
+            return Err(FrameError::Checksum);
         }
-        let message = serde_json::from_slice(payload).map_err(|_| Unsound::Payload)?;
+        let message = serde_json::from_slice(payload).map_err(|_| FrameError::Payload)?;
         self.bytes.drain(..HEAD + length);
         Ok(Some(message))
     }
--- a/crates/spurdrum-handover/src/offer.rs
+++ b/crates/spurdrum-handover/src/offer.rs
@@ -49,7 +49,7 @@
     channels: RefCell<HashMap<IncomingId, mpsc::UnboundedSender<Queued>>>,
     last_id: Cell<u64>,
     /// The process that receives idle connections.
-    successor: Cell<Option<IncomingId>>,
+    incoming: Cell<Option<IncomingId>>,
     changed: Notify,
     /// Connections that are queued and not yet sent.
     unsent: Cell<usize>,
@@ -75,7 +75,7 @@
             budget: Box::new(budget),
             channels: RefCell::default(),
             last_id: Cell::new(0),
-            successor: Cell::new(None),
+            incoming: Cell::new(None),
             changed: Notify::new(),
             unsent: Cell::new(0),
         });
@@ -86,12 +86,12 @@
     /// Starts the shutdown of this process. Returns whether another process has confirmed and receives idle connections.
     pub fn stop(self: &Rc<Self>) -> bool {
         self.handle(OutgoingEvent::Stop);
-        self.successor.get().is_some()
+        self.incoming.get().is_some()
     }
 
     /// Whether idle connections can be passed on now.
-    pub fn passes(&self) -> bool {
-        self.successor.get().is_some()
+    pub fn can_hand_over(&self) -> bool {
+        self.incoming.get().is_some()
     }
 
     /// Whether another process has been sent the listening socket and has not confirmed yet.
@@ -100,8 +100,8 @@
     }
 
     /// Whether connections from which a request has been read can be passed on now.
-    pub fn passes_requests(&self) -> bool {
-        self.passes() && self.outgoing.borrow().passes_requests()
+    pub fn can_hand_over_requests(&self) -> bool {
+        self.can_hand_over() && self.outgoing.borrow().can_hand_over_requests()
     }
 
     /// Passes a connection on.
@@ -109,12 +109,12 @@
     /// # Errors
     ///
     /// Returns the connection if there is no process that accepts it.
-    pub fn pass(&self, connection: HandedOverConnection) -> Result<(), HandedOverConnection> {
-        if connection.has_request() && !self.passes_requests() {
+    pub fn hand_over(&self, connection: HandedOverConnection) -> Result<(), HandedOverConnection> {
+        if connection.has_request() && !self.can_hand_over_requests() {
             return Err(connection);
         }
         let channels = self.channels.borrow();
-        let queue = self.successor.get().and_then(|id| channels.get(&id)).filter(|queue| !queue.is_closed());
+        let queue = self.incoming.get().and_then(|id| channels.get(&id)).filter(|queue| !queue.is_closed());
         let Some(queue) = queue else { return Err(connection) };
         self.unsent.set(self.unsent.get() + 1);
         let HandedOverConnection { stream, read } = connection;
@@ -125,8 +125,8 @@
     }
 
     /// Whether all connections that were passed on have been sent.
-    pub fn is_sent(&self) -> bool {
-        self.unsent.get() == 0 || self.successor.get().is_none()
+    pub fn all_sent(&self) -> bool {
+        self.unsent.get() == 0 || self.incoming.get().is_none()
     }
 
     /// Feeds an event to the state machine and performs its actions.
@@ -146,17 +146,17 @@
                 self.close(id);
             }
             OutgoingAction::Drop(id) => self.close(id),
-            OutgoingAction::Succeeded(_) => {
+            OutgoingAction::Confirmed(_) => {
                 tracing::info!("another process serves this address as well");
                 self.changed.notify_one();
             }
-            OutgoingAction::Pass(id) => {
-                self.successor.set(Some(id));
+            OutgoingAction::HandOver(id) => {
+                self.incoming.set(Some(id));
                 tokio::task::spawn_local(Rc::clone(self).report_share(id));
             }
-            OutgoingAction::Alone => {
+            OutgoingAction::ResumeAlone => {
                 tracing::info!("the other process has gone");
-                self.successor.set(None);
+                self.incoming.set(None);
                 self.budget.restore();
                 self.changed.notify_one();
             }
@@ -185,7 +185,7 @@
     /// Reports a shrinking share until the incoming process has gone.
     async fn report_share(self: Rc<Self>, id: IncomingId) {
         let mut reported = usize::MAX;
-        while self.successor.get() == Some(id) {
+        while self.incoming.get() == Some(id) {
             let share = self.budget.shrink_to_use();
             if share < reported {
                 reported = share;
@@ -203,7 +203,7 @@
                 Some(requests) => self.accept_or_wait(requests).await,
                 None => self.changed.notified().await,
             }
-            let succeeded = self.outgoing.borrow().is_succeeded();
+            let succeeded = self.outgoing.borrow().is_confirmed();
             if succeeded {
                 requests = None;
             } else if requests.is_none() {
@@ -232,7 +232,7 @@
         self.last_id.set(id.0);
         let (queue, mut queued) = mpsc::unbounded_channel();
         self.channels.borrow_mut().insert(id, queue);
-        self.handle(OutgoingEvent::Called(id));
+        self.handle(OutgoingEvent::Connected(id));
         // The channel ends with whichever direction ends first.
         tokio::select! {
             _ = self.write_queued(&channel, &mut queued) => {}
@@ -259,7 +259,7 @@
     async fn read_messages(self: &Rc<Self>, id: IncomingId, channel: &Channel) -> io::Result<Infallible> {
         loop {
             let (message, _) = channel.receive().await?;
-            self.handle(OutgoingEvent::Said(id, message));
+            self.handle(OutgoingEvent::Received(id, message));
         }
     }
 }
--- a/crates/spurdrum-handover/src/outgoing.rs
+++ b/crates/spurdrum-handover/src/outgoing.rs
@@ -10,9 +10,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum OutgoingEvent {
     /// A process of the same user has connected.
-    Called(IncomingId),
+    Connected(IncomingId),
     /// It has sent this message.
-    Said(IncomingId, Message),
+    Received(IncomingId, Message),
     /// It has gone, or sent an invalid message.
     Lost(IncomingId),
     /// The outgoing process starts its shutdown.
@@ -29,11 +29,11 @@
     /// Close the channel.
     Drop(IncomingId),
     /// The incoming process accepts connections as well, and receives the next takeover request.
-    Succeeded(IncomingId),
+    Confirmed(IncomingId),
     /// Accept no more connections, and pass idle ones on.
-    Pass(IncomingId),
+    HandOver(IncomingId),
     /// The incoming process has gone: this process has the whole budget again, and accepts connections and takeover requests.
-    Alone,
+    ResumeAlone,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -41,7 +41,7 @@
     Alone,
     Greeting(IncomingId),
     Offered(IncomingId),
-    Succeeded(IncomingId),
+    Confirmed(IncomingId),
 }
 
 /// The state machine of the outgoing process, without clock or I/O.
@@ -64,17 +64,17 @@
     /// Handles an event and appends the resulting actions.
     pub fn handle(&mut self, event: OutgoingEvent, actions: &mut Vec<OutgoingAction>) {
         match event {
-            OutgoingEvent::Called(id) => match self.state {
+            OutgoingEvent::Connected(id) => match self.state {
                 _ if self.stopping => actions.push(OutgoingAction::Decline(id, "this process is ending")),
                 State::Alone => self.state = State::Greeting(id),
                 _ => actions.push(OutgoingAction::Decline(id, "another process is taking over")),
             },
-            OutgoingEvent::Said(id, message) => self.said(id, &message, actions),
+            OutgoingEvent::Received(id, message) => self.said(id, &message, actions),
             OutgoingEvent::Lost(id) => self.lost(id, actions),
             OutgoingEvent::Stop => {
                 self.stopping = true;
                 match self.state {
-                    State::Succeeded(id) => actions.push(OutgoingAction::Pass(id)),
+                    State::Confirmed(id) => actions.push(OutgoingAction::HandOver(id)),
                     State::Greeting(id) => {
                         self.state = State::Alone;
                         actions.push(OutgoingAction::Decline(id, "this process is ending"));
@@ -102,10 +102,10 @@
                 actions.push(OutgoingAction::Decline(id, why));
             }
             (State::Offered(of), Message::Confirm) if of == id => {
-                self.state = State::Succeeded(id);
-                actions.push(OutgoingAction::Succeeded(id));
+                self.state = State::Confirmed(id);
+                actions.push(OutgoingAction::Confirmed(id));
                 if self.stopping {
-                    actions.push(OutgoingAction::Pass(id));
+                    actions.push(OutgoingAction::HandOver(id));
                 }
             }
             // A protocol violation.
@@ -119,9 +119,9 @@
     fn lost(&mut self, id: IncomingId, actions: &mut Vec<OutgoingAction>) {
         match self.state {
             State::Greeting(of) if of == id => self.state = State::Alone,
-            State::Offered(of) | State::Succeeded(of) if of == id => {
+            State::Offered(of) | State::Confirmed(of) if of == id => {
                 self.state = State::Alone;
-                actions.push(OutgoingAction::Alone);
+                actions.push(OutgoingAction::ResumeAlone);
             }
             _ => {}
         }
@@ -135,13 +135,13 @@
 
     /// Whether the process that takes over accepts requests that were read here.
     #[must_use]
-    pub fn passes_requests(&self) -> bool {
-        self.is_succeeded() && self.accepts_requests
+    pub fn can_hand_over_requests(&self) -> bool {
+        self.is_confirmed() && self.accepts_requests
     }
 
     /// Whether another process accepts connections as well.
     #[must_use]
-    pub fn is_succeeded(&self) -> bool {
-        matches!(self.state, State::Succeeded(_))
+    pub fn is_confirmed(&self) -> bool {
+        matches!(self.state, State::Confirmed(_))
     }
 }
--- a/crates/spurdrum-handover/src/takeover.rs
+++ b/crates/spurdrum-handover/src/takeover.rs
@@ -35,7 +35,7 @@
                 let stream = descriptor.take().map(TcpStream::from);
                 stream.map(|stream| Self::Connection(HandedOverConnection { stream, read }))
             }
-            IncomingAction::Alone => Some(Self::OutgoingGone),
+            IncomingAction::OutgoingGone => Some(Self::OutgoingGone),
             IncomingAction::Send(_) | IncomingAction::TakeOver { .. } | IncomingAction::StartAlone(_) => None,
         }
     }
@@ -95,7 +95,7 @@
                 }
                 IncomingAction::TakeOver { share, state } => offered = Some((share, state)),
                 IncomingAction::StartAlone(why) => return Err(why),
-                IncomingAction::Share(_) | IncomingAction::Serve(_) | IncomingAction::Alone => {}
+                IncomingAction::Share(_) | IncomingAction::Serve(_) | IncomingAction::OutgoingGone => {}
             }
         }
         Ok(offered)
@@ -122,7 +122,7 @@
 /// Waits for the outgoing process's next message, with the descriptor that it carries.
 async fn next_event(channel: &Channel) -> (IncomingEvent, Option<OwnedFd>) {
     match channel.receive().await {
-        Ok((message, descriptor)) => (IncomingEvent::Said(message), descriptor),
+        Ok((message, descriptor)) => (IncomingEvent::Received(message), descriptor),
         Err(_) => (IncomingEvent::Lost, None),
     }
 }
--- a/crates/spurdrum-handover/tests/machines.rs
+++ b/crates/spurdrum-handover/tests/machines.rs
@@ -3,8 +3,8 @@
 use proptest::prelude::*;
 use serde_json::Value;
 use spurdrum_handover::{
-    Frames, Identity, Incoming, IncomingAction, IncomingEvent, IncomingId, Message, Outgoing, OutgoingAction,
-    OutgoingEvent, Unsound, FORMAT, FRAME_MOST,
+    FrameError, Frames, Identity, Incoming, IncomingAction, IncomingEvent, IncomingId, Message, Outgoing,
+    OutgoingAction, OutgoingEvent, FORMAT, MAX_FRAME_PAYLOAD,
 };
 
 const ID: IncomingId = IncomingId(1);
@@ -23,27 +23,27 @@
 }
 
 fn hello() -> OutgoingEvent {
-    OutgoingEvent::Said(ID, Message::Hello(identity()))
+    OutgoingEvent::Received(ID, Message::Hello(identity()))
 }
 
 fn confirm() -> OutgoingEvent {
-    OutgoingEvent::Said(ID, Message::Confirm)
+    OutgoingEvent::Received(ID, Message::Confirm)
 }
 
 #[test]
 fn a_process_is_succeeded_once_the_other_has_confirmed_and_passes_when_told_to_end() {
-    let (outgoing, actions) = outgoing(&[OutgoingEvent::Called(ID), hello()]);
+    let (outgoing, actions) = outgoing(&[OutgoingEvent::Connected(ID), hello()]);
     assert_eq!(actions, [OutgoingAction::Offer(ID)]);
-    assert!(!outgoing.is_succeeded());
-    let (mut outgoing, actions) = self::outgoing(&[OutgoingEvent::Called(ID), hello(), confirm()]);
-    assert_eq!(actions, [OutgoingAction::Succeeded(ID)]);
-    assert!(outgoing.is_succeeded());
+    assert!(!outgoing.is_confirmed());
+    let (mut outgoing, actions) = self::outgoing(&[OutgoingEvent::Connected(ID), hello(), confirm()]);
+    assert_eq!(actions, [OutgoingAction::Confirmed(ID)]);
+    assert!(outgoing.is_confirmed());
     let mut actions = Vec::new();
     outgoing.handle(OutgoingEvent::Stop, &mut actions);
-    assert_eq!(actions, [OutgoingAction::Pass(ID)]);
+    assert_eq!(actions, [OutgoingAction::HandOver(ID)]);
     // It dies while it takes over: the old one has all of the node again.
     outgoing.handle(OutgoingEvent::Lost(ID), &mut actions);
-    assert_eq!(actions[1..], [OutgoingAction::Alone]);
+    assert_eq!(actions[1..], [OutgoingAction::ResumeAlone]);
 }
 
 /// Guards against requests that are handed to a process of an older version, which would take them for noise.
@@ -51,10 +51,10 @@
 fn requests_go_only_to_a_process_that_says_that_it_accepts_them() {
     for accepts_requests in [true, false] {
         let hello = Message::Hello(Identity { accepts_requests, ..identity() });
-        let (mut outgoing, _) = outgoing(&[OutgoingEvent::Called(ID), OutgoingEvent::Said(ID, hello)]);
-        assert!(!outgoing.passes_requests(), "it has not confirmed");
+        let (mut outgoing, _) = outgoing(&[OutgoingEvent::Connected(ID), OutgoingEvent::Received(ID, hello)]);
+        assert!(!outgoing.can_hand_over_requests(), "it has not confirmed");
         outgoing.handle(confirm(), &mut Vec::new());
-        assert_eq!(outgoing.passes_requests(), accepts_requests);
+        assert_eq!(outgoing.can_hand_over_requests(), accepts_requests);
     }
     let older = r#"{"format":1,"name":"n0","listen":"127.0.0.1:1"}"#;
     let older: Identity = serde_json::from_str(older).expect("still understood");
@@ -63,14 +63,14 @@
 
 #[test]
 fn told_to_end_before_the_confirmation_it_passes_once_that_comes() {
-    let (_, actions) = outgoing(&[OutgoingEvent::Called(ID), hello(), OutgoingEvent::Stop, confirm()]);
-    assert_eq!(actions, [OutgoingAction::Succeeded(ID), OutgoingAction::Pass(ID)]);
+    let (_, actions) = outgoing(&[OutgoingEvent::Connected(ID), hello(), OutgoingEvent::Stop, confirm()]);
+    assert_eq!(actions, [OutgoingAction::Confirmed(ID), OutgoingAction::HandOver(ID)]);
     let (_, actions) =
-        outgoing(&[OutgoingEvent::Called(ID), hello(), OutgoingEvent::Stop, OutgoingEvent::Lost(ID)]);
-    assert_eq!(actions, [OutgoingAction::Alone]);
-    let (_, actions) = outgoing(&[OutgoingEvent::Called(ID), OutgoingEvent::Stop]);
+        outgoing(&[OutgoingEvent::Connected(ID), hello(), OutgoingEvent::Stop, OutgoingEvent::Lost(ID)]);
+    assert_eq!(actions, [OutgoingAction::ResumeAlone]);
+    let (_, actions) = outgoing(&[OutgoingEvent::Connected(ID), OutgoingEvent::Stop]);
     assert!(matches!(actions[..], [OutgoingAction::Decline(ID, _)]));
-    let (_, actions) = outgoing(&[OutgoingEvent::Stop, OutgoingEvent::Called(ID)]);
+    let (_, actions) = outgoing(&[OutgoingEvent::Stop, OutgoingEvent::Connected(ID)]);
     assert!(matches!(actions[..], [OutgoingAction::Decline(ID, _)]));
 }
 
@@ -82,30 +82,31 @@
         Identity { listen: "127.0.0.1:2".into(), ..identity() },
     ];
     for stranger in strangers {
-        let said = OutgoingEvent::Said(ID, Message::Hello(stranger));
-        let (_, actions) = outgoing(&[OutgoingEvent::Called(ID), said.clone()]);
+        let said = OutgoingEvent::Received(ID, Message::Hello(stranger));
+        let (_, actions) = outgoing(&[OutgoingEvent::Connected(ID), said.clone()]);
         assert!(matches!(actions[..], [OutgoingAction::Decline(ID, _)]));
         let next = IncomingId(2);
-        let hello = OutgoingEvent::Said(next, Message::Hello(identity()));
-        let (_, actions) = outgoing(&[OutgoingEvent::Called(ID), said, OutgoingEvent::Called(next), hello]);
+        let hello = OutgoingEvent::Received(next, Message::Hello(identity()));
+        let (_, actions) =
+            outgoing(&[OutgoingEvent::Connected(ID), said, OutgoingEvent::Connected(next), hello]);
         assert_eq!(actions, [OutgoingAction::Offer(next)]);
     }
 }
 
 #[test]
 fn of_three_starts_at_once_one_takes_over() {
-    let called = [OutgoingEvent::Called(ID), OutgoingEvent::Called(IncomingId(2))];
+    let called = [OutgoingEvent::Connected(ID), OutgoingEvent::Connected(IncomingId(2))];
     assert!(matches!(outgoing(&called).1[..], [OutgoingAction::Decline(IncomingId(2), _)]));
     // One that dies before it confirms leaves its place to the next.
-    let (_, actions) = outgoing(&[OutgoingEvent::Called(ID), hello(), OutgoingEvent::Lost(ID)]);
-    assert_eq!(actions, [OutgoingAction::Alone]);
+    let (_, actions) = outgoing(&[OutgoingEvent::Connected(ID), hello(), OutgoingEvent::Lost(ID)]);
+    assert_eq!(actions, [OutgoingAction::ResumeAlone]);
     let next = IncomingId(3);
-    let hello_3 = OutgoingEvent::Said(next, Message::Hello(identity()));
+    let hello_3 = OutgoingEvent::Received(next, Message::Hello(identity()));
     let (_, actions) = outgoing(&[
-        OutgoingEvent::Called(ID),
+        OutgoingEvent::Connected(ID),
         hello(),
         OutgoingEvent::Lost(ID),
-        OutgoingEvent::Called(next),
+        OutgoingEvent::Connected(next),
         hello_3,
     ]);
     assert_eq!(actions, [OutgoingAction::Offer(next)]);
@@ -123,17 +124,20 @@
     let alone = |actions: &[IncomingAction]| matches!(actions.last(), Some(IncomingAction::StartAlone(_)));
     assert!(alone(&run(vec![IncomingEvent::Lost])));
     assert!(alone(&run(vec![IncomingEvent::Connected, IncomingEvent::Lost])));
-    assert!(alone(&run(vec![IncomingEvent::Connected, IncomingEvent::Said(Message::Decline("no".into()))])));
-    assert!(alone(&run(vec![IncomingEvent::Connected, IncomingEvent::Said(Message::Share(3))])));
-    let offer = IncomingEvent::Said(Message::Offer { share: 9, state: Value::Null });
+    assert!(alone(&run(vec![
+        IncomingEvent::Connected,
+        IncomingEvent::Received(Message::Decline("no".into()))
+    ])));
+    assert!(alone(&run(vec![IncomingEvent::Connected, IncomingEvent::Received(Message::Share(3))])));
+    let offer = IncomingEvent::Received(Message::Offer { share: 9, state: Value::Null });
     let actions = run(vec![
         IncomingEvent::Connected,
         offer,
-        IncomingEvent::Said(Message::Connection),
-        IncomingEvent::Said(Message::Request { read: b"GET".to_vec() }),
-        IncomingEvent::Said(Message::Share(2)),
+        IncomingEvent::Received(Message::Connection),
+        IncomingEvent::Received(Message::Request { read: b"GET".to_vec() }),
+        IncomingEvent::Received(Message::Share(2)),
         IncomingEvent::Lost,
-        IncomingEvent::Said(Message::Connection),
+        IncomingEvent::Received(Message::Connection),
     ]);
     assert_eq!(
         actions[1..],
@@ -143,7 +147,7 @@
             IncomingAction::Serve(Vec::new()),
             IncomingAction::Serve(b"GET".to_vec()),
             IncomingAction::Share(2),
-            IncomingAction::Alone
+            IncomingAction::OutgoingGone
         ]
     );
 }
@@ -153,18 +157,18 @@
     let sound = Message::Share(7).encode();
     let mut frames = Frames::default();
     frames.push(b"GET / HTTP");
-    assert_eq!(frames.take(), Err(Unsound::Magic));
+    assert_eq!(frames.take(), Err(FrameError::Magic));
     let mut long = sound.clone();
-    long[4..8].copy_from_slice(&(FRAME_MOST as u32 + 1).to_be_bytes());
+    long[4..8].copy_from_slice(&(MAX_FRAME_PAYLOAD as u32 + 1).to_be_bytes());
     let mut frames = Frames::default();
     frames.push(&long);
-    assert_eq!(frames.take(), Err(Unsound::Length));
+    assert_eq!(frames.take(), Err(FrameError::Length));
     for at in 8..sound.len() {
         let mut damaged = sound.clone();
         damaged[at] ^= 0x20;
         let mut frames = Frames::default();
         frames.push(&damaged);
-        assert_eq!(frames.take(), Err(Unsound::Checksum), "byte {at}");
+        assert_eq!(frames.take(), Err(FrameError::Checksum), "byte {at}");
     }
 }
 
@@ -207,9 +211,9 @@
         for (id, kind, message) in events {
             let id = IncomingId(id);
             let event = match kind {
-                0 => OutgoingEvent::Called(id),
+                0 => OutgoingEvent::Connected(id),
                 1 => OutgoingEvent::Lost(id),
-                2 => OutgoingEvent::Said(id, message),
+                2 => OutgoingEvent::Received(id, message),
                 _ => OutgoingEvent::Stop,
             };
             let mut actions = Vec::new();
@@ -217,16 +221,16 @@
             for action in actions {
                 match action {
                     OutgoingAction::Offer(id) => drop(offered.insert(id)),
-                    OutgoingAction::Succeeded(id) => {
+                    OutgoingAction::Confirmed(id) => {
                         prop_assert!(offered.contains(&id) && confirmed.is_none());
                         confirmed = Some(id);
                     }
-                    OutgoingAction::Pass(id) => prop_assert_eq!(confirmed, Some(id)),
-                    OutgoingAction::Alone => confirmed = None,
+                    OutgoingAction::HandOver(id) => prop_assert_eq!(confirmed, Some(id)),
+                    OutgoingAction::ResumeAlone => confirmed = None,
                     OutgoingAction::Decline(..) | OutgoingAction::Drop(_) => {}
                 }
             }
-            prop_assert_eq!(outgoing.is_succeeded(), confirmed.is_some());
+            prop_assert_eq!(outgoing.is_confirmed(), confirmed.is_some());
         }
     }
 }
--- a/crates/spurdrum-keeper/src/shell.rs
+++ b/crates/spurdrum-keeper/src/shell.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use serde_json::Value;
-use spurdrum_ops::Answers;
+use spurdrum_ops::CallHandler;
 use spurdrum_rollout::orders::{NodeStatistics, RequestCounts, SupervisorRequest, MAX_LINE_BYTES};
 use spurdrum_rollout::shell::call;
 use spurdrum_rollout::timers::Timers;
@@ -78,7 +78,8 @@
     shell.handle(Event::ProcessesFound(versions));
     tokio::task::spawn_local(Rc::clone(&shell).watch_processes());
     tokio::task::spawn_local(Rc::clone(&shell).collect_statistics());
-    let line_settings = spurdrum_ops::Settings { line: MAX_LINE_BYTES, ..spurdrum_ops::Settings::default() };
+    let line_settings =
+        spurdrum_ops::Settings { max_line_bytes: MAX_LINE_BYTES, ..spurdrum_ops::Settings::default() };
     spurdrum_ops::serve(listener, ControllerRequests(shell), line_settings).await;
     Ok(())
 }
@@ -286,7 +287,7 @@
 /// Answers the requests of rollout controllers.
 struct ControllerRequests(Rc<SupervisorShell>);
 
-impl Answers for ControllerRequests {
+impl CallHandler for ControllerRequests {
     fn answer(&self, line: &str) -> String {
         let shell = &self.0;
         shell.reply.replace(None);
--- a/crates/spurdrum-ops/src/calls.rs
+++ b/crates/spurdrum-ops/src/calls.rs
@@ -1,9 +1,9 @@
 //! What operators may ask of a node.
 
-use crate::shell::Answers;
+use crate::shell::CallHandler;
 
 /// What is operated: it answers calls and changes nothing.
-pub trait Operated: 'static {
+pub trait AdminOperations: 'static {
     /// Why this process cannot serve, if it cannot.
     fn ready(&self) -> Result<(), String>;
 
@@ -17,9 +17,9 @@
 }
 
 /// The calls of a node.
-pub struct Calls<O>(pub O);
+pub struct NodeCalls<O>(pub O);
 
-impl<O: Operated> Answers for Calls<O> {
+impl<O: AdminOperations> CallHandler for NodeCalls<O> {
     fn answer(&self, line: &str) -> String {
         let none = || "NO there is no such call: readyz, telemetry\n".to_owned();
         match line {
@@ -39,7 +39,7 @@
 
     struct Told(bool);
 
-    impl Operated for Told {
+    impl AdminOperations for Told {
         fn ready(&self) -> Result<(), String> {
             self.0.then_some(()).ok_or_else(|| "ending".into())
         }
@@ -51,9 +51,9 @@
 
     #[test]
     fn calls_are_known_by_their_line() {
-        let ask = |line| Calls(Told(true)).answer(line);
+        let ask = |line| NodeCalls(Told(true)).answer(line);
         assert_eq!((ask("readyz"), ask("telemetry")), ("YES ready\n".into(), "{}\nEND\n".into()));
-        assert_eq!(Calls(Told(false)).answer("readyz"), "NO ending\n");
+        assert_eq!(NodeCalls(Told(false)).answer("readyz"), "NO ending\n");
         for wrong in ["ready", "readyz telemetry", "READYZ", "latencies"] {
             assert_eq!(ask(wrong), "NO there is no such call: readyz, telemetry\n");
         }
--- a/crates/spurdrum-ops/src/desk.rs
+++ b/crates/spurdrum-ops/src/desk.rs
@@ -11,17 +11,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// Callers that may be there at once.
-    pub callers: usize,
+    pub max_callers: usize,
     /// Bytes of a line.
-    pub line: usize,
+    pub max_line_bytes: usize,
     /// A caller has so long for its line.
-    pub patience: Duration,
+    pub line_timeout: Duration,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         // Some callers stay for 4 s and say nothing; who speaks slowly may still be understood after that.
-        Self { callers: 16, line: 256, patience: Duration::from_secs(5) }
+        Self { max_callers: 16, max_line_bytes: 256, line_timeout: Duration::from_secs(5) }
     }
 }
 
@@ -29,14 +29,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event<'a> {
     /// It has connected.
-    Came(CallerId),
+    Connected(CallerId),
     /// It has said more.
-    Said(CallerId, &'a [u8]),
+    Received(CallerId, &'a [u8]),
     /// It will say no more, but may still hear the answer.
-    Ended(CallerId),
+    InputClosed(CallerId),
     /// It has left.
-    Left(CallerId),
-    /// The time that [`Desk::next_wake`] told has come.
+    Disconnected(CallerId),
+    /// The time that [`AdminEndpoint::next_wake`] told has come.
     Tick,
 }
 
@@ -46,9 +46,9 @@
     /// Answer this line, and close.
     Answer(CallerId, String),
     /// Answer `NO` and this reason, and close.
-    Decline(CallerId, &'static str),
+    Reject(CallerId, &'static str),
     /// Close without a word: it makes room.
-    Shed(CallerId),
+    Evict(CallerId),
 }
 
 #[derive(Debug)]
@@ -59,13 +59,13 @@
 
 /// The decisions on callers: no clock and no I/O.
 #[derive(Debug)]
-pub struct Desk {
+pub struct AdminEndpoint {
     settings: Settings,
     /// Those that have not said their line, in the order they came.
     callers: BTreeMap<CallerId, Caller>,
 }
 
-impl Desk {
+impl AdminEndpoint {
     /// A desk with nobody at it.
     #[must_use]
     pub fn new(settings: Settings) -> Self {
@@ -75,23 +75,23 @@
     /// Handles an event. Times never run backwards.
     pub fn handle(&mut self, now: Duration, event: Event<'_>, actions: &mut Vec<Action>) {
         match event {
-            Event::Came(id) => {
+            Event::Connected(id) => {
                 // Guards against callers that say nothing and keep out one that would.
-                while self.callers.len() >= self.settings.callers.max(1) {
+                while self.callers.len() >= self.settings.max_callers.max(1) {
                     let Some((oldest, _)) = self.callers.pop_first() else { break };
-                    actions.push(Action::Shed(oldest));
+                    actions.push(Action::Evict(oldest));
                 }
-                let due = now + self.settings.patience;
+                let due = now + self.settings.line_timeout;
                 self.callers.insert(id, Caller { line: Vec::new(), due });
             }
-            Event::Said(id, bytes) => {
+            Event::Received(id, bytes) => {
                 let Some(caller) = self.callers.get_mut(&id) else { return };
                 let end = bytes.iter().position(|byte| *byte == b'\n');
-                let room = self.settings.line.saturating_sub(caller.line.len());
+                let room = self.settings.max_line_bytes.saturating_sub(caller.line.len());
                 let part = &bytes[..end.unwrap_or(bytes.len())];
                 if part.len() > room {
                     self.callers.remove(&id);
-                    return actions.push(Action::Decline(id, "the line is too long"));
+                    return actions.push(Action::Reject(id, "the line is too long"));
                 }
                 caller.line.extend_from_slice(part);
                 if end.is_some() {
@@ -99,11 +99,11 @@
                 }
             }
             // A line whose end is the connection's counts, but an empty one is nothing said.
-            Event::Ended(id) => self.conclude(id, actions),
-            Event::Left(id) => drop(self.callers.remove(&id)),
+            Event::InputClosed(id) => self.conclude(id, actions),
+            Event::Disconnected(id) => drop(self.callers.remove(&id)),
             Event::Tick => {
                 while let Some(first) = self.callers.first_entry().filter(|first| first.get().due <= now) {
-                    actions.push(Action::Decline(*first.key(), "no line came"));
+                    actions.push(Action::Reject(*first.key(), "no line came"));
                     first.remove();
                 }
             }
@@ -114,7 +114,7 @@
         let Some(caller) = self.callers.remove(&id) else { return };
         actions.push(match read(&caller.line) {
             Ok(line) => Action::Answer(id, line),
-            Err(why) => Action::Decline(id, why),
+            Err(why) => Action::Reject(id, why),
         });
     }
 
@@ -126,7 +126,7 @@
 
     /// Callers that have not said their line.
     #[must_use]
-    pub fn callers(&self) -> usize {
+    pub fn waiting_callers(&self) -> usize {
         self.callers.len()
     }
 }
--- a/crates/spurdrum-ops/src/figures.rs
+++ b/crates/spurdrum-ops/src/figures.rs
@@ -5,7 +5,7 @@
 
 /// What is shown of the servers beside the figures that are counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Servers {
+pub struct ServerCounts {
     /// Servers in the list.
     pub listed: usize,
     /// Those of them that the decisions avoid now.
@@ -14,7 +14,7 @@
 
 /// The figures in one line, then a line `END`.
 #[must_use]
-pub fn telemetry(figures: &NodeMetrics, servers: Servers) -> String {
+pub fn telemetry(figures: &NodeMetrics, servers: ServerCounts) -> String {
     let calls: Map<String, Value> = figures
         .classes()
         .into_iter()
--- a/crates/spurdrum-ops/src/lib.rs
+++ b/crates/spurdrum-ops/src/lib.rs
@@ -6,9 +6,9 @@
 //! | `telemetry` | the figures as one line of JSON, then a line `END` |
 //! | `latencies` | where `[node] latencies` is on: by class, upper bounds in microseconds and counts, then a line `END` |
 //!
-//! Other programs of this project answer lines of their own ([`Answers`]).
+//! Other programs of this project answer lines of their own ([`CallHandler`]).
 //!
-//! A [`Desk`] is the pure half: it reads lines as they come in pieces, and bounds callers in number, bytes and time. The
+//! A [`AdminEndpoint`] is the pure half: it reads lines as they come in pieces, and bounds callers in number, bytes and time. The
 //! oldest that has not said its line makes room for who comes. [`serve`] is the thin shell of sockets round it.
 
 mod calls;
@@ -16,7 +16,7 @@
 mod figures;
 mod shell;
 
-pub use calls::{Calls, Operated};
-pub use desk::{Action, CallerId, Desk, Event, Settings};
-pub use figures::{latencies, telemetry, Servers};
-pub use shell::{serve, Answers};
+pub use calls::{AdminOperations, NodeCalls};
+pub use desk::{Action, AdminEndpoint, CallerId, Event, Settings};
+pub use figures::{latencies, telemetry, ServerCounts};
+pub use shell::{serve, CallHandler};
--- a/crates/spurdrum-ops/src/shell.rs
+++ b/crates/spurdrum-ops/src/shell.rs
@@ -11,7 +11,7 @@
 use tokio::sync::{oneshot, Notify};
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-use crate::desk::{Action, CallerId, Desk, Event, Settings};
+use crate::desk::{Action, AdminEndpoint, CallerId, Event, Settings};
 
 /// A caller has so long to take its answer: it fits into the buffers of a socket.
 const READ_MOST: Duration = Duration::from_millis(200);
@@ -19,7 +19,7 @@
 const REST: Duration = Duration::from_millis(5);
 
 /// Who answers lines.
-pub trait Answers: 'static {
+pub trait CallHandler: 'static {
     /// The answer to a line, whole lines. Nothing else goes on meanwhile.
     fn answer(&self, line: &str) -> String;
 }
@@ -29,7 +29,7 @@
 
 struct Shell<A> {
     answers: A,
-    desk: RefCell<Desk>,
+    desk: RefCell<AdminEndpoint>,
     started: Instant,
     /// How each caller that has not said its line is told what becomes of it.
     waiting: RefCell<HashMap<CallerId, oneshot::Sender<Option<String>>>>,
@@ -38,10 +38,10 @@
 }
 
 /// Answers lines for as long as the process runs.
-pub async fn serve(listener: TcpListener, answers: impl Answers, settings: Settings) {
+pub async fn serve(listener: TcpListener, answers: impl CallHandler, settings: Settings) {
     let shell = Rc::new(Shell {
         answers,
-        desk: RefCell::new(Desk::new(settings)),
+        desk: RefCell::new(AdminEndpoint::new(settings)),
         started: Instant::now(),
         waiting: RefCell::default(),
         changed: Notify::new(),
@@ -63,15 +63,15 @@
     }
 }
 
-impl<A: Answers> Shell<A> {
+impl<A: CallHandler> Shell<A> {
     fn tell(&self, event: Event<'_>) {
         let mut actions = Vec::new();
         self.desk.borrow_mut().handle(self.started.elapsed(), event, &mut actions);
         for action in actions {
             let (id, answer) = match action {
                 Action::Answer(id, line) => (id, Some(self.answers.answer(&line))),
-                Action::Decline(id, why) => (id, Some(format!("NO {why}\n"))),
-                Action::Shed(id) => (id, None),
+                Action::Reject(id, why) => (id, Some(format!("NO {why}\n"))),
+                Action::Evict(id) => (id, None),
             };
             if let Some(waiting) = self.waiting.borrow_mut().remove(&id) {
                 // It fails where the caller has just left.
@@ -85,7 +85,7 @@
         self.last.set(id.0);
         let (tell, mut told) = oneshot::channel();
         self.waiting.borrow_mut().insert(id, tell);
-        self.tell(Event::Came(id));
+        self.tell(Event::Connected(id));
         self.changed.notify_one();
         let mut piece = [0; 256];
         let answer = loop {
@@ -93,10 +93,10 @@
                 biased;
                 answer = &mut told => break answer.ok().flatten(),
                 read = stream.read(&mut piece) => match read {
-                    Ok(0) => self.tell(Event::Ended(id)),
-                    Ok(n) => self.tell(Event::Said(id, &piece[..n])),
+                    Ok(0) => self.tell(Event::InputClosed(id)),
+                    Ok(n) => self.tell(Event::Received(id, &piece[..n])),
                     Err(_) => {
-                        self.tell(Event::Left(id));
+                        self.tell(Event::Disconnected(id));
                         self.waiting.borrow_mut().remove(&id);
                     }
                 },
--- a/crates/spurdrum-rollout/src/shell.rs
+++ b/crates/spurdrum-rollout/src/shell.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use serde::Serialize;
-use spurdrum_ops::Answers;
+use spurdrum_ops::CallHandler;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
@@ -252,7 +252,7 @@
 /// Answers the calls of operators to a running controller.
 struct OperatorCalls(Rc<RolloutShell>);
 
-impl Answers for OperatorCalls {
+impl CallHandler for OperatorCalls {
     fn answer(&self, line: &str) -> String {
         let command = match line {
             "status" => None,
--- a/crates/spurdrum/src/main.rs
+++ b/crates/spurdrum/src/main.rs
@@ -319,7 +319,7 @@
     let ending = Rc::new(Cell::new(false));
     if let Some(desk) = desk {
         let operated = operated::Process { node: Rc::clone(&node), ending: Rc::clone(&ending) };
-        let calls = spurdrum_ops::Calls(operated);
+        let calls = spurdrum_ops::NodeCalls(operated);
         tokio::task::spawn_local(spurdrum_ops::serve(desk, calls, spurdrum_ops::Settings::default()));
     }
     let status = move || {
--- a/crates/spurdrum/src/operated.rs
+++ b/crates/spurdrum/src/operated.rs
@@ -5,7 +5,7 @@
 
 use spurdrum_core::Node;
 use spurdrum_http::Upstream;
-use spurdrum_ops::{Operated, Servers};
+use spurdrum_ops::{AdminOperations, ServerCounts};
 
 /// This process as operators see it.
 pub struct Process {
@@ -15,7 +15,7 @@
     pub ending: Rc<Cell<bool>>,
 }
 
-impl Operated for Process {
+impl AdminOperations for Process {
     fn ready(&self) -> Result<(), String> {
         if self.ending.get() {
             return Err("ending".into());
@@ -31,7 +31,7 @@
 
     fn telemetry(&self) -> String {
         let (listed, down) = self.node.server_counts();
-        spurdrum_ops::telemetry(&self.node.metrics, Servers { listed, down })
+        spurdrum_ops::telemetry(&self.node.metrics, ServerCounts { listed, down })
     }
 
     fn latencies(&self) -> Option<String> {
--- a/crates/spurdrum/src/replace.rs
+++ b/crates/spurdrum/src/replace.rs
@@ -170,7 +170,7 @@
 
 impl Successor for Incoming {
     fn succession(&self) -> Succession {
-        if self.0.passes() {
+        if self.0.can_hand_over() {
             Succession::Confirmed
         } else if self.0.awaits_confirmation() {
             Succession::Offered
@@ -180,14 +180,14 @@
     }
 
     fn takes_requests(&self) -> bool {
-        self.0.passes_requests()
+        self.0.can_hand_over_requests()
     }
 
     fn take(&self, connection: HandedOverConnection) -> Result<(), HandedOverConnection> {
-        self.0.pass(connection)
+        self.0.hand_over(connection)
     }
 
     fn has_all(&self) -> bool {
-        self.0.is_sent()
+        self.0.all_sent()
     }
 }
