--- a/crates/spurdrum-sources/src/registry/follower.rs
+++ b/crates/spurdrum-sources/src/registry/follower.rs
@@ -46,7 +46,7 @@
 const PAUSE_THRESHOLD: Duration = Duration::from_secs(3);
 /// Each unanswered call that times out doubles the silence timeout of the next one, at most this many times.
 /// Without this, a registry that needs longer than the configured timeout would be abandoned at the same
-/// moment each time, and never be heard.
+/// moment each time, and no answer would ever arrive.
 const MAX_TIMEOUT_DOUBLINGS: u32 = 2;
 /// The page size is halved each time a page is too long to be received, down to one key.
 const MIN_PAGE_SIZE: u32 = 1;
@@ -115,7 +115,8 @@
     pub min_retry_delay: Duration,
     /// Maximum delay between failed rounds.
     pub max_retry_delay: Duration,
-    /// At the start and after a failure, the full reads of all nodes are spread over this time multiplied by their number.
+    /// At the start and after a failure, the full reads of all nodes are spread over this time multiplied by
+    /// the number of nodes.
     pub spread_per_node: Duration,
     /// The wait of a blocking query while the copy is doubtful.
     pub min_wait: Duration,
--- a/crates/spurdrum-sources/src/registry/registrar.rs
+++ b/crates/spurdrum-sources/src/registry/registrar.rs
@@ -344,7 +344,8 @@
         self.set_state(State::Gone, actions);
     }
 
-    /// Returns the delay before the next operation after a failure; the first round over all endpoints has none.
+    /// Returns the delay before the next operation after a failure; the first round over all endpoints has
+    /// none.
     fn retry_delay(&mut self) -> Duration {
         let rounds = self.failures as usize / self.settings.endpoints;
         if rounds == 0 {
@@ -436,7 +437,7 @@
     impl Driver {
         fn new() -> Self {
             let settings = Settings { endpoints: 2, ..Settings::default() };
-            let registrar = Registrar::new(settings, 3).expect("sound");
+            let registrar = Registrar::new(settings, 3).expect("valid settings");
             let mut driver = Self { registrar, now: S(0), calls: Vec::new(), states: Vec::new() };
             driver.handle(Event::Tick);
             driver
--- a/crates/spurdrum-sources/tests/consul.rs
+++ b/crates/spurdrum-sources/tests/consul.rs
@@ -1,4 +1,5 @@
-//! Tests of the registry follower and the Consul client over sockets, against a stand-in agent with injected errors.
+//! Tests of the registry follower and the Consul client over sockets, against a stand-in agent with injected
+//! faults.
 
 #[path = "common/signed.rs"]
 mod signed;
--- a/crates/spurdrum-sources/tests/etcd.rs
+++ b/crates/spurdrum-sources/tests/etcd.rs
@@ -1,4 +1,5 @@
-//! Tests of the registry follower and the etcd client over sockets, against a stand-in cluster with injected faults.
+//! Tests of the registry follower and the etcd client over sockets, against a stand-in cluster with injected
+//! faults.
 
 #[path = "common/signed.rs"]
 mod signed;
--- a/crates/spurdrum-sources/tests/registry.rs
+++ b/crates/spurdrum-sources/tests/registry.rs
@@ -35,7 +35,7 @@
 impl Harness {
     fn new(settings: Settings) -> Self {
         let mut harness = Self {
-            follower: Follower::new(settings, 3).expect("sound"),
+            follower: Follower::new(settings, 3).expect("valid settings"),
             now: Duration::ZERO,
             calls: Vec::new(),
             probes: Vec::new(),
@@ -146,8 +146,8 @@
     Settings { endpoints: 3, ..Settings::default() }
 }
 
-/// Guards against the failure of the incident of 2026-12-02 at the catalog: a read that took longer than the
-/// silence timeout was aborted and started over each time, and so never succeeded.
+/// Prevents the failure of the incident of 2026-12-02 at the catalog: a read that took longer than the silence
+/// timeout was aborted and started over each time, and so never succeeded.
 #[test]
 fn a_full_read_that_takes_longer_than_the_silence_timeout_succeeds() {
     for answer_ms in [1_500, 2_500] {
@@ -392,7 +392,7 @@
     for limit in [2, 1] {
         let (call, ..) = harness.last_call();
         harness.handle(Event::Failed { call, failure: Failure::TooLong });
-        assert!(matches!(harness.last_call().2, Query::Range { limit: asked, .. } if asked == limit));
+        assert!(matches!(harness.last_call().2, Query::Range { limit: requested, .. } if requested == limit));
     }
 }
 
