--- a/crates/spurdrum-http/src/client.rs
+++ b/crates/spurdrum-http/src/client.rs
@@ -19,7 +19,7 @@
 
 use crate::chunks::Chunks;
 use crate::socket;
-use crate::stream::{self, Answered};
+use crate::stream::{self, ResponseBody};
 
 /// Fields of a head, as hyper limits them.
 pub const FIELDS_MOST: usize = 100;
@@ -229,7 +229,7 @@
     }
 
     /// An answer is with hyper now. A long one's end is told to `tally`.
-    pub fn begin_answer(self: &Rc<Self>, body: Answered, tally: Option<Tally>) -> Answering {
+    pub fn begin_answer(self: &Rc<Self>, body: ResponseBody, tally: Option<Tally>) -> Answering {
         self.answering.set(true);
         self.given.set(body.is_end_stream());
         Answering { body, socket: Rc::clone(self), tally, waits: false }
@@ -310,7 +310,7 @@
 
 /// An answer's body, which tells when hyper has taken all of it.
 pub struct Answering {
-    body: Answered,
+    body: ResponseBody,
     socket: Rc<Socket>,
     tally: Option<Tally>,
     /// Whether its source has nothing.
--- a/crates/spurdrum-http/src/connection.rs
+++ b/crates/spurdrum-http/src/connection.rs
@@ -22,10 +22,10 @@
 use tokio::time::{sleep, Instant};
 
 use crate::client::{Answering, Framing, Socket, Tally};
-use crate::context::{refusal_text, Front, Successor, DISCARD_MOST};
+use crate::context::{refusal_text, Front, IncomingProcess, DISCARD_MOST};
 use crate::request::{answer, fate, plain, Disposition, LONG_HOLDS};
 use crate::socket::Io;
-use crate::stream::Answered;
+use crate::stream::ResponseBody;
 use crate::upstream::BUFFER;
 
 /// What has come on a socket is with hyper after this time.
@@ -124,13 +124,13 @@
 }
 
 /// Lets another process have a connection, with the request that was given back, if there is one.
-fn pass(successor: &dyn Successor, socket: Rc<Socket>) -> Result<(), Rc<Socket>> {
+fn pass(successor: &dyn IncomingProcess, socket: Rc<Socket>) -> Result<(), Rc<Socket>> {
     let socket = Rc::try_unwrap(socket)?;
     let read = socket.take_read();
     let Socket { stream, seat, .. } = socket;
     // It fails where the event loop has trouble with it: then it is over.
     let Ok(stream) = stream.into_std() else { return Ok(()) };
-    match successor.take(HandedOverConnection { stream, read }) {
+    match successor.hand_over(HandedOverConnection { stream, read }) {
         Ok(()) => Ok(()),
         Err(connection) => match TcpStream::from_std(connection.stream) {
             Ok(stream) => Err(Rc::new(Socket::new(stream, seat))),
@@ -164,7 +164,7 @@
         Framing::Chunked => answer(front, socket, request, None, &mut disposition).await,
     };
     disposition.closes |= !socket.is_whole();
-    let is_long = matches!(response.body(), Answered::Through(_));
+    let is_long = matches!(response.body(), ResponseBody::Through(_));
     let tally = match is_long {
         // Its end counts.
         true => {
--- a/crates/spurdrum-http/src/context.rs
+++ b/crates/spurdrum-http/src/context.rs
@@ -9,8 +9,8 @@
 use spurdrum_core::HandedOverConnection;
 use tokio::sync::Notify;
 
-use crate::keys::Keys;
-use crate::shutdown::Succession;
+use crate::keys::AffinityKeys;
+use crate::shutdown::HandoverStatus;
 use crate::upstream::Upstream;
 
 /// So much is thrown away of what comes on a connection that has been half-closed: the rest of a long body, for a while.
@@ -22,7 +22,7 @@
 
 /// Names in the order of the settings, whose indices the decisions use.
 #[derive(Clone, Debug, Default)]
-pub struct Names {
+pub struct ConfigNames {
     /// Classes of requests.
     pub classes: Vec<String>,
     /// Tenants; there may be none.
@@ -30,25 +30,25 @@
 }
 
 /// The names as they are now: the program replaces them when it is given other settings.
-pub type SharedNames = Rc<RefCell<Rc<Names>>>;
+pub type SharedConfigNames = Rc<RefCell<Rc<ConfigNames>>>;
 
 /// The process that takes over from this one, where there is one.
-pub trait Successor {
+pub trait IncomingProcess {
     /// Whether there is one.
-    fn succession(&self) -> Succession;
+    fn handover_status(&self) -> HandoverStatus;
 
     /// Whether it takes connections from which a request has been read.
-    fn takes_requests(&self) -> bool;
+    fn accepts_requests(&self) -> bool;
 
     /// Takes a connection that rests between two requests, or from which a request has been read that no server has been sent.
     ///
     /// # Errors
     ///
     /// The connection, where it cannot.
-    fn take(&self, connection: HandedOverConnection) -> Result<(), HandedOverConnection>;
+    fn hand_over(&self, connection: HandedOverConnection) -> Result<(), HandedOverConnection>;
 
     /// Whether it has been sent all that it was to take.
-    fn has_all(&self) -> bool;
+    fn all_sent(&self) -> bool;
 }
 
 /// How far the end of this process has come for the requests that it holds; the later goes further.
@@ -66,16 +66,16 @@
 /// Clients' connections.
 pub struct Front {
     pub(crate) node: Rc<Node>,
-    pub(crate) names: SharedNames,
+    pub(crate) names: SharedConfigNames,
     /// How keys are made, where that is on.
-    pub(crate) keys: Option<Rc<Keys>>,
+    pub(crate) keys: Option<Rc<AffinityKeys>>,
     /// What `/_health` says beside its own.
     pub(crate) status: Box<dyn Fn() -> String>,
     pub(crate) ending: Cell<bool>,
     end_stage: Cell<EndStage>,
     /// Raised with each stage for those that wait for an answer.
     end_advanced: Notify,
-    pub(crate) successor: Option<Rc<dyn Successor>>,
+    pub(crate) successor: Option<Rc<dyn IncomingProcess>>,
     /// Held so that a connection can be answered, and not left waiting, when the system has no more descriptors.
     pub(crate) reserve: RefCell<Option<File>>,
     pub(crate) backoff: Cell<Duration>,
@@ -83,7 +83,7 @@
 
 impl Front {
     /// A front of this node, whose requests use these names. `status` is shown with `/_health`.
-    pub fn new(node: Rc<Node>, names: SharedNames, status: impl Fn() -> String + 'static) -> Self {
+    pub fn new(node: Rc<Node>, names: SharedConfigNames, status: impl Fn() -> String + 'static) -> Self {
         Self {
             node,
             names,
@@ -100,21 +100,21 @@
 
     /// Another process may take over.
     #[must_use]
-    pub fn with_successor(self, successor: Option<Rc<dyn Successor>>) -> Self {
+    pub fn with_incoming_process(self, successor: Option<Rc<dyn IncomingProcess>>) -> Self {
         Self { successor, ..self }
     }
 
-    pub(crate) fn succession(&self) -> Succession {
-        self.successor.as_ref().map_or(Succession::None, |successor| successor.succession())
+    pub(crate) fn handover_status(&self) -> HandoverStatus {
+        self.successor.as_ref().map_or(HandoverStatus::None, |successor| successor.handover_status())
     }
 
     pub(crate) fn is_succeeded(&self) -> bool {
-        self.succession() == Succession::Confirmed
+        self.handover_status() == HandoverStatus::Confirmed
     }
 
     /// Whether another process takes over, and takes connections from which a request has been read.
     pub(crate) fn passes_requests(&self) -> bool {
-        self.successor.as_ref().is_some_and(|successor| successor.takes_requests())
+        self.successor.as_ref().is_some_and(|successor| successor.accepts_requests())
     }
 
     /// What no server has been sent is not sent any more.
@@ -151,7 +151,7 @@
 
     /// Requests have keys.
     #[must_use]
-    pub fn with_keys(self, keys: Option<Rc<Keys>>) -> Self {
+    pub fn with_keys(self, keys: Option<Rc<AffinityKeys>>) -> Self {
         Self { keys, ..self }
     }
 }
--- a/crates/spurdrum-http/src/front.rs
+++ b/crates/spurdrum-http/src/front.rs
@@ -29,11 +29,16 @@
 const TURNS_MOST: usize = 64;
 
 /// Where the connections come from that another process passes on.
-pub type Passed = mpsc::UnboundedReceiver<HandedOverConnection>;
+pub type HandedOverConnections = mpsc::UnboundedReceiver<HandedOverConnection>;
 
 /// Serves clients until `stop` is done and all that was taken is answered. What another process passes on is served as if
 /// it had been accepted here.
-pub async fn run(front: Front, listener: TcpListener, mut passed: Passed, stop: impl Future<Output = ()>) {
+pub async fn run(
+    front: Front,
+    listener: TcpListener,
+    mut passed: HandedOverConnections,
+    stop: impl Future<Output = ()>,
+) {
     let front = Rc::new(front);
     let mut stop = pin!(stop);
     loop {
@@ -48,7 +53,7 @@
 }
 
 /// Ends: hands over to the process that takes over, or answers what it has taken and closes.
-async fn end(front: &Rc<Front>, listener: &TcpListener, mut passed: Passed) {
+async fn end(front: &Rc<Front>, listener: &TcpListener, mut passed: HandedOverConnections) {
     front.ending.set(true);
     let node = &front.node;
     let longest = node.settings().classes.iter().map(|class| class.deadline_ms).fold(0.0, f64::max);
@@ -112,19 +117,19 @@
 }
 
 /// What keeps a process that has been told to end.
-fn remaining(front: &Front, passed: &Passed) -> Remaining {
+fn remaining(front: &Front, passed: &HandedOverConnections) -> Remaining {
     let none_is_passed_here = passed.is_closed() && passed.is_empty();
     Remaining {
-        succession: front.succession(),
+        handover_status: front.handover_status(),
         idle: front.node.connections.open_connections() == 0 && front.node.pending_requests() == 0,
-        handed_over: none_is_passed_here && front.successor.iter().all(|successor| successor.has_all()),
+        handed_over: none_is_passed_here && front.successor.iter().all(|successor| successor.all_sent()),
     }
 }
 
 /// A connection that the process before this one has passed on goes straight to the next, where there is one by now.
 fn pass_on(front: &Rc<Front>, connection: HandedOverConnection) {
     let rest = match &front.successor {
-        Some(successor) if front.is_succeeded() => successor.take(connection),
+        Some(successor) if front.is_succeeded() => successor.hand_over(connection),
         _ => Err(connection),
     };
     if let Err(connection) = rest {
--- a/crates/spurdrum-http/src/handed.rs
+++ b/crates/spurdrum-http/src/handed.rs
@@ -5,7 +5,7 @@
 use hyper::header::{HeaderMap, CONNECTION};
 use hyper::{Method, Version};
 
-use crate::upstream::{Carried, Forward};
+use crate::upstream::{ForwardRequest, RequestBody};
 
 /// What a request says beyond what goes on to servers, as another process is to hear it.
 #[derive(Clone, Copy, Debug)]
@@ -26,8 +26,8 @@
 
     /// The bytes of the request, with the time that its client still waits. `None` where it does not wait any longer, or the body
     /// is too long to be held.
-    pub fn encode(self, forward: &Forward) -> Option<Vec<u8>> {
-        let Carried::Whole(body) = &forward.body else { return None };
+    pub fn encode(self, forward: &ForwardRequest) -> Option<Vec<u8>> {
+        let RequestBody::Whole(body) = &forward.body else { return None };
         let left = forward.deadline.left().as_millis();
         if left == 0 {
             return None;
--- a/crates/spurdrum-http/src/keys.rs
+++ b/crates/spurdrum-http/src/keys.rs
@@ -51,7 +51,7 @@
 
 /// How keys are made.
 #[derive(Clone, Debug)]
-pub struct Making {
+pub struct AffinityKeySettings {
     /// The parts of a key. Where one is missing, a request has none.
     pub parts: Vec<Part>,
     /// The classes of which requests have a key; none: all.
@@ -67,20 +67,20 @@
     pub tenants: Vec<String>,
 }
 
-impl Default for Making {
+impl Default for AffinityKeySettings {
     fn default() -> Self {
         let (parts, classes, tenants) = (Vec::new(), Vec::new(), Vec::new());
         Self { parts, classes, answer: None, owner: Owner::Tenant, prefixes: [24, 56], tenants }
     }
 }
 
-impl Making {
+impl AffinityKeySettings {
     /// Servers give out keys in answers, by a field that is a part of the key.
     ///
     /// # Errors
     ///
     /// It is no name of a field, or not a part.
-    pub fn give(&mut self, name: &str) -> Result<(), &'static str> {
+    pub fn set_response_header(&mut self, name: &str) -> Result<(), &'static str> {
         let name: HeaderName = name.parse().map_err(|_| "is no name of a header field")?;
         if !self.parts.contains(&Part::Header(name.clone())) {
             return Err("is not in `key` as `header:NAME`");
@@ -92,22 +92,22 @@
 
 /// Makes keys.
 #[derive(Clone)]
-pub struct Keys {
-    making: Making,
+pub struct AffinityKeys {
+    making: AffinityKeySettings,
     keyer: Keyer,
 }
 
 /// Whose key a request is to have, and what it is made of but for what its answer gives.
 #[derive(Clone)]
-pub struct Naming {
+pub struct PartialKey {
     owner: u64,
     /// In the order of the parts; what the answer gives is empty.
     values: Vec<Vec<u8>>,
 }
 
-impl Keys {
+impl AffinityKeys {
     /// Keys made so, with the node's secret.
-    pub fn new(making: Making, keyer: Keyer) -> Self {
+    pub fn new(making: AffinityKeySettings, keyer: Keyer) -> Self {
         Self { making, keyer }
     }
 
@@ -130,7 +130,7 @@
         (headers, uri): (&HeaderMap, &Uri),
         (class, tenant): (usize, usize),
         peer: IpAddr,
-    ) -> (Option<Ask>, Option<Naming>) {
+    ) -> (Option<Ask>, Option<PartialKey>) {
         if !self.making.classes.is_empty() && !self.making.classes.contains(&class) {
             return (None, None);
         }
@@ -164,12 +164,12 @@
                     }
                 },
             );
-        let naming = self.answer().and_then(|_| rest.collect()).map(|values| Naming { owner, values });
+        let naming = self.answer().and_then(|_| rest.collect()).map(|values| PartialKey { owner, values });
         (ask, naming)
     }
 
     /// The key that an answer gives.
-    pub fn given(&self, naming: &Naming, value: &HeaderValue) -> Option<Ask> {
+    pub fn given(&self, naming: &PartialKey, value: &HeaderValue) -> Option<Ask> {
         let value = Some(value.as_bytes()).filter(|v| !v.is_empty() && v.len() <= PART_MOST)?;
         let parts = naming.values.iter().map(|part| if part.is_empty() { value } else { part });
         Some(self.keyer.ask(naming.owner, &parts.collect::<Vec<_>>()))
@@ -200,19 +200,22 @@
 mod tests {
     use super::*;
 
-    fn keys(parts: &[&str], answer: Option<&str>) -> Keys {
+    fn keys(parts: &[&str], answer: Option<&str>) -> AffinityKeys {
         let parts = parts.iter().map(|part| part.parse().expect("a part")).collect();
         let answer = answer.map(|name| name.parse().expect("a name"));
         let tenants = ["a", "b", "c", "d", "e"].map(str::to_owned).to_vec();
-        Keys::new(Making { parts, answer, tenants, ..Making::default() }, Keyer::new([7; 16]))
+        AffinityKeys::new(
+            AffinityKeySettings { parts, answer, tenants, ..AffinityKeySettings::default() },
+            Keyer::new([7; 16]),
+        )
     }
 
     fn of(
-        keys: &Keys,
+        keys: &AffinityKeys,
         headers: &[(&'static str, &str)],
         uri: &str,
         tenant: usize,
-    ) -> (Option<Ask>, Option<Naming>) {
+    ) -> (Option<Ask>, Option<PartialKey>) {
         let field = |(name, value): &(&'static str, &str)| {
             (HeaderName::from_static(name), value.parse::<HeaderValue>().expect("a value"))
         };
@@ -241,7 +244,7 @@
     fn a_tenant_keeps_its_keys_whatever_its_place_among_them() {
         let before = keys(&["tenant"], None);
         let tenants = ["new", "a", "b"].map(str::to_owned).to_vec();
-        let after = Keys::new(Making { tenants, ..before.making.clone() }, before.keyer);
+        let after = AffinityKeys::new(AffinityKeySettings { tenants, ..before.making.clone() }, before.keyer);
         assert_eq!(of(&before, &[], "/api", 1).0, of(&after, &[], "/api", 2).0);
         assert_ne!(of(&before, &[], "/api", 1).0, of(&after, &[], "/api", 1).0);
     }
@@ -266,7 +269,8 @@
     #[test]
     fn clients_of_one_network_share_a_key_and_an_owner() {
         let keys = keys(&["address"], None);
-        let keys = Keys::new(Making { owner: Owner::Address, ..keys.making }, keys.keyer);
+        let keys =
+            AffinityKeys::new(AffinityKeySettings { owner: Owner::Address, ..keys.making }, keys.keyer);
         let of = |peer: &str| {
             let peer = peer.parse().expect("an address");
             keys.of((&HeaderMap::new(), &Uri::from_static("/api")), (0, 0), peer).0.expect("a key")
--- a/crates/spurdrum-http/src/lib.rs
+++ b/crates/spurdrum-http/src/lib.rs
@@ -13,9 +13,11 @@
 mod stream;
 mod upstream;
 
-pub use context::{Front, Names, SharedNames, Successor};
-pub use front::{run, Passed};
-pub use keys::Keys;
-pub use shutdown::Succession;
-pub use stream::Answered;
-pub use upstream::{load_report, Carried, Forward, Served, Upstream, BODY_MOST};
+pub use context::{ConfigNames, Front, IncomingProcess, SharedConfigNames};
+pub use front::{run, HandedOverConnections};
+pub use keys::AffinityKeys;
+pub use shutdown::HandoverStatus;
+pub use stream::ResponseBody;
+pub use upstream::{
+    parse_load_report, ForwardRequest, RequestBody, ServedResponse, Upstream, MAX_BUFFERED_BODY,
+};
--- a/crates/spurdrum-http/src/request.rs
+++ b/crates/spurdrum-http/src/request.rs
@@ -19,15 +19,15 @@
 use crate::client::Socket;
 use crate::context::{EndStage, Front, Node};
 use crate::handed::HandedRequest;
-use crate::stream::{joined, Answered, Deadline, Listener, Source};
-use crate::upstream::{Carried, Forward, Served, BODY_MOST};
+use crate::stream::{joined, Deadline, Listener, ResponseBody, Source};
+use crate::upstream::{ForwardRequest, RequestBody, ServedResponse, MAX_BUFFERED_BODY};
 
 /// Taken off a client's time: its request and the answer are under way for a part of that.
 const MARGIN: Duration = Duration::from_millis(10);
 /// The longest time that a client may say it will wait.
 const WAIT_MOST: Duration = Duration::from_secs(3600);
 /// What a request or an answer that passes through is counted with: the buffers of both sides, by `spurdrum-bench streams`.
-pub(crate) const LONG_HOLDS: u64 = 3 * BODY_MOST as u64;
+pub(crate) const LONG_HOLDS: u64 = 3 * MAX_BUFFERED_BODY as u64;
 /// Fields that a request has once at most.
 const FIELDS: [&str; 8] = [
     "host",
@@ -56,9 +56,9 @@
     request: Request<Incoming>,
     length: Option<u64>,
     disposition: &mut Disposition,
-) -> Response<Answered> {
+) -> Response<ResponseBody> {
     let seat = &socket.seat;
-    let body = length.map_or(BODY_MOST as u64, |length| length.min(LONG_HOLDS));
+    let body = length.map_or(MAX_BUFFERED_BODY as u64, |length| length.min(LONG_HOLDS));
     let place = seat.handle_event(Event::HeadComplete { id: seat.id, body });
     match request.uri().path() {
         "/_health" if front.ending.get() => plain(StatusCode::SERVICE_UNAVAILABLE, "ending\n"),
@@ -75,13 +75,13 @@
     }
 }
 
-pub(crate) fn plain(status: StatusCode, text: impl Into<Bytes>) -> Response<Answered> {
+pub(crate) fn plain(status: StatusCode, text: impl Into<Bytes>) -> Response<ResponseBody> {
     let mut response = Response::new(Full::new(text.into()).into());
     *response.status_mut() = status;
     response
 }
 
-fn refusal(retry_after_ms: Option<f64>) -> Response<Answered> {
+fn refusal(retry_after_ms: Option<f64>) -> Response<ResponseBody> {
     let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "refused\n");
     if let Some(ms) = retry_after_ms {
         let seconds = format!("{:.3}", ms / 1000.0).parse().expect("digits");
@@ -145,7 +145,7 @@
     request: Request<Incoming>,
     length: Option<u64>,
     disposition: &mut Disposition,
-) -> Response<Answered> {
+) -> Response<ResponseBody> {
     let (node, seat) = (&front.node, &socket.seat);
     let (head, body) = request.into_parts();
     let names = Rc::clone(&front.names.borrow());
@@ -188,15 +188,22 @@
     };
     let headers = forwarded_headers(front, &head.headers, authority);
     let (body, source, deadline) = match body {
-        ReceivedBody::Whole(bytes) => (Carried::Whole(bytes), None, Deadline::at(Instant::now() + wait)),
+        ReceivedBody::Whole(bytes) => (RequestBody::Whole(bytes), None, Deadline::at(Instant::now() + wait)),
         ReceivedBody::Long(came, rest) => {
-            let source = Rc::new(Source::new(rest, length, came, BODY_MOST));
-            (Carried::Through(Rc::clone(&source)), Some(source), Deadline::after(wait))
+            let source = Rc::new(Source::new(rest, length, came, MAX_BUFFERED_BODY));
+            (RequestBody::Through(Rc::clone(&source)), Some(source), Deadline::after(wait))
         }
     };
     let deadline = Rc::new(deadline);
-    let forward =
-        Forward { method: head.method, uri, headers, body, deadline: Rc::clone(&deadline), ask, naming };
+    let forward = ForwardRequest {
+        method: head.method,
+        uri,
+        headers,
+        body,
+        deadline: Rc::clone(&deadline),
+        ask,
+        naming,
+    };
     let handed = HandedRequest::new(head.version, &head.headers, &asked);
     let (answer, answered) = oneshot::channel();
     let id = match node.accept(forward, asked, answer) {
@@ -224,7 +231,7 @@
     seat: &ConnectionPermit,
     body: Incoming,
     length: Option<u64>,
-) -> Result<ReceivedBody, Response<Answered>> {
+) -> Result<ReceivedBody, Response<ResponseBody>> {
     seat.reading_body.set(true);
     let body = tokio::select! {
         biased;
@@ -298,9 +305,9 @@
     /// Waits for the decisions' answer, for as long as the client waits and the process goes on.
     async fn final_answer(
         self,
-        answered: oneshot::Receiver<Answer<Served>>,
+        answered: oneshot::Receiver<Answer<ServedResponse>>,
         disposition: &mut Disposition,
-    ) -> Response<Answered> {
+    ) -> Response<ResponseBody> {
         let (front, seat) = (self.front, &self.socket.seat);
         let answer = tokio::select! {
             biased;
@@ -336,7 +343,7 @@
 
     /// Waits until the process ends and begins nothing more, where no server has been sent the request by then.
     /// Guards against an attempt that begins when there is no time left for its answer.
-    async fn withdrawn(&self) -> Rc<Forward> {
+    async fn withdrawn(&self) -> Rc<ForwardRequest> {
         self.front.reached(EndStage::NothingBegins).await;
         match self.front.node.withdraw(self.id) {
             Some(forward) => forward,
@@ -346,7 +353,7 @@
 
     /// Gives a request that no server has been sent to the process that takes over, with its connection, and does not return then.
     /// Where none takes it, the answer is a refusal.
-    async fn hand_over(&self, forward: &Forward) -> Response<Answered> {
+    async fn hand_over(&self, forward: &ForwardRequest) -> Response<ResponseBody> {
         let handed = self.handed.filter(|_| self.front.passes_requests());
         let Some(request) = handed.and_then(|handed| handed.encode(forward)) else {
             return refusal(self.front.node.connections.retry_after_ms());
@@ -358,7 +365,7 @@
 }
 
 /// What a final answer says to its client.
-fn response(front: &Front, answer: Answer<Served>) -> Response<Answered> {
+fn response(front: &Front, answer: Answer<ServedResponse>) -> Response<ResponseBody> {
     match answer {
         Answer::Served(served) => {
             let mut response = Response::new(served.body);
@@ -374,7 +381,7 @@
 }
 
 /// The answer where a body had its time.
-fn expired(node: &Node, reason: Reason) -> Response<Answered> {
+fn expired(node: &Node, reason: Reason) -> Response<ResponseBody> {
     match reason {
         // It makes room for others, or the node ends: that is no fault of its client.
         Reason::Shed | Reason::Starved | Reason::Ending => refusal(node.connections.retry_after_ms()),
@@ -456,7 +463,7 @@
 async fn read_body(mut body: Incoming, length: Option<u64>) -> Result<ReceivedBody, StatusCode> {
     let mut came: Vec<Bytes> = Vec::new();
     let mut bytes = 0;
-    while length.is_none_or(|length| length <= BODY_MOST as u64) && bytes <= BODY_MOST {
+    while length.is_none_or(|length| length <= MAX_BUFFERED_BODY as u64) && bytes <= MAX_BUFFERED_BODY {
         let Some(frame) = body.frame().await else {
             return Ok(ReceivedBody::Whole(joined(came)));
         };
--- a/crates/spurdrum-http/src/shutdown.rs
+++ b/crates/spurdrum-http/src/shutdown.rs
@@ -27,7 +27,7 @@
 
 /// Whether another process takes over from this one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Succession {
+pub enum HandoverStatus {
     /// None does.
     None,
     /// One has been sent the listening socket and has not confirmed yet that it accepts from it.
@@ -40,7 +40,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Remaining {
     /// Whether another process takes over.
-    pub succession: Succession,
+    pub handover_status: HandoverStatus,
     /// No client's connection is open, and no request is held.
     pub idle: bool,
     /// All connections that were handed over are on their way, and none can come any more from the process before this one.
@@ -125,7 +125,7 @@
         if !resumed {
             self.awaited_confirmation += unseen;
         }
-        let next = self.next_phase(remaining.succession);
+        let next = self.next_phase(remaining.handover_status);
         if next != self.phase {
             self.phase = next;
             steps.push(if next == Phase::HandingOver { Step::HandOver } else { Step::Close });
@@ -178,13 +178,13 @@
         !self.last_called && now + RESUMED_LEAST > self.deadline
     }
 
-    fn next_phase(&self, succession: Succession) -> Phase {
+    fn next_phase(&self, handover_status: HandoverStatus) -> Phase {
         let waits =
             self.phase == Phase::AwaitingConfirmation && self.awaited_confirmation < CONFIRMATION_MOST;
-        match succession {
-            Succession::Confirmed => Phase::HandingOver,
-            Succession::Offered if waits => Phase::AwaitingConfirmation,
-            Succession::Offered | Succession::None => Phase::Closing,
+        match handover_status {
+            HandoverStatus::Confirmed => Phase::HandingOver,
+            HandoverStatus::Offered if waits => Phase::AwaitingConfirmation,
+            HandoverStatus::Offered | HandoverStatus::None => Phase::Closing,
         }
     }
 
--- a/crates/spurdrum-http/src/stream.rs
+++ b/crates/spurdrum-http/src/stream.rs
@@ -206,7 +206,7 @@
 }
 
 /// A body that is at hand, or passes through.
-pub enum Carrying<T> {
+pub enum StreamableBody<T> {
     /// All of it is at hand.
     Whole(Full<Bytes>),
     /// It passes through.
@@ -214,18 +214,18 @@
 }
 
 /// The body of one attempt.
-pub type Outgoing = Carrying<Upload>;
+pub type Outgoing = StreamableBody<Upload>;
 
 /// The body of an answer.
-pub type Answered = Carrying<Download>;
+pub type ResponseBody = StreamableBody<Download>;
 
-impl<T> From<Full<Bytes>> for Carrying<T> {
+impl<T> From<Full<Bytes>> for StreamableBody<T> {
     fn from(body: Full<Bytes>) -> Self {
         Self::Whole(body)
     }
 }
 
-impl<T: Through> Body for Carrying<T> {
+impl<T: Through> Body for StreamableBody<T> {
     type Data = Bytes;
     type Error = Error;
 
--- a/crates/spurdrum-http/src/upstream.rs
+++ b/crates/spurdrum-http/src/upstream.rs
@@ -28,15 +28,15 @@
 use tokio::sync::oneshot;
 use tokio::time::{sleep, sleep_until, timeout_at, Instant};
 
-use crate::keys::{Keys, Naming};
+use crate::keys::{AffinityKeys, PartialKey};
 use crate::socket::{self, has_input, Io};
-use crate::stream::{joined, Answered, Deadline, Download, Outgoing, Source, Upload, STALLED};
+use crate::stream::{joined, Deadline, Download, Outgoing, ResponseBody, Source, Upload, STALLED};
 
 /// An answer of unknown length is held back for so long at most, so that a break may still be mended: most that are short
 /// have come by then, and what is long is timed by its first byte.
 const HOLD_MOST: Duration = Duration::from_millis(25);
 /// Bodies are held up to this length; longer ones pass through.
-pub const BODY_MOST: usize = 64 * 1024;
+pub const MAX_BUFFERED_BODY: usize = 64 * 1024;
 /// What hyper reads ahead, or has not written, of one side of a connection.
 pub(crate) const BUFFER: usize = 32 * 1024;
 /// Part of the idle limit for which a connection is kept: a server that closes it meanwhile resets a request.
@@ -53,7 +53,7 @@
 const HEAD_MOST: usize = 16 * 1024;
 
 /// What of a client's request goes on to a server.
-pub struct Forward {
+pub struct ForwardRequest {
     /// Unchanged.
     pub method: Method,
     /// Unchanged.
@@ -61,17 +61,17 @@
     /// Those that go on unchanged.
     pub headers: HeaderMap,
     /// Unchanged.
-    pub body: Carried,
+    pub body: RequestBody,
     /// When the node stops waiting.
     pub deadline: Rc<Deadline>,
     /// Its key.
     pub ask: Option<Ask>,
     /// What a key is made of that its answer gives.
-    pub naming: Option<Naming>,
+    pub naming: Option<PartialKey>,
 }
 
 /// A request's body.
-pub enum Carried {
+pub enum RequestBody {
     /// All of it.
     Whole(Bytes),
     /// It passes through.
@@ -79,14 +79,14 @@
 }
 
 /// What a client gets of a server's answer.
-pub struct Served {
+pub struct ServedResponse {
     /// The body.
-    pub body: Answered,
+    pub body: ResponseBody,
     /// The value of the field by which servers give out keys.
     pub given: Option<HeaderValue>,
 }
 
-impl TransportRequest for Forward {
+impl TransportRequest for ForwardRequest {
     type ClientRequestId = HeaderValue;
 
     fn client_request_id(&self) -> &HeaderValue {
@@ -98,7 +98,7 @@
     }
 }
 
-type Ended = Reply<Served>;
+type Ended = Reply<ServedResponse>;
 
 struct Socket {
     stream: TcpStream,
@@ -206,7 +206,7 @@
     keep: Cell<Duration>,
     dial_timeout: Cell<Duration>,
     /// How keys are made, where that is on.
-    keys: Option<Rc<Keys>>,
+    keys: Option<Rc<AffinityKeys>>,
 }
 
 impl Upstream {
@@ -224,14 +224,14 @@
     }
 
     /// Other times hold from now on.
-    pub fn set_times(&self, conn_idle: Duration, dial_timeout: Duration) {
+    pub fn set_timeouts(&self, conn_idle: Duration, dial_timeout: Duration) {
         self.keep.set(conn_idle.mul_f64(IDLE_PART));
         self.dial_timeout.set(dial_timeout);
     }
 
     /// Servers may give out keys in their answers.
     #[must_use]
-    pub fn with_keys(self, keys: Option<Rc<Keys>>) -> Self {
+    pub fn with_keys(self, keys: Option<Rc<AffinityKeys>>) -> Self {
         Self { keys, ..self }
     }
 
@@ -303,7 +303,7 @@
     async fn exchange(
         &self,
         server: ServerId,
-        attempt: Option<(&Forward, &Cancellation)>,
+        attempt: Option<(&ForwardRequest, &Cancellation)>,
         progress: &Progress,
     ) -> Ended {
         let sent = &progress.sent;
@@ -343,7 +343,7 @@
             // It came to its end meanwhile, or more of it is gone than is held.
             let Some(request) = request else { return Reply::without_body(Ending::NotSent) };
             progress.unheard.set(Some(server.end_arrives()));
-            let through = forward.and_then(Forward::through);
+            let through = forward.and_then(ForwardRequest::through);
             let sending = connection.sender.try_send_request(request);
             let response = tokio::select! {
                 response = sending => response,
@@ -388,7 +388,7 @@
         }
     }
 
-    fn dial_most(&self, forward: Option<&Forward>) -> Duration {
+    fn dial_most(&self, forward: Option<&ForwardRequest>) -> Duration {
         let left = forward.map(|f| f.deadline.left().mul_f64(DIAL_PART));
         let most = self.dial_timeout.get();
         left.map_or(most, |left| left.min(most))
@@ -396,8 +396,8 @@
 }
 
 impl Transport for Upstream {
-    type Request = Forward;
-    type Body = Served;
+    type Request = ForwardRequest;
+    type Body = ServedResponse;
 
     fn set_server(&self, server: ServerId, address: SocketAddr, ready: bool) {
         let mut servers = self.servers.borrow_mut();
@@ -433,7 +433,12 @@
         closed.is_some()
     }
 
-    async fn attempt(&self, server: ServerId, forward: &Forward, cancellation: &Cancellation) -> Ended {
+    async fn attempt(
+        &self,
+        server: ServerId,
+        forward: &ForwardRequest,
+        cancellation: &Cancellation,
+    ) -> Ended {
         let progress = Progress::default();
         let sent = Rc::clone(&progress.sent);
         let unless_sent = |ending| Reply::without_body(if sent.get() { ending } else { Ending::NotSent });
@@ -459,38 +464,38 @@
         let exchange = self.exchange(server, None, &progress);
         let reply = pause_adjusted_timeout(self.dial_timeout.get(), exchange).await;
         let mut reply = reply.unwrap_or_else(|| Reply::without_body(Ending::TimedOut));
-        if let Some(Served { body: Answered::Whole(body), .. }) = reply.body.take() {
+        if let Some(ServedResponse { body: ResponseBody::Whole(body), .. }) = reply.body.take() {
             let text = body.collect().await.map_or_else(|never| match never {}, |body| body.to_bytes());
-            reply.report = std::str::from_utf8(&text).ok().and_then(load_report).or(reply.report);
+            reply.report = std::str::from_utf8(&text).ok().and_then(parse_load_report).or(reply.report);
         }
         reply
     }
 }
 
-impl Forward {
+impl ForwardRequest {
     /// Its body, where that passes through.
     fn through(&self) -> Option<&Rc<Source>> {
         match &self.body {
-            Carried::Whole(_) => None,
-            Carried::Through(source) => Some(source),
+            RequestBody::Whole(_) => None,
+            RequestBody::Through(source) => Some(source),
         }
     }
 }
 
 /// The request of one attempt. `None` where its body cannot be sent again.
 fn forward_request(
-    forward: &Forward,
+    forward: &ForwardRequest,
     socket: &Rc<Socket>,
     sent: &Rc<Cell<bool>>,
 ) -> Option<Request<Outgoing>> {
     let body = match &forward.body {
         // A body that is at hand goes to hyper with its head: what is flushed next is all of it.
-        Carried::Whole(bytes) => {
+        RequestBody::Whole(bytes) => {
             sent.set(true);
             socket.writing.set(true);
             Outgoing::Whole(Full::new(bytes.clone()))
         }
-        Carried::Through(source) => {
+        RequestBody::Through(source) => {
             let (socket, sent) = (Rc::clone(socket), Rc::clone(sent));
             let given = move || {
                 sent.set(true);
@@ -530,11 +535,11 @@
     response: Response<Incoming>,
     connection: Connection,
     server: &Rc<Server>,
-    forward: Option<&Forward>,
+    forward: Option<&ForwardRequest>,
 ) -> Ended {
     let (head, mut body) = response.into_parts();
     let text = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok());
-    let report = text("x-load").and_then(load_report);
+    let report = text("x-load").and_then(parse_load_report);
     let not_run = text("x-not-run") == Some("1");
     let started_at = text("x-up-since").and_then(|text| text.parse().ok()).filter(|at: &f64| at.is_finite());
     let reply = |ending| Reply { report, started_at, ..Reply::without_body(ending) };
@@ -555,7 +560,7 @@
     let held_most = hold.filter(|_| length.is_none());
     let (mut came, mut bytes) = (Vec::new(), 0);
     let whole = loop {
-        if length.is_some_and(|length| length > BODY_MOST as u64) || bytes > BODY_MOST {
+        if length.is_some_and(|length| length > MAX_BUFFERED_BODY as u64) || bytes > MAX_BUFFERED_BODY {
             break false;
         }
         let frame = match held_most {
@@ -578,7 +583,7 @@
     };
     if whole {
         server.keep(connection);
-        let body = served.then(|| Served { body: Full::new(joined(came)).into(), given: None });
+        let body = served.then(|| ServedResponse { body: Full::new(joined(came)).into(), given: None });
         return Reply { body, ..reply(ending) };
     }
     if !served || forward.is_none() {
@@ -588,7 +593,7 @@
     let (end, rest) = oneshot::channel();
     let home = Rc::clone(server);
     let download = Download::new(body, came, length, move || home.keep(connection), end);
-    let body = Served { body: Answered::Through(download), given: None };
+    let body = ServedResponse { body: ResponseBody::Through(download), given: None };
     Reply { body: Some(body), body_end: Some(rest), ..reply(Ending::Served) }
 }
 
@@ -612,7 +617,7 @@
 
 /// Reads a load report such as `active=7,waiting=2`; one that is malformed tells nothing.
 /// Guards against counts that never hear a report: servers use the settings' names, but others are about.
-pub fn load_report(text: &str) -> Option<LoadReport> {
+pub fn parse_load_report(text: &str) -> Option<LoadReport> {
     let mut report = LoadReport::default();
     for pair in text.trim().split(',') {
         let (name, value) = pair.split_once('=')?;
--- a/crates/spurdrum/src/affinity.rs
+++ b/crates/spurdrum/src/affinity.rs
@@ -10,7 +10,7 @@
 use serde::Deserialize;
 use spurdrum_affinity::record::{self, Stored, Write, PLACES, RUNS};
 use spurdrum_affinity::{Affinity, First, Keyer, Settings};
-use spurdrum_http::keys::{Making, Owner};
+use spurdrum_http::keys::{AffinityKeySettings, Owner};
 use spurdrum_store::shell::Keeper;
 use spurdrum_store::{About, Disk, Row};
 use tokio::time::sleep;
@@ -79,7 +79,7 @@
 /// All that the file says of it.
 pub struct Bindings {
     /// How keys are made; the classes by name.
-    making: Making,
+    making: AffinityKeySettings,
     classes: Vec<String>,
     /// Whether the file names who places are counted to.
     owner_named: bool,
@@ -134,9 +134,9 @@
             Some(OwnerName::Address) => Owner::Address,
             Some(OwnerName::Tenant) | None => Owner::Tenant,
         };
-        let mut making = Making { parts, owner, prefixes, ..Making::default() };
+        let mut making = AffinityKeySettings { parts, owner, prefixes, ..AffinityKeySettings::default() };
         if let Some(name) = &self.answer {
-            making.give(name).map_err(wrong("answer"))?;
+            making.set_response_header(name).map_err(wrong("answer"))?;
         }
         Ok(Bindings {
             making,
@@ -171,7 +171,7 @@
 
 impl Bindings {
     /// How keys are made of the requests of a node with these classes and tenants. The error names the class that there is not.
-    pub fn making(&self, names: &spurdrum_http::Names) -> Result<Making, String> {
+    pub fn making(&self, names: &spurdrum_http::ConfigNames) -> Result<AffinityKeySettings, String> {
         let class = |name: &String| {
             let at = names.classes.iter().position(|class| class == name);
             at.ok_or_else(|| format!("`affinity.classes`: there is no class `{name}`"))
@@ -180,7 +180,7 @@
         // Without tenants all would be one owner, and nobody held back.
         let by_address = !self.owner_named && names.tenants.is_empty();
         let owner = if by_address { Owner::Address } else { self.making.owner };
-        Ok(Making { classes, owner, tenants: names.tenants.clone(), ..self.making.clone() })
+        Ok(AffinityKeySettings { classes, owner, tenants: names.tenants.clone(), ..self.making.clone() })
     }
 
     /// The bindings of a node whose servers are cold for so long.
--- a/crates/spurdrum/src/config.rs
+++ b/crates/spurdrum/src/config.rs
@@ -6,7 +6,7 @@
 
 use serde_json::Value;
 use spurdrum_admission::Limits;
-use spurdrum_http::Names;
+use spurdrum_http::ConfigNames;
 use spurdrum_policy::Settings;
 use spurdrum_sources::{follower, List};
 
@@ -46,7 +46,7 @@
     /// What the decisions go by.
     pub settings: Settings,
     /// The names that requests use.
-    pub names: Names,
+    pub names: ConfigNames,
     /// The names of zones and machine kinds, as lists use them.
     pub places: Places,
     /// A server closes a connection that stands idle for this long.
--- a/crates/spurdrum/src/file.rs
+++ b/crates/spurdrum/src/file.rs
@@ -9,7 +9,7 @@
 use serde::Deserialize;
 use spurdrum_admission::{Limits, Settings, TransferTimeout};
 use spurdrum_facts::file;
-use spurdrum_http::Names;
+use spurdrum_http::ConfigNames;
 use spurdrum_policy::{Class, Effect, Group, Weights};
 use spurdrum_sources::{follower, List, StaticList};
 
@@ -505,7 +505,7 @@
             connections: self.connections(),
             following,
             known: known.unwrap_or(List { revision: 0, complete: true, members: Vec::new() }),
-            names: Names {
+            names: ConfigNames {
                 classes: self.class.iter().map(|class| class.name.clone()).collect(),
                 tenants: node.tenants.clone(),
             },
--- a/crates/spurdrum/src/main.rs
+++ b/crates/spurdrum/src/main.rs
@@ -13,7 +13,7 @@
 use serde_json::Value;
 use spurdrum_affinity::{Affinity, Keyer};
 use spurdrum_core::{unix_ms, Connections, Node, NodeMetrics};
-use spurdrum_http::{Front, Keys, Successor, Upstream};
+use spurdrum_http::{AffinityKeys, Front, IncomingProcess, Upstream};
 use spurdrum_sources::catalog::Catalog;
 use spurdrum_trace::Trace;
 use tokio::net::{TcpListener, TcpSocket};
@@ -210,7 +210,7 @@
             config.settings.preference_slack = bindings.slack;
             let (making, keyer) = (bindings.making(&config.names)?, bindings.keyer()?);
             let affinity = bindings.start(unix_ms()?, config.settings.slow_start_ms)?;
-            Some((affinity, Rc::new(Keys::new(making, keyer)), keyer))
+            Some((affinity, Rc::new(AffinityKeys::new(making, keyer)), keyer))
         }
     };
     let affinity = bindings.as_ref().map(|(affinity, ..)| Rc::clone(affinity));
@@ -338,8 +338,8 @@
         list + &shown.unwrap_or_default()
     };
     let front = Front::new(node, names, status).with_keys(keys);
-    let successor = offer.clone().map(|offer| Rc::new(replace::Incoming(offer)) as Rc<dyn Successor>);
-    let front = front.with_successor(successor);
+    let successor = offer.clone().map(|offer| Rc::new(replace::Incoming(offer)) as Rc<dyn IncomingProcess>);
+    let front = front.with_incoming_process(successor);
     spurdrum_http::run(front, listener, passed, async move {
         stop.recv().await;
         if let Some(offer) = offer {
@@ -368,7 +368,7 @@
 fn keep_bindings(
     node: &Rc<Node<Upstream>>,
     config: &Option<affinity::Bindings>,
-    bindings: Option<(Rc<RefCell<Affinity>>, Rc<Keys>, Keyer)>,
+    bindings: Option<(Rc<RefCell<Affinity>>, Rc<AffinityKeys>, Keyer)>,
     end: oneshot::Receiver<()>,
 ) -> (StoreStatus, Option<tokio::task::JoinHandle<()>>) {
     let Some((affinity, _, keyer)) = bindings else { return (None, None) };
--- a/crates/spurdrum/src/platform.rs
+++ b/crates/spurdrum/src/platform.rs
@@ -9,7 +9,7 @@
 use serde::Deserialize;
 use serde_json::Value;
 use spurdrum_admission::Limits;
-use spurdrum_http::Names;
+use spurdrum_http::ConfigNames;
 use spurdrum_policy::Discovery;
 use spurdrum_sources::List;
 
@@ -43,7 +43,7 @@
     let settings = spurdrum_facts::read_settings(facts).map_err(|e| format!("`settings`: {e}"))?;
     settings.validate().map_err(|e| format!("`settings`: {e}"))?;
     let places = Places { zones: names(facts, "zones")?, kinds: names(facts, "kinds")? };
-    let names = Names { classes: names(facts, "classes")?, tenants: names(facts, "parties")? };
+    let names = ConfigNames { classes: names(facts, "classes")?, tenants: names(facts, "parties")? };
     check_classes(facts, &names)?;
     let allowed = &facts["allowed"];
     let mut following = file.following();
@@ -108,7 +108,7 @@
 }
 
 /// Guards against a class that some keys of are lost, which would have rules that nobody wrote.
-fn check_classes(facts: &Value, names: &Names) -> Result<(), String> {
+fn check_classes(facts: &Value, names: &ConfigNames) -> Result<(), String> {
     for (at, class) in facts["classes"].as_array().into_iter().flatten().enumerate() {
         let mut needed = vec!["name", "effect", "deadline_ms"];
         if class["effect"] == "dedup" {
--- a/crates/spurdrum/src/replace.rs
+++ b/crates/spurdrum/src/replace.rs
@@ -8,7 +8,9 @@
 use spurdrum_admission::Event;
 use spurdrum_core::{Connections, HandedOverConnection, Node};
 use spurdrum_handover::{path, BudgetOwner, Identity, Offer, Takeover, TakeoverEvent, FORMAT};
-use spurdrum_http::{Names, Passed, SharedNames, Succession, Successor, Upstream};
+use spurdrum_http::{
+    ConfigNames, HandedOverConnections, HandoverStatus, IncomingProcess, SharedConfigNames, Upstream,
+};
 use spurdrum_policy::LearnedState;
 use spurdrum_sources::List;
 use tokio::net::TcpListener;
@@ -38,7 +40,7 @@
     }
 
     /// Applies what was learned to this process's decisions.
-    pub fn apply(mut self, node: &Rc<Node<Upstream>>, names: &Names) {
+    pub fn apply(mut self, node: &Rc<Node<Upstream>>, names: &ConfigNames) {
         if self.classes != names.classes {
             self.learned.classes.clear();
         }
@@ -56,7 +58,7 @@
     /// The list of servers, as received.
     pub list: Rc<RefCell<List>>,
     /// The classes and tenants in force.
-    pub names: SharedNames,
+    pub names: SharedConfigNames,
 }
 
 impl StateSource {
@@ -84,7 +86,7 @@
 
 /// Follows the outgoing process until it has gone: its connections go to the front, and its share of the descriptors to
 /// this process.
-pub fn follow(takeover: Option<Takeover>, connections: &Rc<Connections>) -> Passed {
+pub fn follow(takeover: Option<Takeover>, connections: &Rc<Connections>) -> HandedOverConnections {
     let (pass, passed) = mpsc::unbounded_channel();
     let Some(takeover) = takeover else { return passed };
     let (all, connections) = (connections.descriptor_usage().1, Rc::clone(connections));
@@ -168,26 +170,26 @@
 /// The incoming process, as seen by the front.
 pub struct Incoming(pub Rc<Offer>);
 
-impl Successor for Incoming {
-    fn succession(&self) -> Succession {
+impl IncomingProcess for Incoming {
+    fn handover_status(&self) -> HandoverStatus {
         if self.0.passes() {
-            Succession::Confirmed
+            HandoverStatus::Confirmed
         } else if self.0.awaits_confirmation() {
-            Succession::Offered
+            HandoverStatus::Offered
         } else {
-            Succession::None
+            HandoverStatus::None
         }
     }
 
-    fn takes_requests(&self) -> bool {
+    fn accepts_requests(&self) -> bool {
         self.0.passes_requests()
     }
 
-    fn take(&self, connection: HandedOverConnection) -> Result<(), HandedOverConnection> {
+    fn hand_over(&self, connection: HandedOverConnection) -> Result<(), HandedOverConnection> {
         self.0.pass(connection)
     }
 
-    fn has_all(&self) -> bool {
+    fn all_sent(&self) -> bool {
         self.0.is_sent()
     }
 }
--- a/crates/spurdrum/src/retune.rs
+++ b/crates/spurdrum/src/retune.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use spurdrum_core::Node;
-use spurdrum_http::{Names, SharedNames, Upstream};
+use spurdrum_http::{ConfigNames, SharedConfigNames, Upstream};
 use spurdrum_policy::{Effect, NewSettings, Settings};
 use tokio::time::{sleep, Instant};
 
@@ -21,14 +21,14 @@
 /// Classes and tenants as they hold now. Dropped classes stand behind the others, with when they were dropped.
 #[derive(Clone, Debug)]
 pub struct Rules<T> {
-    names: Names,
+    names: ConfigNames,
     settings: Settings,
     dropped: Vec<T>,
 }
 
 impl<T: Copy> Rules<T> {
     /// Those of the start.
-    pub fn new(names: Names, settings: Settings) -> Self {
+    pub fn new(names: ConfigNames, settings: Settings) -> Self {
         Self { names, settings, dropped: Vec::new() }
     }
 
@@ -40,14 +40,14 @@
     /// comes again with another effect is a new one. What is gone, and what was dropped since, stays behind them.
     fn follow(
         &mut self,
-        mut names: Names,
+        mut names: ConfigNames,
         mut settings: Settings,
         now: T,
         stays: impl Fn(T) -> bool,
     ) -> NewSettings {
         let own = names.classes.len();
         let old_own = self.names.classes.len() - self.dropped.len();
-        let same = |names: &Names, settings: &Settings, at: usize, old: usize| {
+        let same = |names: &ConfigNames, settings: &Settings, at: usize, old: usize| {
             (&*names.classes[at], settings.classes[at].effect) == self.class(old)
         };
         let old = 0..self.names.classes.len();
@@ -84,7 +84,7 @@
 /// Applies new settings to a node that serves.
 pub struct Retuner {
     node: Rc<Node<Upstream>>,
-    names: SharedNames,
+    names: SharedConfigNames,
     rules: RefCell<Rules<Instant>>,
     /// Zones and kinds of the start, in whose order the list is.
     places: Rc<Places>,
@@ -97,7 +97,7 @@
     /// For this node, which began with these names.
     pub fn new(
         node: Rc<Node<Upstream>>,
-        names: SharedNames,
+        names: SharedConfigNames,
         places: Rc<Places>,
         fixed: bool,
         most_held: usize,
@@ -126,7 +126,7 @@
             (settings.nodes, settings.node_index, settings.zone) = (old.nodes, old.node_index, old.zone);
             (settings.kinds, settings.discovery) = (old.kinds, old.discovery);
         }
-        self.node.transport().set_times(config.conn_idle, config.dial_timeout);
+        self.node.transport().set_timeouts(config.conn_idle, config.dial_timeout);
         self.node.connections.set_max_retry_after(settings.max_retry_after_ms);
         self.most_held.set(config.most_held);
         let changed =
@@ -174,11 +174,14 @@
     const EFFECTS: [Effect; 3] =
         [Effect::Safe, Effect::Unsafe, Effect::Keyed { group: Group::Cell, window_ms: 500.0 }];
 
-    fn rules(classes: &[(u8, usize, u16)]) -> (Names, Settings) {
+    fn rules(classes: &[(u8, usize, u16)]) -> (ConfigNames, Settings) {
         let class =
             |(_, effect, ms): &(u8, usize, u16)| Class::new(1.0, f64::from(*ms) + 1.0, EFFECTS[*effect]);
         let names = classes.iter().map(|(name, ..)| format!("c{name}")).collect();
-        (Names { classes: names, tenants: Vec::new() }, Settings::new(classes.iter().map(class).collect()))
+        (
+            ConfigNames { classes: names, tenants: Vec::new() },
+            Settings::new(classes.iter().map(class).collect()),
+        )
     }
 
     fn file() -> impl Strategy<Value = Vec<(u8, usize, u16)>> {
