--- a/crates/spurdrum-sources/src/follower/messages.rs
+++ b/crates/spurdrum-sources/src/follower/messages.rs
@@ -197,6 +197,7 @@
         f.write_str(match self {
             Self::Fresh => "fresh",
             Self::Doubtful => "doubtful",
+            // Operators know this state as "blind" in the log and the status.
             Self::Stale => "blind",
         })
     }
--- a/crates/spurdrum-sources/src/follower/mod.rs
+++ b/crates/spurdrum-sources/src/follower/mod.rs
@@ -5,7 +5,7 @@
 //! use std::time::Duration;
 //! use spurdrum_sources::follower::{Action, Event, Follower, Settings};
 //!
-//! let mut follower = Follower::new(Settings::default(), 7, Some(41)).expect("sound settings");
+//! let mut follower = Follower::new(Settings::default(), 7, Some(41)).expect("valid settings");
 //! let mut actions = Vec::new();
 //! follower.handle(Duration::ZERO, Event::Tick, &mut actions);
 //! let due = follower.next_wake().expect("a first call is due");
@@ -22,9 +22,11 @@
 //! refilled the more slowly the longer answers take: if many nodes queue at one discovery, all of them see
 //! that and make fewer calls.
 //!
-//! The life of a call: it is *awaited* at first. It becomes *overdue* when its answer should have arrived,
-//! and *times out* when the follower no longer waits for it. A call that has timed out, or that is
-//! *superseded* by the answer of another call, may stay open for a while, since its answer may still come.
+//! Regular calls follow one another, so that normally one watch is open at any time. Second calls beside an
+//! overdue one and polls on evidence come in addition. A call is *awaited* at first. It becomes *overdue*
+//! when its answer should have arrived, and *times out* when the follower no longer waits for it. A call that
+//! has timed out, or that is *superseded* by the answer of another call, may stay open for a while, since its
+//! answer may still come.
 //!
 //! A change *counts as notified* to a node at a bounded time after discovery has it, whether or not the node
 //! has received it: from then on the node is expected to send no new requests to a server that is draining or
@@ -64,9 +66,8 @@
 /// for 2 s and more of these.
 const MAX_PAUSE: Duration = Duration::from_millis(3_500);
 /// The changes that a silent call would have delivered count as notified [`NOTIFIED_AFTER`] after it fell
-/// silent, or
-/// [`NOTIFIED_AFTER_WAIT`] after the end of the wait that it asked for, whichever is later. The next call must be answered by
-/// then.
+/// silent, or [`NOTIFIED_AFTER_WAIT`] after the end of the wait that it asked for, whichever is later. The
+/// next call must be answered by then.
 const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
 const NOTIFIED_AFTER_WAIT: Duration = Duration::from_secs(2);
 /// Discovery is slow if answers take longer than this, in seconds: calls queue there, and a second call
@@ -140,9 +141,9 @@
     rng: fastrand::Rng,
     /// How often the address of discovery has changed.
     address_epoch: u64,
-    /// The revision held, once the present address of discovery has sent one...
+    /// The revision held, once the present address of discovery has sent one.
     revision: Option<u64>,
-    /// ...and until then the revision received from an earlier address.
+    /// Until the present address has sent a revision: the one received from an earlier address.
     previous: Option<PreviousRevision>,
     /// When the revision held was received.
     revision_received_at: Duration,
@@ -323,6 +324,7 @@
 
     // ---- Calls
 
+    /// Makes a call, and sets the times at which it is overdue, times out and is closed.
     fn make_call(&mut self, now: Duration, query: Query, by_evidence: bool, actions: &mut Vec<Action>) {
         self.make_room(actions);
         self.last_call_id += 1;
@@ -335,7 +337,7 @@
         let wait_ends_at = now + query.wait();
         let overdue_after = match self.agent_wait() {
             Some(wait) => wait,
-            None if self.is_single_call() => timeout,
+            None if self.one_call_at_a_time() => timeout,
             None => timing.upper_bound(MIN_OVERDUE, timeout / 2),
         };
         // A timed-out call is not kept open beside the next one if an agent answers the next one just as
@@ -365,8 +367,8 @@
         actions.push(Action::Call { call: id, query });
     }
 
-    /// Closes calls so that one more fits within the limits. The oldest call stays open: it is the next that
-    /// a slow discovery answers.
+    /// Marks calls as timed out or closes them, so that one more call fits within the limits. The oldest call
+    /// stays open: it is the next that a slow discovery answers.
     fn make_room(&mut self, actions: &mut Vec<Action>) {
         if self.settings.local_agent {
             // A slow agent must have the time to answer one of the calls, so the newest overdue call is
@@ -414,6 +416,7 @@
         }
     }
 
+    /// Returns the number of awaited watches that are not overdue.
     fn current_watches(&self) -> usize {
         let is_current = |call: &&Call| call.is_awaited() && !call.overdue && call.is_watch();
         self.calls.iter().filter(is_current).count()
@@ -423,6 +426,7 @@
         self.current_watches() > 0
     }
 
+    /// Makes the next regular call due at `at` at the latest.
     fn schedule_call_by(&mut self, at: Duration) {
         self.next_call_at = Some(self.next_call_at.map_or(at, |due| due.min(at)));
     }
@@ -450,7 +454,7 @@
             let earliest = self.last_call_at.map_or(due, |at| at + CALL_INTERVAL);
             if earliest > now {
                 self.next_call_at = Some(earliest);
-            } else if self.is_single_call() && self.blocks_next_call() {
+            } else if self.one_call_at_a_time() && self.blocks_next_call() {
                 // The end of the awaited call makes the next one due.
                 self.next_call_at = None;
             } else {
@@ -459,7 +463,7 @@
                 self.make_call(now, query, false, actions);
                 // If calls hang often, one of two watches is likely to deliver what the other does not.
                 let wants_second_watch = self.timeout_rate > HIGH_TIMEOUT_RATE
-                    && !self.is_single_call()
+                    && !self.one_call_at_a_time()
                     && self.is_change_expected(now);
                 if wants_second_watch
                     && self.current_watches() == 1
@@ -529,7 +533,7 @@
         if self.settings.local_agent {
             self.timed_out_query = Some(query);
             self.schedule_call_by(now);
-        } else if !self.is_single_call()
+        } else if !self.one_call_at_a_time()
             && self.revision.is_some()
             && self.consecutive_failures < MAX_FAILURES_FOR_SECOND_CALL
             && self.next_call_at.is_none()
@@ -813,6 +817,7 @@
         }
     }
 
+    /// Accepts an answer that is not older than the list held: applies it, and marks the list as confirmed.
     fn accept(&mut self, now: Duration, call: &Call, mut list: List, actions: &mut Vec<Action>) {
         self.close_calls_before(self.address_epoch, actions);
         self.leaving.filter(now, &mut list);
@@ -953,7 +958,7 @@
         // With many nodes, what all of them see at the same time must not make all of them call at the same
         // time.
         let answered_at_once = |call: &Call| call.is_awaited() && call.query.wait().is_zero();
-        let may_not_poll = self.is_single_call() || self.calls.iter().any(answered_at_once);
+        let may_not_poll = self.one_call_at_a_time() || self.calls.iter().any(answered_at_once);
         if score < threshold || may_not_poll || self.revision.is_none() {
             return;
         }
--- a/crates/spurdrum-sources/src/follower/pace.rs
+++ b/crates/spurdrum-sources/src/follower/pace.rs
@@ -23,7 +23,8 @@
 /// much time again, another call is made beside it: changes that the agent has count as notified even if it
 /// never answers the node's call.
 const AGENT_WAIT_SHARE: f64 = 0.3;
-/// The longest minimum wait of a watch on a contended discovery, at a discovery share of one half.
+/// Upper bound on the minimum wait that a contended discovery imposes on watches, at a discovery share of one
+/// half: so many nodes then wait for changes at the same time.
 const CONTENDED_WAIT: Duration = Duration::from_secs(10);
 /// A high time-out rate does not shorten the wait of a watch below this.
 const MIN_TRUSTED_WAIT: Duration = Duration::from_secs(1);
@@ -54,7 +55,7 @@
     /// Returns whether only one call may be awaited at a time. On a contended discovery a second call would
     /// take the place of another node's, and discovery may end the first call because of it; an agent answers
     /// the next call just as soon.
-    pub(super) fn is_single_call(&self) -> bool {
+    pub(super) fn one_call_at_a_time(&self) -> bool {
         self.settings.local_agent || self.is_contended() || self.is_slow()
     }
 
--- a/crates/spurdrum-sources/src/follower/settings.rs
+++ b/crates/spurdrum-sources/src/follower/settings.rs
@@ -16,9 +16,9 @@
     /// Without an agent: a change counts as notified this long after it was made, also to a node that has not
     /// made a call since.
     pub max_call_interval: Duration,
-    /// The wait that a watch asks for while the list is doubtful...
+    /// The shortest wait that a watch asks for, used while the list is doubtful.
     pub min_wait: Duration,
-    /// ...and the longest one, after a row of good answers.
+    /// The longest wait that a watch asks for, after several good answers in a row.
     pub max_wait: Duration,
     /// A call times out if it is silent for this long after the end of its wait.
     pub silence_timeout: Duration,
@@ -27,9 +27,9 @@
     /// The longest time that a process that has just started waits for discovery to confirm the list of an
     /// earlier run.
     pub startup_timeout: Duration,
-    /// The delay before a call that follows a failed one: about this at first...
+    /// The delay before the retry of a failed call, at first.
     pub min_retry_delay: Duration,
-    /// ...and at most this after several failures.
+    /// The longest delay before a retry, after several failures. With many nodes the delay may be longer.
     pub max_retry_delay: Duration,
     /// The share of discovery's time that the calls of all nodes together may take, from 0 to 1.
     pub discovery_share: f64,
@@ -63,30 +63,30 @@
     ///
     /// # Errors
     ///
-    /// The first key whose value is not valid, and why.
+    /// Returns the first setting that is not valid, by its key in the configuration file, and why.
     pub fn validate(&self) -> Result<(), (&'static str, &'static str)> {
-        let time = |t: Duration| t >= Duration::from_millis(1) && t <= Duration::from_secs(60);
-        let need = |ok: bool, key, why| if ok { Ok(()) } else { Err((key, why)) };
-        need(self.nodes > 0, "nodes", "must be at least 1")?;
-        need(time(self.agent_deadline), "grace_ms", "must be from 1 ms to 60 s")?;
-        need(time(self.min_wait), "wait_least_ms", "must be from 1 ms to 60 s")?;
-        need(time(self.max_wait), "wait_most_ms", "must be from 1 ms to 60 s")?;
-        need(self.min_wait <= self.max_wait, "wait_least_ms", "is greater than `wait_most_ms`")?;
-        need(time(self.silence_timeout), "patience_ms", "must be from 1 ms to 60 s")?;
-        need(time(self.startup_timeout), "ready_within_ms", "must be from 1 ms to 60 s")?;
-        need(time(self.stale_after), "blind_after_ms", "must be from 1 ms to 60 s")?;
-        need(time(self.max_retry_delay), "retry_most_ms", "must be from 1 ms to 60 s")?;
-        need(time(self.min_retry_delay), "retry_least_ms", "must be from 1 ms to 60 s")?;
-        need(
+        let is_valid_time = |t: Duration| t >= Duration::from_millis(1) && t <= Duration::from_secs(60);
+        let require = |ok: bool, key, why| if ok { Ok(()) } else { Err((key, why)) };
+        require(self.nodes > 0, "nodes", "must be at least 1")?;
+        require(is_valid_time(self.agent_deadline), "grace_ms", "must be from 1 ms to 60 s")?;
+        require(is_valid_time(self.min_wait), "wait_least_ms", "must be from 1 ms to 60 s")?;
+        require(is_valid_time(self.max_wait), "wait_most_ms", "must be from 1 ms to 60 s")?;
+        require(self.min_wait <= self.max_wait, "wait_least_ms", "is greater than `wait_most_ms`")?;
+        require(is_valid_time(self.silence_timeout), "patience_ms", "must be from 1 ms to 60 s")?;
+        require(is_valid_time(self.startup_timeout), "ready_within_ms", "must be from 1 ms to 60 s")?;
+        require(is_valid_time(self.stale_after), "blind_after_ms", "must be from 1 ms to 60 s")?;
+        require(is_valid_time(self.max_retry_delay), "retry_most_ms", "must be from 1 ms to 60 s")?;
+        require(is_valid_time(self.min_retry_delay), "retry_least_ms", "must be from 1 ms to 60 s")?;
+        require(
             self.min_retry_delay <= self.max_retry_delay,
             "retry_least_ms",
             "is greater than `retry_most_ms`",
         )?;
-        need(
+        require(
             self.discovery_share > 0.0 && self.discovery_share <= 1.0,
             "share",
             "must be above 0 and at most 1",
         )?;
-        need((1.0..=100.0).contains(&self.burst_calls), "extra", "must be from 1 to 100")
+        require((1.0..=100.0).contains(&self.burst_calls), "extra", "must be from 1 to 100")
     }
 }
--- a/crates/spurdrum-sources/src/lib.rs
+++ b/crates/spurdrum-sources/src/lib.rs
@@ -3,10 +3,9 @@
 //! Every source produces the same thing: a [`List`], either whole or of changes, that the node passes to its
 //! load-balancing policy. A [`follower::Follower`] decides when discovery is called, which answers count, and
 //! whether the resulting list is fresh, doubtful or stale. It is a pure state machine: it has no clock, no
-//! sockets, and no randomness but its seed.
-//! [`catalog`] is the shell that carries out its actions over HTTP. A [`registry`] (etcd or Consul) has a follower of its own,
-//! which uses the watches of the registry. If there are several sources, a [`reconciler::Reconciler`] merges
-//! their lists into one.
+//! sockets, and no randomness but its seed. [`catalog`] is the shell that carries out its actions over HTTP.
+//! A [`registry`] (etcd or Consul) has a follower of its own, which uses the watches of the registry. If
+//! there are several sources, a [`reconciler::Reconciler`] merges their lists into one.
 
 use std::time::Duration;
 
--- a/crates/spurdrum-sources/src/reconciler.rs
+++ b/crates/spurdrum-sources/src/reconciler.rs
@@ -9,7 +9,7 @@
 //!     id: "s1".into(), host_port: "127.0.0.1:80".parse().expect("an address"), locality: String::new(),
 //!     flavor: String::new(), cell: 0, phase: Phase::Active, size: 1.0, up_since_ms: 0.0,
 //! };
-//! let mut reconciler = Reconciler::new(Settings::default(), 2, 0.0).expect("sound settings");
+//! let mut reconciler = Reconciler::new(Settings::default(), 2, 0.0).expect("valid settings");
 //! let mut actions = Vec::new();
 //! let update = |source, members, gone| Event::Update { source, complete: false, members, gone };
 //! reconciler.handle(Duration::ZERO, update(0, vec![member.clone()], vec![]), &mut actions);
@@ -71,13 +71,13 @@
     pub suspect_for: Duration,
     /// How long a server that no source has any more is remembered.
     pub retain_for: Duration,
-    /// How often a server may return within the window...
+    /// How often a server may return within `flap_window` before it is held back.
     pub max_flaps: u32,
-    /// ...of this length before it is held back...
+    /// The window in which the returns of a server are counted.
     pub flap_window: Duration,
-    /// ...for this long at first...
+    /// How long a flapping server is held back at first; the time doubles with each further return.
     pub min_hold: Duration,
-    /// ...and for at most this long.
+    /// The longest time that a flapping server is held back.
     pub max_hold: Duration,
     /// The servers of a stale source are included for this long if another source is not stale.
     pub keep_stale_for: Duration,
@@ -107,17 +107,17 @@
     ///
     /// # Errors
     ///
-    /// Returns the first key whose value is not valid, and why.
+    /// Returns the first setting that is not valid, by its key in the configuration file, and why.
     pub fn validate(&self) -> Result<(), (&'static str, &'static str)> {
-        let need = |ok: bool, key, why| if ok { Ok(()) } else { Err((key, why)) };
+        let require = |ok: bool, key, why| if ok { Ok(()) } else { Err((key, why)) };
         let hour = Duration::from_secs(3600);
-        need((0.0..1.0).contains(&self.suspect_below), "floor", "must be at least 0 and below 1")?;
-        need(self.suspect_for <= hour, "suspect_for_ms", "must be at most an hour")?;
-        need(self.retain_for <= hour, "linger_ms", "must be at most an hour")?;
-        need(self.flap_window <= hour, "flap_window_ms", "must be at most an hour")?;
-        need(self.max_hold <= hour, "hold_most_ms", "must be at most an hour")?;
-        need(self.min_hold <= self.max_hold, "hold_least_ms", "is greater than `hold_most_ms`")?;
-        need(self.keep_stale_for <= 24 * hour, "keep_ms", "must be at most a day")
+        require((0.0..1.0).contains(&self.suspect_below), "floor", "must be at least 0 and below 1")?;
+        require(self.suspect_for <= hour, "suspect_for_ms", "must be at most an hour")?;
+        require(self.retain_for <= hour, "linger_ms", "must be at most an hour")?;
+        require(self.flap_window <= hour, "flap_window_ms", "must be at most an hour")?;
+        require(self.max_hold <= hour, "hold_most_ms", "must be at most an hour")?;
+        require(self.min_hold <= self.max_hold, "hold_least_ms", "is greater than `hold_most_ms`")?;
+        require(self.keep_stale_for <= 24 * hour, "keep_ms", "must be at most a day")
     }
 }
 
--- a/crates/spurdrum-sources/tests/catalog.rs
+++ b/crates/spurdrum-sources/tests/catalog.rs
@@ -30,10 +30,10 @@
 /// Follows a fleet's catalog until a condition holds, and returns the counters.
 fn follow(script: &str, until: impl Fn(&Received, &Rc<Catalog>, &Fleet) -> bool + 'static) -> Counts {
     let scenario = format!("[[servers]]\ncount = 3\nwork_ms = 1\n{script}");
-    let fleet = Fleet::start(&Scenario::parse(&scenario).expect("sound")).expect("started");
+    let fleet = Fleet::start(&Scenario::parse(&scenario).expect("valid")).expect("started");
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async move {
-        let catalog = Catalog::new(fleet.catalog, settings(), 5, Some(0)).expect("sound settings");
+        let catalog = Catalog::new(fleet.catalog, settings(), 5, Some(0)).expect("valid settings");
         let received = Rc::new(RefCell::new(Received { revisions: Vec::new(), freshness: Vec::new() }));
         let (notify, mut notified) = mpsc::unbounded_channel();
         let sink = Rc::clone(&received);
--- a/crates/spurdrum-sources/tests/follower.rs
+++ b/crates/spurdrum-sources/tests/follower.rs
@@ -50,7 +50,7 @@
 impl Node {
     /// A process that has just started and made its first call.
     fn starting(settings: Settings) -> Self {
-        let follower = Follower::new(settings, 3, Some(41)).expect("sound settings");
+        let follower = Follower::new(settings, 3, Some(41)).expect("valid settings");
         let mut node = Self {
             follower,
             now: ms(0),
--- a/crates/spurdrum-sources/tests/reconciler.rs
+++ b/crates/spurdrum-sources/tests/reconciler.rs
@@ -38,7 +38,7 @@
 impl Simulation {
     fn new(settings: Settings, sources: usize) -> Self {
         Self {
-            reconciler: Reconciler::new(settings, sources, START_UNIX_MS).expect("sound"),
+            reconciler: Reconciler::new(settings, sources, START_UNIX_MS).expect("valid"),
             now: Duration::ZERO,
             list: BTreeMap::new(),
             changes: Vec::new(),
