--- a/crates/spurdrum-handover/src/channel.rs
+++ b/crates/spurdrum-handover/src/channel.rs
@@ -1,4 +1,4 @@
-//! A framed channel over a Unix socket that also carries descriptors.
+//! A channel of framed messages over a Unix socket, which also carries file descriptors (`SCM_RIGHTS`).
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -15,33 +15,35 @@
 
 use crate::message::{Frames, Message};
 
-/// The most descriptors that one read accepts.
-const DESCRIPTORS_PER_READ: usize = 8;
-/// The most received descriptors whose messages are still incomplete.
+/// The most file descriptors that one `recvmsg` call accepts.
+const MAX_DESCRIPTORS_PER_READ: usize = 8;
+/// The most received file descriptors whose messages have not arrived completely yet; a peer that sends more is cut off.
 const MAX_PENDING_DESCRIPTORS: usize = 64;
 
-/// One end of the channel between the two processes.
+/// One end of the channel between the outgoing and the incoming process.
 pub struct Channel {
     stream: UnixStream,
     frames: RefCell<Frames>,
+    /// Received file descriptors whose messages have not been returned yet, in order of arrival.
     descriptors: RefCell<VecDeque<OwnedFd>>,
 }
 
 impl Channel {
-    /// Opens a channel over a connected socket; the peer must run as the same user.
+    /// Opens a channel over a connected socket. The peer process must run as the same user.
     ///
     /// # Errors
     ///
-    /// The peer is another user's process, or its credentials cannot be read.
+    /// Fails if the peer runs as another user, or if its credentials cannot be read.
     pub fn new(stream: UnixStream) -> io::Result<Self> {
-        // In a shared directory another user could otherwise receive our clients' connections, or send us its own.
+        // Without this check, another user could receive our clients' connections, or send us connections of its own,
+        // where the socket lies in a shared directory.
         if stream.peer_cred()?.uid() != rustix::process::getuid().as_raw() {
-            return Err(io::Error::other("it is another user's process"));
+            return Err(io::Error::other("the peer process runs as another user"));
         }
         Ok(Self { stream, frames: RefCell::default(), descriptors: RefCell::default() })
     }
 
-    /// Waits for the next message, with its descriptor if it carries one.
+    /// Waits for the next message. Returns it with its file descriptor if it carries one.
     pub async fn receive(&self) -> io::Result<(Message, Option<OwnedFd>)> {
         loop {
             if let Some(received) = self.next_message()? {
@@ -56,7 +58,7 @@
         }
     }
 
-    /// Takes the next complete message, with its descriptor if it carries one.
+    /// Returns the next message if it has arrived completely, with its file descriptor if it carries one.
     fn next_message(&self) -> io::Result<Option<(Message, Option<OwnedFd>)>> {
         let Some(message) = self.frames.borrow_mut().take().map_err(io::Error::other)? else {
             return Ok(None);
@@ -65,31 +67,33 @@
             return Ok(Some((message, None)));
         }
         let descriptor = self.descriptors.borrow_mut().pop_front();
-        let descriptor = descriptor.ok_or_else(|| io::Error::other("a descriptor is missing"))?;
+        let descriptor =
+            descriptor.ok_or_else(|| io::Error::other("message arrived without its file descriptor"))?;
         Ok(Some((message, Some(descriptor))))
     }
 
-    /// Reads the bytes and descriptors that are available.
+    /// Reads the available bytes and file descriptors. Returns the number of bytes; 0 means that the peer has closed.
     fn read(&self) -> io::Result<usize> {
         let mut bytes = [0; 16 * 1024];
-        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(DESCRIPTORS_PER_READ))];
-        let mut control = RecvAncillaryBuffer::new(&mut space);
-        let mut pieces = [IoSliceMut::new(&mut bytes)];
-        let got = recvmsg(&self.stream, &mut pieces, &mut control, RecvFlags::CMSG_CLOEXEC)?;
+        let mut control_space =
+            [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS_PER_READ))];
+        let mut control = RecvAncillaryBuffer::new(&mut control_space);
+        let mut buffers = [IoSliceMut::new(&mut bytes)];
+        let received = recvmsg(&self.stream, &mut buffers, &mut control, RecvFlags::CMSG_CLOEXEC)?;
         let mut descriptors = self.descriptors.borrow_mut();
         for message in control.drain() {
-            if let RecvAncillaryMessage::ScmRights(received) = message {
-                descriptors.extend(received);
+            if let RecvAncillaryMessage::ScmRights(rights) = message {
+                descriptors.extend(rights);
             }
         }
         if descriptors.len() > MAX_PENDING_DESCRIPTORS {
-            return Err(io::Error::other("too many descriptors"));
+            return Err(io::Error::other("too many file descriptors received before their messages"));
         }
-        self.frames.borrow_mut().push(&bytes[..got.bytes]);
-        Ok(got.bytes)
+        self.frames.borrow_mut().push(&bytes[..received.bytes]);
+        Ok(received.bytes)
     }
 
-    /// Sends a message, with a descriptor if it carries one.
+    /// Sends a message, with its file descriptor if it carries one.
     pub async fn send(&self, message: &Message, descriptor: Option<BorrowedFd<'_>>) -> io::Result<()> {
         let bytes = message.encode();
         let (mut rest, mut descriptor) = (&bytes[..], descriptor);
@@ -97,7 +101,7 @@
             self.stream.writable().await?;
             match self.stream.try_io(Interest::WRITABLE, || self.write(rest, descriptor)) {
                 Ok(written) => {
-                    // The descriptor is sent with the first byte.
+                    // `sendmsg` has sent the descriptor with the first byte.
                     descriptor = None;
                     rest = &rest[written..];
                 }
@@ -108,10 +112,10 @@
         Ok(())
     }
 
-    /// Writes as many bytes as the socket takes, with the descriptor if there is one.
+    /// Writes as many bytes as the socket's buffer takes, with the file descriptor if there is one. Returns their number.
     fn write(&self, bytes: &[u8], descriptor: Option<BorrowedFd<'_>>) -> io::Result<usize> {
-        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
-        let mut control = SendAncillaryBuffer::new(&mut space);
+        let mut control_space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
+        let mut control = SendAncillaryBuffer::new(&mut control_space);
         let descriptors: Vec<_> = descriptor.into_iter().collect();
         if !descriptors.is_empty() {
             control.push(SendAncillaryMessage::ScmRights(&descriptors));
--- a/crates/spurdrum-handover/src/endpoint.rs
+++ b/crates/spurdrum-handover/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! The Unix socket at which a running process accepts takeover requests.
+//! The Unix socket on which a running process accepts takeover requests.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 
 use tokio::net::UnixListener;
 
-/// The socket's path for the process that listens on `listen`; `None` if `$TMPDIR` is not set.
+/// Returns the path of the Unix socket of the process that listens on `listen`; `None` if `$TMPDIR` is not set.
 #[must_use]
 pub fn path(listen: SocketAddr) -> Option<PathBuf> {
     let directory = std::env::var_os("TMPDIR").filter(|directory| !directory.is_empty())?;
@@ -15,16 +15,17 @@
     Some(Path::new(&directory).join(name))
 }
 
-/// Listens at `path`, replacing any socket that is there.
+/// Listens at `path`, replacing any socket that is there. The socket is bound under a temporary name and renamed, so that
+/// `path` always names a socket that accepts.
 pub fn bind(path: &Path) -> io::Result<UnixListener> {
-    let new = path.with_extension(std::process::id().to_string());
-    // An earlier process with this id may have left its file behind.
-    let _ = std::fs::remove_file(&new);
-    let listener = UnixListener::bind(&new)?;
-    let placed = std::fs::set_permissions(&new, std::fs::Permissions::from_mode(0o600))
-        .and_then(|()| std::fs::rename(&new, path));
-    if let Err(error) = placed {
-        let _ = std::fs::remove_file(&new);
+    let temporary = path.with_extension(std::process::id().to_string());
+    // An earlier process with the same process id may have left its temporary file behind.
+    let _ = std::fs::remove_file(&temporary);
+    let listener = UnixListener::bind(&temporary)?;
+    let renamed = std::fs::set_permissions(&temporary, std::fs::Permissions::from_mode(0o600))
+        .and_then(|()| std::fs::rename(&temporary, path));
+    if let Err(error) = renamed {
+        let _ = std::fs::remove_file(&temporary);
         return Err(error);
     }
     Ok(listener)
--- a/crates/spurdrum-handover/src/incoming.rs
+++ b/crates/spurdrum-handover/src/incoming.rs
@@ -1,49 +1,53 @@
-//! The incoming side as a state machine: a process that starts beside a running one.
+//! The state machine of the incoming process: one that starts while another process serves the same node.
 
 use crate::message::{Identity, Message};
 
-/// What happens to the incoming process.
+/// An event for the incoming process's state machine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum IncomingEvent {
     /// The channel to the outgoing process is open.
     Connected,
-    /// A message has arrived.
+    /// The outgoing process has sent this message.
     Received(Message),
-    /// There is no outgoing process, it has gone, it sent an invalid message, or it did not answer in time.
+    /// There is no outgoing process, its channel has closed, it sent an invalid message, or it did not answer in time.
     Lost,
 }
 
-/// What the incoming process is to do.
+/// An action that the incoming process's shell performs.
 #[derive(Clone, Debug, PartialEq)]
 pub enum IncomingAction {
-    /// Send this message.
+    /// Send this message to the outgoing process.
     Send(Message),
-    /// Take over with the listening socket that was received.
+    /// Serve the node with the listening socket that was received.
     TakeOver {
-        /// The descriptors that the outgoing process keeps.
+        /// The number of file descriptors of the node's budget that the outgoing process keeps.
         share: usize,
-        /// The state that it hands over.
+        /// The state that the outgoing process hands over.
         state: serde_json::Value,
     },
-    /// Listen on a socket of its own, for this reason.
+    /// Bind a listening socket of its own, since there is no takeover for this reason.
     StartAlone(String),
-    /// The outgoing process now keeps this many descriptors.
+    /// The outgoing process now keeps this many file descriptors of the node's budget.
     Share(usize),
-    /// Serve the connection that was received; these bytes have been read from it already.
+    /// Serve the client connection that was received. The outgoing process has already read these bytes from it.
     Serve(Vec<u8>),
-    /// The outgoing process has gone; the whole budget belongs to this process.
+    /// The outgoing process has gone; the whole descriptor budget belongs to this process.
     OutgoingGone,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    Begun,
-    Greeted,
+    /// Not connected to an outgoing process yet.
+    Started,
+    /// `Hello` is sent and not answered yet.
+    HelloSent,
+    /// The takeover is granted and the outgoing process still runs.
     TakenOver,
+    /// There is no outgoing process, or no longer one.
     Alone,
 }
 
-/// The state machine of the incoming process, without clock or I/O.
+/// The state machine of the incoming process, without a clock or I/O.
 #[derive(Debug)]
 pub struct Incoming {
     identity: Identity,
@@ -51,25 +55,25 @@
 }
 
 impl Incoming {
-    /// The incoming process of this node.
+    /// Creates the state machine for the incoming process of this node.
     #[must_use]
     pub fn new(identity: Identity) -> Self {
-        Self { identity, state: State::Begun }
+        Self { identity, state: State::Started }
     }
 
-    /// Handles an event and appends the resulting actions.
+    /// Handles an event and appends the resulting actions to `actions`.
     pub fn handle(&mut self, event: IncomingEvent, actions: &mut Vec<IncomingAction>) {
         match (self.state, event) {
-            (State::Begun, IncomingEvent::Connected) => {
-                self.state = State::Greeted;
+            (State::Started, IncomingEvent::Connected) => {
+                self.state = State::HelloSent;
                 actions.push(IncomingAction::Send(Message::Hello(self.identity.clone())));
             }
-            (State::Greeted, IncomingEvent::Received(Message::Offer { share, state })) => {
+            (State::HelloSent, IncomingEvent::Received(Message::Offer { share, state })) => {
                 self.state = State::TakenOver;
                 actions.push(IncomingAction::TakeOver { share, state });
                 actions.push(IncomingAction::Send(Message::Confirm));
             }
-            (State::Greeted, IncomingEvent::Received(Message::Decline(why))) => {
+            (State::HelloSent, IncomingEvent::Received(Message::Decline(why))) => {
                 self.start_alone(why, actions)
             }
             (State::TakenOver, IncomingEvent::Received(Message::Share(share))) => {
@@ -81,22 +85,22 @@
             (State::TakenOver, IncomingEvent::Received(Message::Request { read })) => {
                 actions.push(IncomingAction::Serve(read));
             }
-            (State::Begun | State::Greeted, IncomingEvent::Lost) => {
-                self.start_alone("no process answers".into(), actions);
+            (State::Started | State::HelloSent, IncomingEvent::Lost) => {
+                self.start_alone("no running process answers".into(), actions);
             }
-            (State::Greeted, IncomingEvent::Received(_)) => {
-                self.start_alone("it answers out of turn".into(), actions);
+            (State::HelloSent, IncomingEvent::Received(_)) => {
+                self.start_alone("the running process sent a message out of sequence".into(), actions);
             }
             (State::TakenOver, _) => {
                 self.state = State::Alone;
                 actions.push(IncomingAction::OutgoingGone);
             }
-            (State::Begun | State::Alone, _) | (State::Greeted, IncomingEvent::Connected) => {}
+            (State::Started | State::Alone, _) | (State::HelloSent, IncomingEvent::Connected) => {}
         }
     }
 
-    fn start_alone(&mut self, why: String, actions: &mut Vec<IncomingAction>) {
+    fn start_alone(&mut self, reason: String, actions: &mut Vec<IncomingAction>) {
         self.state = State::Alone;
-        actions.push(IncomingAction::StartAlone(why));
+        actions.push(IncomingAction::StartAlone(reason));
     }
 }
--- a/crates/spurdrum-handover/src/lib.rs
+++ b/crates/spurdrum-handover/src/lib.rs
@@ -1,12 +1,15 @@
-//! Handover of a node from a running process to the one that replaces it.
+//! Handover of a node from the running process to the process that replaces it, without refusing connections in between.
 //!
-//! The running process is the [`Outgoing`] side, the one that starts beside it the [`Incoming`] side; each is a pure state machine,
-//! `handle(event) -> actions`. They exchange [`Message`]s over a Unix socket, which also carries descriptors: first the listening
-//! socket, and once the outgoing process is shutting down, clients' connections: idle ones, and such from which a request has been
-//! read that no server has been sent. The two processes share one node's descriptor
-//! budget; the outgoing process lowers its own share before it reports it, so the sum never exceeds the budget.
+//! The running process is the *outgoing* one ([`Outgoing`]); the process that starts while it still serves is the *incoming* one
+//! ([`Incoming`]). Each side is a pure state machine, `handle(event, actions)`. They exchange [`Message`]s over a Unix socket that
+//! also carries file descriptors: first the listening socket, and once the outgoing process shuts down, client connections. It
+//! hands over idle connections and those from which it has read a request that it has not sent to any server.
 //!
-//! [`Offer`] (with a [`BudgetOwner`]) and [`Takeover`] (with its [`TakeoverEvent`]s) drive the state machines over the socket.
+//! The two processes share one node's budget of file descriptors. The outgoing process lowers its own share before it reports the
+//! new share, so the sum of both never exceeds the budget.
+//!
+//! [`Offer`] (with a [`BudgetOwner`]) drives the outgoing state machine over the socket, [`Takeover`] (with its
+//! [`TakeoverEvent`]s) the incoming one.
 
 mod channel;
 mod endpoint;
--- a/crates/spurdrum-handover/src/offer.rs
+++ b/crates/spurdrum-handover/src/offer.rs
@@ -1,4 +1,4 @@
-//! The outgoing side of a handover: accepts takeover requests and passes connections on.
+//! The outgoing side of a handover: accepts takeover requests and hands over connections.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -20,47 +20,50 @@
 use crate::message::{Identity, Message};
 use crate::outgoing::{IncomingId, Outgoing, OutgoingAction, OutgoingEvent};
 
-/// How often an ending process reports the descriptors that it still needs.
+/// How often a process that shuts down reports how many file descriptors it still needs.
 const SHARE_INTERVAL: Duration = Duration::from_millis(50);
-/// How long to wait after a takeover request could not be accepted.
+/// How long to wait after accepting a takeover request has failed.
 const ACCEPT_RETRY: Duration = Duration::from_millis(50);
 
-/// The owner of the node's descriptor budget, which the outgoing process shares with the incoming one.
+/// The owner of the node's file descriptor budget, which the outgoing process shares with the incoming one.
 pub trait BudgetOwner: 'static {
-    /// Limits this process to a share of the budget. Returns that share and the state for the incoming process.
+    /// Limits this process to a share of the budget. Returns the share and the state for the incoming process.
     fn split(&self) -> (usize, serde_json::Value);
 
-    /// Limits this process to the descriptors that it still needs. Returns how many these are.
+    /// Limits this process to the file descriptors that it still needs. Returns their number.
     fn shrink_to_use(&self) -> usize;
 
-    /// Returns the whole budget to this process.
+    /// Lets this process use the whole budget again.
     fn restore(&self);
 }
 
-/// A queued message, with its descriptor if it carries one.
-type Queued = (Message, Option<OwnedFd>);
+/// A message to be sent, with its file descriptor if it carries one.
+type QueuedMessage = (Message, Option<OwnedFd>);
 
-/// The outgoing side of a handover: the running process, which accepts takeover requests.
+/// The shell of the outgoing process's state machine: accepts takeover requests over a Unix socket.
 pub struct Offer {
     outgoing: RefCell<Outgoing>,
+    /// The path of the Unix socket.
     path: PathBuf,
     listener: TcpListener,
     budget: Box<dyn BudgetOwner>,
-    channels: RefCell<HashMap<IncomingId, mpsc::UnboundedSender<Queued>>>,
+    /// The queue of messages to each connected process.
+    channels: RefCell<HashMap<IncomingId, mpsc::UnboundedSender<QueuedMessage>>>,
     last_id: Cell<u64>,
-    /// The process that receives idle connections.
+    /// The process to which connections are handed over, once this process shuts down.
     incoming: Cell<Option<IncomingId>>,
+    /// Notified when the takeover's state changes.
     changed: Notify,
-    /// Connections that are queued and not yet sent.
+    /// The number of connections that are queued and not sent yet.
     unsent: Cell<usize>,
 }
 
 impl Offer {
-    /// Starts accepting takeover requests at `path` for this listening socket.
+    /// Starts accepting takeover requests at the Unix socket `path` for this listening socket.
     ///
     /// # Errors
     ///
-    /// The path cannot be bound.
+    /// Fails if the path cannot be bound.
     pub fn new(
         path: PathBuf,
         identity: Identity,
@@ -83,32 +86,32 @@
         Ok(offer)
     }
 
-    /// Starts the shutdown of this process. Returns whether another process has confirmed and receives idle connections.
+    /// Starts the shutdown of this process. Returns whether an incoming process has confirmed and receives idle connections.
     pub fn stop(self: &Rc<Self>) -> bool {
         self.handle(OutgoingEvent::Stop);
         self.incoming.get().is_some()
     }
 
-    /// Whether idle connections can be passed on now.
+    /// Returns whether idle connections can be handed over now.
     pub fn can_hand_over(&self) -> bool {
         self.incoming.get().is_some()
     }
 
-    /// Whether another process has been sent the listening socket and has not confirmed yet.
+    /// Returns whether an incoming process has been sent the listening socket and has not confirmed yet.
     pub fn awaits_confirmation(&self) -> bool {
         self.outgoing.borrow().awaits_confirmation()
     }
 
-    /// Whether connections from which a request has been read can be passed on now.
+    /// Returns whether connections from which a request has been read can be handed over now.
     pub fn can_hand_over_requests(&self) -> bool {
         self.can_hand_over() && self.outgoing.borrow().can_hand_over_requests()
     }
 
-    /// Passes a connection on.
+    /// Queues a connection for the incoming process.
     ///
     /// # Errors
     ///
-    /// Returns the connection if there is no process that accepts it.
+    /// Returns the connection if no process accepts it.
     pub fn hand_over(&self, connection: HandedOverConnection) -> Result<(), HandedOverConnection> {
         if connection.has_request() && !self.can_hand_over_requests() {
             return Err(connection);
@@ -119,17 +122,17 @@
         self.unsent.set(self.unsent.get() + 1);
         let HandedOverConnection { stream, read } = connection;
         let message = if read.is_empty() { Message::Connection } else { Message::Request { read } };
-        // If the queue is closed after the check, the connection is lost with the incoming process, as are all that it holds.
+        // If the queue has closed since the check, the connection is lost together with the incoming process and its others.
         let _ = queue.send((message, Some(stream.into())));
         Ok(())
     }
 
-    /// Whether all connections that were passed on have been sent.
+    /// Returns whether all connections that were handed over have been sent, or the incoming process has gone.
     pub fn all_sent(&self) -> bool {
         self.unsent.get() == 0 || self.incoming.get().is_none()
     }
 
-    /// Feeds an event to the state machine and performs its actions.
+    /// Feeds an event to the state machine and performs the resulting actions.
     fn handle(self: &Rc<Self>, event: OutgoingEvent) {
         let mut actions = Vec::new();
         self.outgoing.borrow_mut().handle(event, &mut actions);
@@ -141,13 +144,13 @@
     fn perform(self: &Rc<Self>, action: OutgoingAction) {
         match action {
             OutgoingAction::Offer(id) => self.offer(id),
-            OutgoingAction::Decline(id, why) => {
-                self.queue(id, Message::Decline(why.into()), None);
+            OutgoingAction::Decline(id, reason) => {
+                self.queue(id, Message::Decline(reason.into()), None);
                 self.close(id);
             }
             OutgoingAction::Drop(id) => self.close(id),
             OutgoingAction::Confirmed(_) => {
-                tracing::info!("another process serves this address as well");
+                tracing::info!("the incoming process accepts connections as well");
                 self.changed.notify_one();
             }
             OutgoingAction::HandOver(id) => {
@@ -155,7 +158,7 @@
                 tokio::task::spawn_local(Rc::clone(self).report_share(id));
             }
             OutgoingAction::ResumeAlone => {
-                tracing::info!("the other process has gone");
+                tracing::info!("the incoming process has gone; this process serves alone");
                 self.incoming.set(None);
                 self.budget.restore();
                 self.changed.notify_one();
@@ -163,7 +166,7 @@
         }
     }
 
-    /// Splits the budget and sends the listening socket.
+    /// Splits the descriptor budget and sends the listening socket.
     fn offer(&self, id: IncomingId) {
         let (share, state) = self.budget.split();
         match self.listener.try_clone() {
@@ -182,7 +185,7 @@
         }
     }
 
-    /// Reports a shrinking share until the incoming process has gone.
+    /// Reports this process's share of the descriptor budget each time it has shrunk, until the incoming process has gone.
     async fn report_share(self: Rc<Self>, id: IncomingId) {
         let mut reported = usize::MAX;
         while self.incoming.get() == Some(id) {
@@ -195,7 +198,7 @@
         }
     }
 
-    /// Accepts takeover requests, except while another process has confirmed and accepts them instead.
+    /// Accepts takeover requests, except while an incoming process has confirmed and accepts them instead.
     async fn accept_requests(self: Rc<Self>, requests: UnixListener) {
         let mut requests = Some(requests);
         loop {
@@ -203,18 +206,22 @@
                 Some(requests) => self.accept_or_wait(requests).await,
                 None => self.changed.notified().await,
             }
-            let succeeded = self.outgoing.borrow().is_confirmed();
-            if succeeded {
+            let confirmed = self.outgoing.borrow().is_confirmed();
+            if confirmed {
                 requests = None;
             } else if requests.is_none() {
                 requests = bind(&self.path)
-                    .inspect_err(|error| tracing::warn!("this process cannot be replaced unnoticed: {error}"))
+                    .inspect_err(|error| {
+                        tracing::warn!(
+                            "cannot accept takeover requests; a restart will refuse connections: {error}"
+                        )
+                    })
                     .ok();
             }
         }
     }
 
-    /// Waits for a takeover request or a change of state.
+    /// Waits for a takeover request, or for a change of the takeover's state.
     async fn accept_or_wait(self: &Rc<Self>, requests: &UnixListener) {
         tokio::select! {
             accepted = requests.accept() => match accepted {
@@ -225,7 +232,7 @@
         }
     }
 
-    /// Serves one incoming process until its channel ends.
+    /// Serves the channel of one incoming process until it closes.
     async fn serve_channel(self: Rc<Self>, stream: UnixStream) {
         let Ok(channel) = Channel::new(stream) else { return };
         let id = IncomingId(self.last_id.get() + 1);
@@ -233,7 +240,7 @@
         let (queue, mut queued) = mpsc::unbounded_channel();
         self.channels.borrow_mut().insert(id, queue);
         self.handle(OutgoingEvent::Connected(id));
-        // The channel ends with whichever direction ends first.
+        // The channel is closed as soon as either direction ends.
         tokio::select! {
             _ = self.write_queued(&channel, &mut queued) => {}
             _ = self.read_messages(id, &channel) => {}
@@ -245,7 +252,7 @@
     async fn write_queued(
         &self,
         channel: &Channel,
-        queued: &mut mpsc::UnboundedReceiver<Queued>,
+        queued: &mut mpsc::UnboundedReceiver<QueuedMessage>,
     ) -> io::Result<()> {
         while let Some((message, descriptor)) = queued.recv().await {
             channel.send(&message, descriptor.as_ref().map(AsFd::as_fd)).await?;
--- a/crates/spurdrum-handover/src/outgoing.rs
+++ b/crates/spurdrum-handover/src/outgoing.rs
@@ -1,125 +1,133 @@
-//! The outgoing side as a state machine: the running process, which may be replaced.
+//! The state machine of the outgoing process: the running one, which another process may replace.
 
 use crate::message::{Identity, Message};
 
-/// A process that has requested a takeover, numbered in order of arrival.
+/// Identifies an incoming process's channel. Ids are assigned in the order in which the processes connect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct IncomingId(pub u64);
 
-/// What happens to the outgoing process.
+/// An event for the outgoing process's state machine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OutgoingEvent {
-    /// A process of the same user has connected.
+    /// A process that runs as the same user has connected.
     Connected(IncomingId),
-    /// It has sent this message.
+    /// This process has sent this message.
     Received(IncomingId, Message),
-    /// It has gone, or sent an invalid message.
+    /// The channel to this process has closed, or it sent an invalid message.
     Lost(IncomingId),
-    /// The outgoing process starts its shutdown.
+    /// The outgoing process starts to shut down.
     Stop,
 }
 
-/// What the outgoing process is to do.
+/// An action that the outgoing process's shell performs.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OutgoingAction {
-    /// Send the offer and the listening socket; from now on the outgoing process keeps to its share of the budget.
+    /// Send the offer with the listening socket; from now on the outgoing process keeps to its share of the descriptor budget.
     Offer(IncomingId),
-    /// Send the reason and close the channel.
+    /// Send this reason and close the channel.
     Decline(IncomingId, &'static str),
     /// Close the channel.
     Drop(IncomingId),
-    /// The incoming process accepts connections as well, and receives the next takeover request.
+    /// The incoming process accepts connections as well. It also receives the next takeover request, no longer this process.
     Confirmed(IncomingId),
-    /// Accept no more connections, and pass idle ones on.
+    /// Stop accepting connections and hand over the idle ones to this process.
     HandOver(IncomingId),
-    /// The incoming process has gone: this process has the whole budget again, and accepts connections and takeover requests.
+    /// The incoming process has gone: use the whole descriptor budget again, and accept connections and takeover requests.
     ResumeAlone,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
+    /// No takeover is under way.
     Alone,
-    Greeting(IncomingId),
+    /// This process has connected and not sent `Hello` yet.
+    AwaitingHello(IncomingId),
+    /// This process has been sent the offer and has not confirmed yet.
     Offered(IncomingId),
+    /// This process has confirmed and accepts connections.
     Confirmed(IncomingId),
 }
 
-/// The state machine of the outgoing process, without clock or I/O.
+/// The state machine of the outgoing process, without a clock or I/O.
 #[derive(Debug)]
 pub struct Outgoing {
     identity: Identity,
     state: State,
     stopping: bool,
-    /// Whether the process that was last offered the listening socket accepts requests that were read here.
+    /// Whether the process that was last sent an offer accepts [`Message::Request`].
     accepts_requests: bool,
 }
 
 impl Outgoing {
-    /// The outgoing process of this node.
+    /// Creates the state machine for the outgoing process of this node.
     #[must_use]
     pub fn new(identity: Identity) -> Self {
         Self { identity, state: State::Alone, stopping: false, accepts_requests: false }
     }
 
-    /// Handles an event and appends the resulting actions.
+    /// Handles an event and appends the resulting actions to `actions`.
     pub fn handle(&mut self, event: OutgoingEvent, actions: &mut Vec<OutgoingAction>) {
         match event {
             OutgoingEvent::Connected(id) => match self.state {
-                _ if self.stopping => actions.push(OutgoingAction::Decline(id, "this process is ending")),
-                State::Alone => self.state = State::Greeting(id),
-                _ => actions.push(OutgoingAction::Decline(id, "another process is taking over")),
+                _ if self.stopping => {
+                    actions.push(OutgoingAction::Decline(id, "the running process is shutting down"))
+                }
+                State::Alone => self.state = State::AwaitingHello(id),
+                _ => actions.push(OutgoingAction::Decline(id, "another process is already taking over")),
             },
-            OutgoingEvent::Received(id, message) => self.said(id, &message, actions),
-            OutgoingEvent::Lost(id) => self.lost(id, actions),
+            OutgoingEvent::Received(id, message) => self.handle_message(id, &message, actions),
+            OutgoingEvent::Lost(id) => self.handle_lost(id, actions),
             OutgoingEvent::Stop => {
                 self.stopping = true;
                 match self.state {
                     State::Confirmed(id) => actions.push(OutgoingAction::HandOver(id)),
-                    State::Greeting(id) => {
+                    State::AwaitingHello(id) => {
                         self.state = State::Alone;
-                        actions.push(OutgoingAction::Decline(id, "this process is ending"));
+                        actions.push(OutgoingAction::Decline(id, "the running process is shutting down"));
                     }
-                    // An offered process is still to confirm or be lost.
+                    // A process with an offer will still confirm or be lost.
                     State::Alone | State::Offered(_) => {}
                 }
             }
         }
     }
 
-    fn said(&mut self, id: IncomingId, message: &Message, actions: &mut Vec<OutgoingAction>) {
+    fn handle_message(&mut self, id: IncomingId, message: &Message, actions: &mut Vec<OutgoingAction>) {
         match (self.state, message) {
-            (State::Greeting(of), Message::Hello(who)) if of == id => {
-                let why = match () {
-                    () if who.format != self.identity.format => "this process speaks another format",
-                    () if !who.is_same_node(&self.identity) => "this process is another node",
+            (State::AwaitingHello(current), Message::Hello(identity)) if current == id => {
+                let reason = match () {
+                    () if identity.format != self.identity.format => {
+                        "the running process uses another message format"
+                    }
+                    () if !identity.is_same_node(&self.identity) => "the running process serves another node",
                     () => {
-                        self.accepts_requests = who.accepts_requests;
+                        self.accepts_requests = identity.accepts_requests;
                         self.state = State::Offered(id);
                         return actions.push(OutgoingAction::Offer(id));
                     }
                 };
                 self.state = State::Alone;
-                actions.push(OutgoingAction::Decline(id, why));
+                actions.push(OutgoingAction::Decline(id, reason));
             }
-            (State::Offered(of), Message::Confirm) if of == id => {
+            (State::Offered(current), Message::Confirm) if current == id => {
                 self.state = State::Confirmed(id);
                 actions.push(OutgoingAction::Confirmed(id));
                 if self.stopping {
                     actions.push(OutgoingAction::HandOver(id));
                 }
             }
-            // A protocol violation.
+            // The message violates the protocol.
             _ => {
                 actions.push(OutgoingAction::Drop(id));
-                self.lost(id, actions);
+                self.handle_lost(id, actions);
             }
         }
     }
 
-    fn lost(&mut self, id: IncomingId, actions: &mut Vec<OutgoingAction>) {
+    fn handle_lost(&mut self, id: IncomingId, actions: &mut Vec<OutgoingAction>) {
         match self.state {
-            State::Greeting(of) if of == id => self.state = State::Alone,
-            State::Offered(of) | State::Confirmed(of) if of == id => {
+            State::AwaitingHello(current) if current == id => self.state = State::Alone,
+            State::Offered(current) | State::Confirmed(current) if current == id => {
                 self.state = State::Alone;
                 actions.push(OutgoingAction::ResumeAlone);
             }
@@ -127,19 +135,19 @@
         }
     }
 
-    /// Whether another process has been sent the listening socket and has not confirmed yet.
+    /// Returns whether an incoming process has been sent the listening socket and has not confirmed yet.
     #[must_use]
     pub fn awaits_confirmation(&self) -> bool {
         matches!(self.state, State::Offered(_))
     }
 
-    /// Whether the process that takes over accepts requests that were read here.
+    /// Returns whether an incoming process has confirmed and accepts connections from which a request has been read.
     #[must_use]
     pub fn can_hand_over_requests(&self) -> bool {
         self.is_confirmed() && self.accepts_requests
     }
 
-    /// Whether another process accepts connections as well.
+    /// Returns whether an incoming process has confirmed and accepts connections as well.
     #[must_use]
     pub fn is_confirmed(&self) -> bool {
         matches!(self.state, State::Confirmed(_))
--- a/crates/spurdrum-handover/src/takeover.rs
+++ b/crates/spurdrum-handover/src/takeover.rs
@@ -1,4 +1,4 @@
-//! The incoming side of a handover: requests a takeover and follows the outgoing process until it has gone.
+//! The incoming side of a handover: requests a takeover, then receives from the outgoing process until that has gone.
 
 use std::net::{TcpListener, TcpStream};
 use std::os::fd::OwnedFd;
@@ -12,22 +12,22 @@
 use crate::incoming::{Incoming, IncomingAction, IncomingEvent};
 use crate::message::Identity;
 
-/// How long to wait for the outgoing process's answer. On a busy machine it may stand still for some seconds; this process is
-/// expected to serve within 6 s of its start, of which discovery's first answer may take 1.5 s.
+/// How long to wait for the outgoing process's answer. On a busy machine the outgoing process may be paused for some seconds.
+/// The incoming process must serve within 6 s of its start, of which the first answer of discovery may take 1.5 s.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(4000);
 
-/// What the incoming process receives after the takeover was granted.
+/// What the incoming process receives after a takeover has been granted.
 pub enum TakeoverEvent {
-    /// The outgoing process now keeps this many descriptors.
+    /// The outgoing process now keeps this many file descriptors of the node's budget.
     OutgoingShare(usize),
-    /// A client's connection.
+    /// A client connection to serve.
     Connection(HandedOverConnection),
     /// The outgoing process has gone.
     OutgoingGone,
 }
 
 impl TakeoverEvent {
-    /// The event for an action, if it has one; a connection takes the received descriptor.
+    /// Returns the event for an action, if there is one; a connection takes the received file descriptor.
     fn from_action(action: IncomingAction, descriptor: &mut Option<OwnedFd>) -> Option<Self> {
         match action {
             IncomingAction::Share(share) => Some(Self::OutgoingShare(share)),
@@ -45,7 +45,7 @@
 pub struct Takeover {
     /// The listening socket.
     pub listener: TcpListener,
-    /// The descriptors that the outgoing process keeps.
+    /// The number of file descriptors of the node's budget that the outgoing process keeps.
     pub share: usize,
     /// The state that the outgoing process hands over.
     pub state: serde_json::Value,
@@ -54,25 +54,26 @@
 }
 
 impl Takeover {
-    /// Requests a takeover from the process at `path`.
+    /// Requests a takeover from the process that listens at the Unix socket `path`.
     ///
     /// # Errors
     ///
-    /// Why the takeover was not granted; this process then listens on a socket of its own.
+    /// Returns the reason why the takeover was not granted; this process then binds a listening socket of its own.
     pub async fn request(path: &Path, identity: Identity) -> Result<Self, String> {
-        // A pause of this process must not count as the other one's silence.
+        // A pause of this process must not count as silence of the outgoing one.
         let granted = pause_adjusted_timeout(ANSWER_TIMEOUT, Self::negotiate(path, identity)).await;
-        granted.unwrap_or_else(|| Err("no process answers in time".into()))
+        granted.unwrap_or_else(|| Err("the running process does not answer in time".into()))
     }
 
     /// Exchanges messages until the takeover is granted or refused.
     async fn negotiate(path: &Path, identity: Identity) -> Result<Self, String> {
-        let stream = UnixStream::connect(path).await.map_err(|error| format!("none runs: {error}"))?;
+        let stream =
+            UnixStream::connect(path).await.map_err(|error| format!("no running process: {error}"))?;
         let channel = Channel::new(stream).map_err(|error| error.to_string())?;
         let mut incoming = Incoming::new(identity);
         let (mut event, mut descriptor) = (IncomingEvent::Connected, None);
         loop {
-            let offered = Self::answer(&channel, &mut incoming, event).await?;
+            let offered = Self::handle_event(&channel, &mut incoming, event).await?;
             if let (Some((share, state)), Some(listener)) = (offered, descriptor.take()) {
                 return Ok(Self { listener: TcpListener::from(listener), share, state, channel, incoming });
             }
@@ -80,8 +81,9 @@
         }
     }
 
-    /// Handles an event of the negotiation. Returns the outgoing process's share and state if the event grants the takeover.
-    async fn answer(
+    /// Handles an event of the negotiation and sends the resulting messages. Returns the outgoing process's share and state if the
+    /// event grants the takeover.
+    async fn handle_event(
         channel: &Channel,
         incoming: &mut Incoming,
         event: IncomingEvent,
@@ -94,14 +96,14 @@
                     channel.send(&message, None).await.map_err(|error| error.to_string())?;
                 }
                 IncomingAction::TakeOver { share, state } => offered = Some((share, state)),
-                IncomingAction::StartAlone(why) => return Err(why),
+                IncomingAction::StartAlone(reason) => return Err(reason),
                 IncomingAction::Share(_) | IncomingAction::Serve(_) | IncomingAction::OutgoingGone => {}
             }
         }
         Ok(offered)
     }
 
-    /// Reports what the outgoing process sends until it has gone.
+    /// Calls `on_event` for everything that the outgoing process sends, until it has gone.
     pub async fn follow(mut self, mut on_event: impl FnMut(TakeoverEvent)) {
         loop {
             let (event, mut descriptor) = next_event(&self.channel).await;
@@ -119,7 +121,7 @@
     }
 }
 
-/// Waits for the outgoing process's next message, with the descriptor that it carries.
+/// Waits for the outgoing process's next message. Returns it as an event, with the file descriptor that it carries.
 async fn next_event(channel: &Channel) -> (IncomingEvent, Option<OwnedFd>) {
     match channel.receive().await {
         Ok((message, descriptor)) => (IncomingEvent::Received(message), descriptor),
--- a/crates/spurdrum-handover/tests/machines.rs
+++ b/crates/spurdrum-handover/tests/machines.rs
@@ -1,4 +1,4 @@
-//! Both sides without sockets: every message and every loss at every point.
+//! The state machines of both sides, without sockets: messages, lost channels and shutdown at every point of a handover.
 
 use proptest::prelude::*;
 use serde_json::Value;
@@ -13,6 +13,7 @@
     Identity { format: FORMAT, name: "n0".into(), listen: "127.0.0.1:1".into(), accepts_requests: true }
 }
 
+/// Feeds events to a new outgoing state machine. Returns it with the actions of the last event.
 fn outgoing(events: &[OutgoingEvent]) -> (Outgoing, Vec<OutgoingAction>) {
     let (mut outgoing, mut actions) = (Outgoing::new(identity()), Vec::new());
     for event in events {
@@ -31,7 +32,7 @@
 }
 
 #[test]
-fn a_process_is_succeeded_once_the_other_has_confirmed_and_passes_when_told_to_end() {
+fn an_outgoing_process_hands_over_at_shutdown_once_the_incoming_one_has_confirmed() {
     let (outgoing, actions) = outgoing(&[OutgoingEvent::Connected(ID), hello()]);
     assert_eq!(actions, [OutgoingAction::Offer(ID)]);
     assert!(!outgoing.is_confirmed());
@@ -41,28 +42,28 @@
     let mut actions = Vec::new();
     outgoing.handle(OutgoingEvent::Stop, &mut actions);
     assert_eq!(actions, [OutgoingAction::HandOver(ID)]);
-    // It dies while it takes over: the old one has all of the node again.
+    // The incoming process dies during the handover: the outgoing one serves the whole node again.
     outgoing.handle(OutgoingEvent::Lost(ID), &mut actions);
     assert_eq!(actions[1..], [OutgoingAction::ResumeAlone]);
 }
 
-/// Guards against requests that are handed to a process of an older version, which would take them for noise.
+/// An older version does not know `Message::Request` and would close the channel on it, which would lose the connection.
 #[test]
-fn requests_go_only_to_a_process_that_says_that_it_accepts_them() {
+fn connections_with_a_request_go_only_to_a_process_that_accepts_them() {
     for accepts_requests in [true, false] {
         let hello = Message::Hello(Identity { accepts_requests, ..identity() });
         let (mut outgoing, _) = outgoing(&[OutgoingEvent::Connected(ID), OutgoingEvent::Received(ID, hello)]);
-        assert!(!outgoing.can_hand_over_requests(), "it has not confirmed");
+        assert!(!outgoing.can_hand_over_requests(), "the incoming process has not confirmed yet");
         outgoing.handle(confirm(), &mut Vec::new());
         assert_eq!(outgoing.can_hand_over_requests(), accepts_requests);
     }
-    let older = r#"{"format":1,"name":"n0","listen":"127.0.0.1:1"}"#;
-    let older: Identity = serde_json::from_str(older).expect("still understood");
+    let old_format = r#"{"format":1,"name":"n0","listen":"127.0.0.1:1"}"#;
+    let older: Identity = serde_json::from_str(old_format).expect("the older format is still accepted");
     assert!(older.is_same_node(&identity()) && !older.accepts_requests);
 }
 
 #[test]
-fn told_to_end_before_the_confirmation_it_passes_once_that_comes() {
+fn a_shutdown_before_the_confirmation_hands_over_once_the_confirmation_arrives() {
     let (_, actions) = outgoing(&[OutgoingEvent::Connected(ID), hello(), OutgoingEvent::Stop, confirm()]);
     assert_eq!(actions, [OutgoingAction::Confirmed(ID), OutgoingAction::HandOver(ID)]);
     let (_, actions) =
@@ -75,29 +76,29 @@
 }
 
 #[test]
-fn another_node_or_format_is_declined_and_the_next_may_call() {
-    let strangers = [
+fn another_node_or_format_is_declined_and_the_next_process_may_take_over() {
+    let others = [
         Identity { format: FORMAT + 1, ..identity() },
         Identity { name: "n1".into(), ..identity() },
         Identity { listen: "127.0.0.1:2".into(), ..identity() },
     ];
-    for stranger in strangers {
-        let said = OutgoingEvent::Received(ID, Message::Hello(stranger));
-        let (_, actions) = outgoing(&[OutgoingEvent::Connected(ID), said.clone()]);
+    for other in others {
+        let other_hello = OutgoingEvent::Received(ID, Message::Hello(other));
+        let (_, actions) = outgoing(&[OutgoingEvent::Connected(ID), other_hello.clone()]);
         assert!(matches!(actions[..], [OutgoingAction::Decline(ID, _)]));
         let next = IncomingId(2);
         let hello = OutgoingEvent::Received(next, Message::Hello(identity()));
         let (_, actions) =
-            outgoing(&[OutgoingEvent::Connected(ID), said, OutgoingEvent::Connected(next), hello]);
+            outgoing(&[OutgoingEvent::Connected(ID), other_hello, OutgoingEvent::Connected(next), hello]);
         assert_eq!(actions, [OutgoingAction::Offer(next)]);
     }
 }
 
 #[test]
-fn of_three_starts_at_once_one_takes_over() {
-    let called = [OutgoingEvent::Connected(ID), OutgoingEvent::Connected(IncomingId(2))];
-    assert!(matches!(outgoing(&called).1[..], [OutgoingAction::Decline(IncomingId(2), _)]));
-    // One that dies before it confirms leaves its place to the next.
+fn only_one_of_several_incoming_processes_takes_over() {
+    let connected = [OutgoingEvent::Connected(ID), OutgoingEvent::Connected(IncomingId(2))];
+    assert!(matches!(outgoing(&connected).1[..], [OutgoingAction::Decline(IncomingId(2), _)]));
+    // After an incoming process has died before it confirmed, the next one may take over.
     let (_, actions) = outgoing(&[OutgoingEvent::Connected(ID), hello(), OutgoingEvent::Lost(ID)]);
     assert_eq!(actions, [OutgoingAction::ResumeAlone]);
     let next = IncomingId(3);
@@ -113,7 +114,7 @@
 }
 
 #[test]
-fn an_incoming_starts_alone_unless_it_is_offered_the_socket() {
+fn an_incoming_process_starts_alone_unless_it_is_offered_the_listening_socket() {
     let run = |events: Vec<IncomingEvent>| {
         let (mut incoming, mut actions) = (Incoming::new(identity()), Vec::new());
         for event in events {
@@ -121,14 +122,15 @@
         }
         actions
     };
-    let alone = |actions: &[IncomingAction]| matches!(actions.last(), Some(IncomingAction::StartAlone(_)));
-    assert!(alone(&run(vec![IncomingEvent::Lost])));
-    assert!(alone(&run(vec![IncomingEvent::Connected, IncomingEvent::Lost])));
-    assert!(alone(&run(vec![
+    let starts_alone =
+        |actions: &[IncomingAction]| matches!(actions.last(), Some(IncomingAction::StartAlone(_)));
+    assert!(starts_alone(&run(vec![IncomingEvent::Lost])));
+    assert!(starts_alone(&run(vec![IncomingEvent::Connected, IncomingEvent::Lost])));
+    assert!(starts_alone(&run(vec![
         IncomingEvent::Connected,
         IncomingEvent::Received(Message::Decline("no".into()))
     ])));
-    assert!(alone(&run(vec![IncomingEvent::Connected, IncomingEvent::Received(Message::Share(3))])));
+    assert!(starts_alone(&run(vec![IncomingEvent::Connected, IncomingEvent::Received(Message::Share(3))])));
     let offer = IncomingEvent::Received(Message::Offer { share: 9, state: Value::Null });
     let actions = run(vec![
         IncomingEvent::Connected,
@@ -153,21 +155,21 @@
 }
 
 #[test]
-fn what_is_no_message_is_told() {
-    let sound = Message::Share(7).encode();
+fn each_kind_of_invalid_frame_is_reported() {
+    let valid = Message::Share(7).encode();
     let mut frames = Frames::default();
     frames.push(b"GET / HTTP");
     assert_eq!(frames.take(), Err(FrameError::Magic));
-    let mut long = sound.clone();
+    let mut long = valid.clone();
     long[4..8].copy_from_slice(&(MAX_FRAME_PAYLOAD as u32 + 1).to_be_bytes());
     let mut frames = Frames::default();
     frames.push(&long);
     assert_eq!(frames.take(), Err(FrameError::Length));
-    for at in 8..sound.len() {
-        let mut damaged = sound.clone();
-        damaged[at] ^= 0x20;
+    for at in 8..valid.len() {
+        let mut corrupt = valid.clone();
+        corrupt[at] ^= 0x20;
         let mut frames = Frames::default();
-        frames.push(&damaged);
+        frames.push(&corrupt);
         assert_eq!(frames.take(), Err(FrameError::Checksum), "byte {at}");
     }
 }
@@ -187,23 +189,23 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 256, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Messages come out as they went in, however the bytes are cut.
+    /// Decoded messages equal the encoded ones, in whatever pieces the bytes arrive.
     #[test]
-    fn messages_survive_any_pieces(messages in prop::collection::vec(message(), 1..6), piece in 1_usize..40) {
+    fn messages_are_decoded_from_any_pieces(messages in prop::collection::vec(message(), 1..6), piece_len in 1_usize..40) {
         let bytes: Vec<u8> = messages.iter().flat_map(Message::encode).collect();
-        let (mut frames, mut got) = (Frames::default(), Vec::new());
-        for piece in bytes.chunks(piece) {
+        let (mut frames, mut decoded) = (Frames::default(), Vec::new());
+        for piece in bytes.chunks(piece_len) {
             frames.push(piece);
-            while let Some(message) = frames.take().expect("sound") {
-                got.push(message);
+            while let Some(message) = frames.take().expect("a valid frame") {
+                decoded.push(message);
             }
         }
-        prop_assert_eq!(got, messages);
+        prop_assert_eq!(decoded, messages);
     }
 
-    /// Whatever is said in whatever order: nothing is passed to anyone but the one process that has confirmed.
+    /// With any sequence of events, connections are handed over only to the one process that has confirmed.
     #[test]
-    fn only_a_confirmed_process_is_handed_connections(
+    fn connections_are_handed_over_only_to_a_confirmed_process(
         events in prop::collection::vec((1_u64..4, 0_u8..4, message()), 0..40),
     ) {
         let (mut outgoing, mut confirmed) = (Outgoing::new(identity()), None);
--- a/crates/spurdrum-ops/src/calls.rs
+++ b/crates/spurdrum-ops/src/calls.rs
@@ -1,34 +1,34 @@
-//! What operators may ask of a node.
+//! The operators' calls that a node answers.
 
 use crate::shell::CallHandler;
 
-/// What is operated: it answers calls and changes nothing.
+/// The state that a node exposes to operators. All operations are read-only.
 pub trait AdminOperations: 'static {
-    /// Why this process cannot serve, if it cannot.
+    /// Returns the reason why this process is not ready to serve, if it is not.
     fn ready(&self) -> Result<(), String>;
 
-    /// The figures, whole lines.
+    /// Returns the node's metrics as complete lines.
     fn telemetry(&self) -> String;
 
-    /// How long answers took, whole lines, where that is kept.
+    /// Returns the latency histograms as complete lines, if the node records them.
     fn latencies(&self) -> Option<String> {
         None
     }
 }
 
-/// The calls of a node.
+/// The handler of the calls to a node.
 pub struct NodeCalls<O>(pub O);
 
 impl<O: AdminOperations> CallHandler for NodeCalls<O> {
     fn answer(&self, line: &str) -> String {
-        let none = || "NO there is no such call: readyz, telemetry\n".to_owned();
+        let unknown_call = || "NO there is no such call: readyz, telemetry\n".to_owned();
         match line {
             "readyz" => {
-                self.0.ready().map_or_else(|why| format!("NO {why}\n"), |()| "YES ready\n".to_owned())
+                self.0.ready().map_or_else(|reason| format!("NO {reason}\n"), |()| "YES ready\n".to_owned())
             }
             "telemetry" => self.0.telemetry(),
-            "latencies" => self.0.latencies().unwrap_or_else(none),
-            _ => none(),
+            "latencies" => self.0.latencies().unwrap_or_else(unknown_call),
+            _ => unknown_call(),
         }
     }
 }
@@ -37,9 +37,9 @@
 mod tests {
     use super::*;
 
-    struct Told(bool);
+    struct FakeNode(bool);
 
-    impl AdminOperations for Told {
+    impl AdminOperations for FakeNode {
         fn ready(&self) -> Result<(), String> {
             self.0.then_some(()).ok_or_else(|| "ending".into())
         }
@@ -50,12 +50,12 @@
     }
 
     #[test]
-    fn calls_are_known_by_their_line() {
-        let ask = |line| NodeCalls(Told(true)).answer(line);
-        assert_eq!((ask("readyz"), ask("telemetry")), ("YES ready\n".into(), "{}\nEND\n".into()));
-        assert_eq!(NodeCalls(Told(false)).answer("readyz"), "NO ending\n");
-        for wrong in ["ready", "readyz telemetry", "READYZ", "latencies"] {
-            assert_eq!(ask(wrong), "NO there is no such call: readyz, telemetry\n");
+    fn each_call_is_matched_by_its_whole_line() {
+        let call = |line| NodeCalls(FakeNode(true)).answer(line);
+        assert_eq!((call("readyz"), call("telemetry")), ("YES ready\n".into(), "{}\nEND\n".into()));
+        assert_eq!(NodeCalls(FakeNode(false)).answer("readyz"), "NO ending\n");
+        for unknown in ["ready", "readyz telemetry", "READYZ", "latencies"] {
+            assert_eq!(call(unknown), "NO there is no such call: readyz, telemetry\n");
         }
     }
 }
--- a/crates/spurdrum-ops/src/figures.rs
+++ b/crates/spurdrum-ops/src/figures.rs
@@ -1,41 +1,44 @@
-//! The figures as operators' tools read them.
+//! The node's metrics in the form that operators' tools read.
 
 use serde_json::{json, Map, Value};
 use spurdrum_core::NodeMetrics;
 
-/// What is shown of the servers beside the figures that are counted.
+/// The counts of servers, which are shown together with the metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServerCounts {
-    /// Servers in the list.
+    /// The number of servers in the list.
     pub listed: usize,
-    /// Those of them that the decisions avoid now.
+    /// The number of listed servers that the balancer currently avoids.
     pub down: usize,
 }
 
-/// The figures in one line, then a line `END`.
+/// Returns the metrics as one line of JSON, followed by a line `END`.
 #[must_use]
-pub fn telemetry(figures: &NodeMetrics, servers: ServerCounts) -> String {
-    let calls: Map<String, Value> = figures
+pub fn telemetry(metrics: &NodeMetrics, servers: ServerCounts) -> String {
+    let calls: Map<String, Value> = metrics
         .classes()
         .into_iter()
-        .map(|(class, c)| (class, json!({"success": c.success, "busy": c.busy, "failure": c.failure})))
+        .map(|(class, counts)| {
+            (class, json!({"success": counts.success, "busy": counts.busy, "failure": counts.failure}))
+        })
         .collect();
-    let shown = json!({
+    let telemetry = json!({
         "calls": calls,
-        "inflight": figures.inflight(),
-        "backend_calls": figures.attempts(),
+        "inflight": metrics.inflight(),
+        "backend_calls": metrics.attempts(),
         "hosts_listed": servers.listed,
         "hosts_down": servers.down,
-        "reconfig_ok": figures.reconfig_ok(),
-        "reconfig_failed": figures.reconfig_failed(),
+        "reconfig_ok": metrics.reconfig_ok(),
+        "reconfig_failed": metrics.reconfig_failed(),
     });
-    format!("{shown}\nEND\n")
+    format!("{telemetry}\nEND\n")
 }
 
-/// How long answers took, by class, in one line, then a line `END`; none where that is not kept. Of each class pairs of an upper
-/// bound in microseconds and how many were at most that long and longer than the bound before.
+/// Returns the latency histograms by class as one line of JSON, followed by a line `END`; `None` if the node does not record them.
+/// A histogram is a list of buckets, each a pair of its upper bound in microseconds and the number of answers that took at most
+/// that long and longer than the previous bound.
 #[must_use]
-pub fn latencies(figures: &NodeMetrics) -> Option<String> {
-    let shown = figures.latencies()?;
-    Some(format!("{}\nEND\n", json!(shown.into_iter().collect::<std::collections::BTreeMap<_, _>>())))
+pub fn latencies(metrics: &NodeMetrics) -> Option<String> {
+    let histograms = metrics.latencies()?;
+    Some(format!("{}\nEND\n", json!(histograms.into_iter().collect::<std::collections::BTreeMap<_, _>>())))
 }
--- a/crates/spurdrum-ops/src/lib.rs
+++ b/crates/spurdrum-ops/src/lib.rs
@@ -1,15 +1,17 @@
-//! Operators' calls on an address of their own: one line to a connection, one answer, and the connection ends.
+//! The admin endpoint: operators' calls on an address of its own. Each connection carries one line, the call; the endpoint sends
+//! one answer and closes.
 //!
 //! | call | answer |
 //! | --- | --- |
-//! | `readyz` | `YES ...` once this process can serve, else `NO` and why |
-//! | `telemetry` | the figures as one line of JSON, then a line `END` |
-//! | `latencies` | where `[node] latencies` is on: by class, upper bounds in microseconds and counts, then a line `END` |
+//! | `readyz` | `YES ...` if this process is ready to serve, otherwise `NO` and the reason |
+//! | `telemetry` | the metrics as one line of JSON, then a line `END` |
+//! | `latencies` | if `[node] latencies` is on: a histogram for each class (upper bounds in microseconds, counts), then a line `END` |
 //!
-//! Other programs of this project answer lines of their own ([`CallHandler`]).
+//! Other programs of this workspace implement [`CallHandler`] to answer calls of their own.
 //!
-//! A [`AdminEndpoint`] is the pure half: it reads lines as they come in pieces, and bounds callers in number, bytes and time. The
-//! oldest that has not said its line makes room for who comes. [`serve`] is the thin shell of sockets round it.
+//! [`AdminEndpoint`] is a pure state machine that assembles lines from the pieces in which they arrive, and limits callers in
+//! number, bytes and time. At the limit the oldest caller whose line is incomplete is evicted in favour of a new one. [`serve`] is
+//! the thin I/O layer round it.
 
 mod calls;
 mod desk;
--- a/crates/spurdrum-ops/src/shell.rs
+++ b/crates/spurdrum-ops/src/shell.rs
@@ -1,4 +1,4 @@
-//! The sockets round the desk.
+//! The I/O layer of the admin endpoint: sockets and time-outs.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -13,120 +13,128 @@
 
 use crate::desk::{Action, AdminEndpoint, CallerId, Event, Settings};
 
-/// A caller has so long to take its answer: it fits into the buffers of a socket.
-const READ_MOST: Duration = Duration::from_millis(200);
-/// With no descriptor or no place to be had, accepting rests for so long.
-const REST: Duration = Duration::from_millis(5);
+/// How long a caller may take to receive its answer and close. An answer fits into the buffers of a socket, so writing it does not
+/// depend on the caller.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(200);
+/// How long to wait before accepting again, when the process is out of file descriptors or too many callers are connected.
+const ACCEPT_RETRY: Duration = Duration::from_millis(5);
 
-/// Who answers lines.
+/// Handles operators' calls.
 pub trait CallHandler: 'static {
-    /// The answer to a line, whole lines. Nothing else goes on meanwhile.
+    /// Returns the answer to a call, as complete lines. It blocks the event loop until it returns.
     fn answer(&self, line: &str) -> String;
 }
 
-/// Callers that are waited for or answered at once.
-const TASKS_MOST: usize = 32;
+/// The maximum number of references to the shell: one for each connected caller, and those of the accept loop and the timer.
+const MAX_TASKS: usize = 32;
 
 struct Shell<A> {
-    answers: A,
-    desk: RefCell<AdminEndpoint>,
+    handler: A,
+    endpoint: RefCell<AdminEndpoint>,
     started: Instant,
-    /// How each caller that has not said its line is told what becomes of it.
+    /// For each caller whose line is incomplete, the channel to its task: the answer, or `None` if the caller is evicted.
     waiting: RefCell<HashMap<CallerId, oneshot::Sender<Option<String>>>>,
+    /// Notified when a caller connects, so that the timer looks at the next time-out again.
     changed: Notify,
-    last: Cell<u64>,
+    last_id: Cell<u64>,
 }
 
-/// Answers lines for as long as the process runs.
-pub async fn serve(listener: TcpListener, answers: impl CallHandler, settings: Settings) {
+/// Answers calls on this listening socket for as long as the process runs.
+pub async fn serve(listener: TcpListener, handler: impl CallHandler, settings: Settings) {
     let shell = Rc::new(Shell {
-        answers,
-        desk: RefCell::new(AdminEndpoint::new(settings)),
+        handler,
+        endpoint: RefCell::new(AdminEndpoint::new(settings)),
         started: Instant::now(),
         waiting: RefCell::default(),
         changed: Notify::new(),
-        last: Cell::new(0),
+        last_id: Cell::new(0),
     });
-    tokio::task::spawn_local(Rc::clone(&shell).keep_time());
+    tokio::task::spawn_local(Rc::clone(&shell).run_timer());
     loop {
-        // Guards against callers that have their answers and do not leave: descriptors are the clients'.
-        while Rc::strong_count(&shell) > TASKS_MOST {
-            sleep(REST).await;
+        // Without this limit, callers that have their answers and do not disconnect would use up the file descriptors that clients
+        // need.
+        while Rc::strong_count(&shell) > MAX_TASKS {
+            sleep(ACCEPT_RETRY).await;
         }
         match listener.accept().await {
             Ok((stream, _)) => {
-                tokio::task::spawn_local(Rc::clone(&shell).caller(stream));
+                tokio::task::spawn_local(Rc::clone(&shell).serve_caller(stream));
             }
-            // The caller has left again, or there is no descriptor.
-            Err(_) => sleep(REST).await,
+            // The caller has disconnected again, or the process is out of file descriptors.
+            Err(_) => sleep(ACCEPT_RETRY).await,
         }
     }
 }
 
 impl<A: CallHandler> Shell<A> {
-    fn tell(&self, event: Event<'_>) {
+    /// Feeds an event to the state machine and performs the resulting actions.
+    fn handle(&self, event: Event<'_>) {
         let mut actions = Vec::new();
-        self.desk.borrow_mut().handle(self.started.elapsed(), event, &mut actions);
+        self.endpoint.borrow_mut().handle(self.started.elapsed(), event, &mut actions);
         for action in actions {
             let (id, answer) = match action {
-                Action::Answer(id, line) => (id, Some(self.answers.answer(&line))),
-                Action::Reject(id, why) => (id, Some(format!("NO {why}\n"))),
+                Action::Answer(id, line) => (id, Some(self.handler.answer(&line))),
+                Action::Reject(id, reason) => (id, Some(format!("NO {reason}\n"))),
                 Action::Evict(id) => (id, None),
             };
-            if let Some(waiting) = self.waiting.borrow_mut().remove(&id) {
-                // It fails where the caller has just left.
-                let _ = waiting.send(answer);
+            if let Some(answer_sender) = self.waiting.borrow_mut().remove(&id) {
+                // Fails if the caller has just disconnected.
+                let _ = answer_sender.send(answer);
             }
         }
     }
 
-    async fn caller(self: Rc<Self>, mut stream: TcpStream) {
-        let id = CallerId(self.last.get() + 1);
-        self.last.set(id.0);
-        let (tell, mut told) = oneshot::channel();
-        self.waiting.borrow_mut().insert(id, tell);
-        self.tell(Event::Connected(id));
+    /// Reads one caller's line and answers it.
+    async fn serve_caller(self: Rc<Self>, mut stream: TcpStream) {
+        let id = CallerId(self.last_id.get() + 1);
+        self.last_id.set(id.0);
+        let (answer_sender, mut answer_receiver) = oneshot::channel();
+        self.waiting.borrow_mut().insert(id, answer_sender);
+        self.handle(Event::Connected(id));
         self.changed.notify_one();
-        let mut piece = [0; 256];
+        let mut buffer = [0; 256];
         let answer = loop {
             tokio::select! {
                 biased;
-                answer = &mut told => break answer.ok().flatten(),
-                read = stream.read(&mut piece) => match read {
-                    Ok(0) => self.tell(Event::InputClosed(id)),
-                    Ok(n) => self.tell(Event::Received(id, &piece[..n])),
+                answer = &mut answer_receiver => break answer.ok().flatten(),
+                read = stream.read(&mut buffer) => match read {
+                    Ok(0) => self.handle(Event::InputClosed(id)),
+                    Ok(n) => self.handle(Event::Received(id, &buffer[..n])),
                     Err(_) => {
-                        self.tell(Event::Disconnected(id));
+                        self.handle(Event::Disconnected(id));
                         self.waiting.borrow_mut().remove(&id);
                     }
                 },
             }
         };
         if let Some(answer) = answer {
-            // It fails where the caller has left or does not read.
-            let _ = timeout(READ_MOST, finish(stream, answer)).await;
+            // Fails if the caller has disconnected or does not read.
+            let _ = timeout(ANSWER_TIMEOUT, send_answer(stream, answer)).await;
         }
     }
 
-    async fn keep_time(self: Rc<Self>) {
+    /// Delivers the ticks that the state machine asks for.
+    async fn run_timer(self: Rc<Self>) {
         loop {
-            let wake = self.desk.borrow().next_wake();
+            let wake = self.endpoint.borrow().next_wake();
             match wake {
                 None => self.changed.notified().await,
                 Some(wake) => {
                     sleep_until(self.started + wake).await;
-                    self.tell(Event::Tick);
+                    self.handle(Event::Tick);
                 }
             }
         }
     }
 }
 
-async fn finish(mut stream: TcpStream, answer: String) -> io::Result<()> {
+/// Sends the answer, closes the sending direction and waits until the caller closes.
+async fn send_answer(mut stream: TcpStream, answer: String) -> io::Result<()> {
     stream.write_all(answer.as_bytes()).await?;
     stream.shutdown().await?;
-    // Guards against a reset that destroys the answer on its way: what else was said is read first.
-    let mut rest = [0; 256];
-    while stream.read(&mut rest).await? > 0 {}
+    // Reads what else the caller has sent. Closing with unread input would reset the connection, which can destroy the answer
+    // before the caller has read it.
+    let mut discarded = [0; 256];
+    while stream.read(&mut discarded).await? > 0 {}
     Ok(())
 }
