--- a/crates/spurdrum-handover/src/channel.rs
+++ b/crates/spurdrum-handover/src/channel.rs
@@ -17,7 +17,8 @@
 
 /// The most file descriptors that one `recvmsg` call accepts.
 const MAX_DESCRIPTORS_PER_READ: usize = 8;
-/// The most received file descriptors whose messages have not arrived completely yet; a peer that sends more is cut off.
+/// The most received file descriptors whose messages have not arrived completely yet; a peer that sends more
+/// is cut off.
 const MAX_PENDING_DESCRIPTORS: usize = 64;
 
 /// One end of the channel between the outgoing and the incoming process.
@@ -35,8 +36,8 @@
     ///
     /// Fails if the peer runs as another user, or if its credentials cannot be read.
     pub fn new(stream: UnixStream) -> io::Result<Self> {
-        // Without this check, another user could receive our clients' connections, or send us connections of its own,
-        // where the socket lies in a shared directory.
+        // Without this check, another user could receive our clients' connections, or send us connections of
+        // its own, where the socket lies in a shared directory.
         if stream.peer_cred()?.uid() != rustix::process::getuid().as_raw() {
             return Err(io::Error::other("the peer process runs as another user"));
         }
@@ -72,7 +73,8 @@
         Ok(Some((message, Some(descriptor))))
     }
 
-    /// Reads the available bytes and file descriptors. Returns the number of bytes; 0 means that the peer has closed.
+    /// Reads the available bytes and file descriptors. Returns the number of bytes; 0 means that the peer has
+    /// closed.
     fn read(&self) -> io::Result<usize> {
         let mut bytes = [0; 16 * 1024];
         let mut control_space =
@@ -112,7 +114,8 @@
         Ok(())
     }
 
-    /// Writes as many bytes as the socket's buffer takes, with the file descriptor if there is one. Returns their number.
+    /// Writes as many bytes as the socket's buffer takes, with the file descriptor if there is one. Returns
+    /// their number.
     fn write(&self, bytes: &[u8], descriptor: Option<BorrowedFd<'_>>) -> io::Result<usize> {
         let mut control_space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
         let mut control = SendAncillaryBuffer::new(&mut control_space);
--- a/crates/spurdrum-handover/src/endpoint.rs
+++ b/crates/spurdrum-handover/src/endpoint.rs
@@ -7,7 +7,8 @@
 
 use tokio::net::UnixListener;
 
-/// Returns the path of the Unix socket of the process that listens on `listen`; `None` if `$TMPDIR` is not set.
+/// Returns the path of the Unix socket of the process that listens on `listen`; `None` if `$TMPDIR` is not
+/// set.
 #[must_use]
 pub fn path(listen: SocketAddr) -> Option<PathBuf> {
     let directory = std::env::var_os("TMPDIR").filter(|directory| !directory.is_empty())?;
@@ -15,8 +16,8 @@
     Some(Path::new(&directory).join(name))
 }
 
-/// Listens at `path`, replacing any socket that is there. The socket is bound under a temporary name and renamed, so that
-/// `path` always names a socket that accepts.
+/// Listens at `path`, replacing any socket that is there. The socket is bound under a temporary name and
+/// renamed, so that `path` always names a socket that accepts.
 pub fn bind(path: &Path) -> io::Result<UnixListener> {
     let temporary = path.with_extension(std::process::id().to_string());
     // An earlier process with the same process id may have left its temporary file behind.
--- a/crates/spurdrum-handover/src/incoming.rs
+++ b/crates/spurdrum-handover/src/incoming.rs
@@ -9,7 +9,8 @@
     Connected,
     /// The outgoing process has sent this message.
     Received(Message),
-    /// There is no outgoing process, its channel has closed, it sent an invalid message, or it did not answer in time.
+    /// There is no outgoing process, its channel has closed, it sent an invalid message, or it did not answer
+    /// in time.
     Lost,
 }
 
@@ -29,7 +30,8 @@
     StartAlone(String),
     /// The outgoing process now keeps this many file descriptors of the node's budget.
     Share(usize),
-    /// Serve the client connection that was received. The outgoing process has already read these bytes from it.
+    /// Serve the client connection that was received. The outgoing process has already read these bytes from
+    /// it.
     Serve(Vec<u8>),
     /// The outgoing process has gone; the whole descriptor budget belongs to this process.
     OutgoingGone,
--- a/crates/spurdrum-handover/src/message.rs
+++ b/crates/spurdrum-handover/src/message.rs
@@ -1,6 +1,7 @@
 //! The messages between the outgoing and the incoming process, and their encoding as frames.
 //!
-//! The serialized names of fields and variants are part of the format: a process of one version hands over to another version.
+//! The serialized names of fields and variants are part of the format: a process of one version hands over to
+//! another version.
 
 use std::fmt;
 
@@ -24,7 +25,8 @@
     pub name: String,
     /// The address that the node listens on for clients.
     pub listen: String,
-    /// Whether this process accepts [`Message::Request`]. Older versions do not send this field and do not accept it.
+    /// Whether this process accepts [`Message::Request`]. Older versions do not send this field and do not
+    /// accept it.
     #[serde(default)]
     pub accepts_requests: bool,
 }
@@ -59,7 +61,8 @@
     Connection,
     /// Carries a client connection from which a request has been read that has not been sent to any server.
     Request {
-        /// The bytes that were read from the connection; they precede those still in the socket's receive buffer.
+        /// The bytes that were read from the connection; they precede those still in the socket's receive
+        /// buffer.
         read: Vec<u8>,
     },
 }
--- a/crates/spurdrum-handover/src/offer.rs
+++ b/crates/spurdrum-handover/src/offer.rs
@@ -27,7 +27,8 @@
 
 /// The owner of the node's file descriptor budget, which the outgoing process shares with the incoming one.
 pub trait BudgetOwner: 'static {
-    /// Limits this process to a share of the budget. Returns the share and the state for the incoming process.
+    /// Limits this process to a share of the budget. Returns the share and the state for the incoming
+    /// process.
     fn split(&self) -> (usize, serde_json::Value);
 
     /// Limits this process to the file descriptors that it still needs. Returns their number.
@@ -86,7 +87,8 @@
         Ok(offer)
     }
 
-    /// Starts the shutdown of this process. Returns whether an incoming process has confirmed and receives idle connections.
+    /// Starts the shutdown of this process. Returns whether an incoming process has confirmed and receives
+    /// idle connections.
     pub fn stop(self: &Rc<Self>) -> bool {
         self.handle(OutgoingEvent::Stop);
         self.incoming.get().is_some()
@@ -122,12 +124,14 @@
         self.unsent.set(self.unsent.get() + 1);
         let HandedOverConnection { stream, read } = connection;
         let message = if read.is_empty() { Message::Connection } else { Message::Request { read } };
-        // If the queue has closed since the check, the connection is lost together with the incoming process and its others.
+        // If the queue has closed since the check, the connection is lost together with the incoming process
+        // and its others.
         let _ = queue.send((message, Some(stream.into())));
         Ok(())
     }
 
-    /// Returns whether all connections that were handed over have been sent, or the incoming process has gone.
+    /// Returns whether all connections that were handed over have been sent, or the incoming process has
+    /// gone.
     pub fn all_sent(&self) -> bool {
         self.unsent.get() == 0 || self.incoming.get().is_none()
     }
@@ -158,7 +162,7 @@
                 tokio::task::spawn_local(Rc::clone(self).report_share(id));
             }
             OutgoingAction::ResumeAlone => {
-                tracing::info!("the incoming process has gone; this process serves alone");
+                tracing::info!("the incoming process has gone");
                 self.incoming.set(None);
                 self.budget.restore();
                 self.changed.notify_one();
@@ -185,7 +189,8 @@
         }
     }
 
-    /// Reports this process's share of the descriptor budget each time it has shrunk, until the incoming process has gone.
+    /// Reports this process's share of the descriptor budget each time it has shrunk, until the incoming
+    /// process has gone.
     async fn report_share(self: Rc<Self>, id: IncomingId) {
         let mut reported = usize::MAX;
         while self.incoming.get() == Some(id) {
@@ -213,7 +218,7 @@
                 requests = bind(&self.path)
                     .inspect_err(|error| {
                         tracing::warn!(
-                            "cannot accept takeover requests; a restart will refuse connections: {error}"
+                            "cannot accept takeover requests; replacing this process will interrupt clients: {error}"
                         )
                     })
                     .ok();
--- a/crates/spurdrum-handover/src/outgoing.rs
+++ b/crates/spurdrum-handover/src/outgoing.rs
@@ -22,17 +22,20 @@
 /// An action that the outgoing process's shell performs.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OutgoingAction {
-    /// Send the offer with the listening socket; from now on the outgoing process keeps to its share of the descriptor budget.
+    /// Send the offer with the listening socket; from now on the outgoing process keeps to its share of the
+    /// descriptor budget.
     Offer(IncomingId),
     /// Send this reason and close the channel.
     Decline(IncomingId, &'static str),
     /// Close the channel.
     Drop(IncomingId),
-    /// The incoming process accepts connections as well. It also receives the next takeover request, no longer this process.
+    /// The incoming process accepts connections as well. It also receives the next takeover request, no
+    /// longer this process.
     Confirmed(IncomingId),
     /// Stop accepting connections and hand over the idle ones to this process.
     HandOver(IncomingId),
-    /// The incoming process has gone: use the whole descriptor budget again, and accept connections and takeover requests.
+    /// The incoming process has gone: use the whole descriptor budget again, and accept connections and
+    /// takeover requests.
     ResumeAlone,
 }
 
@@ -141,7 +144,8 @@
         matches!(self.state, State::Offered(_))
     }
 
-    /// Returns whether an incoming process has confirmed and accepts connections from which a request has been read.
+    /// Returns whether an incoming process has confirmed and accepts connections from which a request has
+    /// been read.
     #[must_use]
     pub fn can_hand_over_requests(&self) -> bool {
         self.is_confirmed() && self.accepts_requests
--- a/crates/spurdrum-handover/src/takeover.rs
+++ b/crates/spurdrum-handover/src/takeover.rs
@@ -1,4 +1,5 @@
-//! The incoming side of a handover: requests a takeover, then receives from the outgoing process until that has gone.
+//! The incoming side of a handover: requests a takeover, then receives from the outgoing process until that
+//! has gone.
 
 use std::net::{TcpListener, TcpStream};
 use std::os::fd::OwnedFd;
@@ -12,8 +13,9 @@
 use crate::incoming::{Incoming, IncomingAction, IncomingEvent};
 use crate::message::Identity;
 
-/// How long to wait for the outgoing process's answer. On a busy machine the outgoing process may be paused for some seconds.
-/// The incoming process must serve within 6 s of its start, of which the first answer of discovery may take 1.5 s.
+/// How long to wait for the outgoing process's answer. On a busy machine the outgoing process may be paused
+/// for some seconds. The incoming process must serve within 6 s of its start, of which the first answer of
+/// discovery may take 1.5 s.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(4000);
 
 /// What the incoming process receives after a takeover has been granted.
@@ -58,7 +60,8 @@
     ///
     /// # Errors
     ///
-    /// Returns the reason why the takeover was not granted; this process then binds a listening socket of its own.
+    /// Returns the reason why the takeover was not granted; this process then binds a listening socket of its
+    /// own.
     pub async fn request(path: &Path, identity: Identity) -> Result<Self, String> {
         // A pause of this process must not count as silence of the outgoing one.
         let granted = pause_adjusted_timeout(ANSWER_TIMEOUT, Self::negotiate(path, identity)).await;
@@ -81,8 +84,8 @@
         }
     }
 
-    /// Handles an event of the negotiation and sends the resulting messages. Returns the outgoing process's share and state if the
-    /// event grants the takeover.
+    /// Handles an event of the negotiation and sends the resulting messages. Returns the outgoing process's
+    /// share and state if the event grants the takeover.
     async fn handle_event(
         channel: &Channel,
         incoming: &mut Incoming,
@@ -121,7 +124,8 @@
     }
 }
 
-/// Waits for the outgoing process's next message. Returns it as an event, with the file descriptor that it carries.
+/// Waits for the outgoing process's next message. Returns it as an event, with the file descriptor that it
+/// carries.
 async fn next_event(channel: &Channel) -> (IncomingEvent, Option<OwnedFd>) {
     match channel.receive().await {
         Ok((message, descriptor)) => (IncomingEvent::Received(message), descriptor),
--- a/crates/spurdrum-handover/tests/machines.rs
+++ b/crates/spurdrum-handover/tests/machines.rs
@@ -1,4 +1,5 @@
-//! The state machines of both sides, without sockets: messages, lost channels and shutdown at every point of a handover.
+//! The state machines of both sides, without sockets: messages, lost channels and shutdown at every point of
+//! a handover.
 
 use proptest::prelude::*;
 use serde_json::Value;
@@ -47,7 +48,8 @@
     assert_eq!(actions[1..], [OutgoingAction::ResumeAlone]);
 }
 
-/// An older version does not know `Message::Request` and would close the channel on it, which would lose the connection.
+/// An older version does not know `Message::Request` and would close the channel on it, which would lose the
+/// connection.
 #[test]
 fn connections_with_a_request_go_only_to_a_process_that_accepts_them() {
     for accepts_requests in [true, false] {
@@ -58,8 +60,9 @@
         assert_eq!(outgoing.can_hand_over_requests(), accepts_requests);
     }
     let old_format = r#"{"format":1,"name":"n0","listen":"127.0.0.1:1"}"#;
-    let older: Identity = serde_json::from_str(old_format).expect("the older format is still accepted");
-    assert!(older.is_same_node(&identity()) && !older.accepts_requests);
+    let old_identity: Identity =
+        serde_json::from_str(old_format).expect("the older format is still accepted");
+    assert!(old_identity.is_same_node(&identity()) && !old_identity.accepts_requests);
 }
 
 #[test]
@@ -191,7 +194,9 @@
 
     /// Decoded messages equal the encoded ones, in whatever pieces the bytes arrive.
     #[test]
-    fn messages_are_decoded_from_any_pieces(messages in prop::collection::vec(message(), 1..6), piece_len in 1_usize..40) {
+    fn messages_are_decoded_from_any_pieces(
+        messages in prop::collection::vec(message(), 1..6), piece_len in 1_usize..40
+    ) {
         let bytes: Vec<u8> = messages.iter().flat_map(Message::encode).collect();
         let (mut frames, mut decoded) = (Frames::default(), Vec::new());
         for piece in bytes.chunks(piece_len) {
--- a/crates/spurdrum-ops/src/desk.rs
+++ b/crates/spurdrum-ops/src/desk.rs
@@ -20,8 +20,8 @@
 
 impl Default for Settings {
     fn default() -> Self {
-        // Some callers stay connected for 4 s without sending anything; the time-out is longer, so that a slow caller can still
-        // complete its line after that.
+        // Some callers stay connected for 4 s without sending anything; the time-out is longer, so that a
+        // slow caller can still complete its line after that.
         Self { max_callers: 16, max_line_bytes: 256, line_timeout: Duration::from_secs(5) }
     }
 }
@@ -75,11 +75,13 @@
         Self { settings, callers: BTreeMap::new() }
     }
 
-    /// Handles an event and appends the resulting actions to `actions`. `now` must not decrease from call to call.
+    /// Handles an event and appends the resulting actions to `actions`. `now` must not decrease from call to
+    /// call.
     pub fn handle(&mut self, now: Duration, event: Event<'_>, actions: &mut Vec<Action>) {
         match event {
             Event::Connected(id) => {
-                // Evicts the oldest callers. Otherwise callers that send nothing would keep out one that does.
+                // Evicts the oldest callers. Otherwise callers that send nothing would keep out one that
+                // does.
                 while self.callers.len() >= self.settings.max_callers.max(1) {
                     let Some((oldest, _)) = self.callers.pop_first() else { break };
                     actions.push(Action::Evict(oldest));
@@ -122,8 +124,8 @@
         });
     }
 
-    /// Returns when the next [`Event::Tick`] is due. All callers have the same time-out, so the one that connected first times out
-    /// first.
+    /// Returns when the next [`Event::Tick`] is due. All callers have the same time-out, so the one that
+    /// connected first times out first.
     #[must_use]
     pub fn next_wake(&self) -> Option<Duration> {
         self.callers.first_key_value().map(|(_, first)| first.deadline)
--- a/crates/spurdrum-ops/src/figures.rs
+++ b/crates/spurdrum-ops/src/figures.rs
@@ -34,9 +34,9 @@
     format!("{telemetry}\nEND\n")
 }
 
-/// Returns the latency histograms by class as one line of JSON, followed by a line `END`; `None` if the node does not record them.
-/// A histogram is a list of buckets, each a pair of its upper bound in microseconds and the number of answers that took at most
-/// that long and longer than the previous bound.
+/// Returns the latency histograms by class as one line of JSON, followed by a line `END`; `None` if the node
+/// does not record them. A histogram is a list of buckets, each a pair of its upper bound in microseconds and
+/// the number of answers that took at most that long and longer than the previous bound.
 #[must_use]
 pub fn latencies(metrics: &NodeMetrics) -> Option<String> {
     let histograms = metrics.latencies()?;
--- a/crates/spurdrum-ops/src/lib.rs
+++ b/crates/spurdrum-ops/src/lib.rs
@@ -1,5 +1,5 @@
-//! The admin endpoint: operators' calls on an address of its own. Each connection carries one line, the call; the endpoint sends
-//! one answer and closes.
+//! The admin endpoint: operators' calls on an address of its own. Each connection carries one line, the call;
+//! the endpoint sends one answer and closes.
 //!
 //! | call | answer |
 //! | --- | --- |
@@ -9,9 +9,9 @@
 //!
 //! Other programs of this workspace implement [`CallHandler`] to answer calls of their own.
 //!
-//! [`AdminEndpoint`] is a pure state machine that assembles lines from the pieces in which they arrive, and limits callers in
-//! number, bytes and time. At the limit the oldest caller whose line is incomplete is evicted in favour of a new one. [`serve`] is
-//! the thin I/O layer round it.
+//! [`AdminEndpoint`] is a pure state machine that assembles lines from the pieces in which they arrive, and
+//! limits callers in number, bytes and time. At the limit the oldest caller whose line is incomplete is
+//! evicted in favour of a new one. [`serve`] is the thin I/O layer round it.
 
 mod calls;
 mod desk;
--- a/crates/spurdrum-ops/src/shell.rs
+++ b/crates/spurdrum-ops/src/shell.rs
@@ -13,10 +13,11 @@
 
 use crate::desk::{Action, AdminEndpoint, CallerId, Event, Settings};
 
-/// How long a caller may take to receive its answer and close. An answer fits into the buffers of a socket, so writing it does not
-/// depend on the caller.
+/// How long a caller may take to receive its answer and close. An answer fits into the buffers of a socket,
+/// so writing it does not depend on the caller.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(200);
-/// How long to wait before accepting again, when the process is out of file descriptors or too many callers are connected.
+/// How long to wait before accepting again, when the process is out of file descriptors or too many callers
+/// are connected.
 const ACCEPT_RETRY: Duration = Duration::from_millis(5);
 
 /// Handles operators' calls.
@@ -25,14 +26,16 @@
     fn answer(&self, line: &str) -> String;
 }
 
-/// The maximum number of references to the shell: one for each connected caller, and those of the accept loop and the timer.
+/// The maximum number of references to the shell: one for each connected caller, and those of the accept loop
+/// and the timer.
 const MAX_TASKS: usize = 32;
 
 struct Shell<A> {
     handler: A,
     endpoint: RefCell<AdminEndpoint>,
     started: Instant,
-    /// For each caller whose line is incomplete, the channel to its task: the answer, or `None` if the caller is evicted.
+    /// For each caller whose line is incomplete, the channel to its task: the answer, or `None` if the caller
+    /// is evicted.
     waiting: RefCell<HashMap<CallerId, oneshot::Sender<Option<String>>>>,
     /// Notified when a caller connects, so that the timer looks at the next time-out again.
     changed: Notify,
@@ -51,8 +54,8 @@
     });
     tokio::task::spawn_local(Rc::clone(&shell).run_timer());
     loop {
-        // Without this limit, callers that have their answers and do not disconnect would use up the file descriptors that clients
-        // need.
+        // Without this limit, callers that have their answers and do not disconnect would use up the file
+        // descriptors that clients need.
         while Rc::strong_count(&shell) > MAX_TASKS {
             sleep(ACCEPT_RETRY).await;
         }
@@ -132,8 +135,8 @@
 async fn send_answer(mut stream: TcpStream, answer: String) -> io::Result<()> {
     stream.write_all(answer.as_bytes()).await?;
     stream.shutdown().await?;
-    // Reads what else the caller has sent. Closing with unread input would reset the connection, which can destroy the answer
-    // before the caller has read it.
+    // Reads what else the caller has sent. Closing with unread input would reset the connection, which can
+    // destroy the answer before the caller has read it.
     let mut discarded = [0; 256];
     while stream.read(&mut discarded).await? > 0 {}
     Ok(())
--- a/crates/spurdrum-ops/tests/desk.rs
+++ b/crates/spurdrum-ops/tests/desk.rs
@@ -69,7 +69,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 256, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// With any sequence of events, the number of callers stays within its limit and no caller gets two answers.
+    /// With any sequence of events, the number of callers stays within its limit and no caller gets two
+    /// answers.
     #[test]
     fn limits_hold_and_each_caller_is_answered_at_most_once(
         events in prop::collection::vec((0_u8..5, 1_u64..12, prop::collection::vec(any::<u8>(), 0..300)), 0..60),
--- a/crates/spurdrum/src/affinity.rs
+++ b/crates/spurdrum/src/affinity.rs
@@ -1,4 +1,5 @@
-//! Bindings of keys to servers: what the file says of them, and how they outlive the node.
+//! Session affinity: table `[affinity]` of the settings file, and storage of the bindings of keys to servers,
+//! so that they outlive the process.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -17,10 +18,10 @@
 
 use crate::set::{set, set_time};
 
-/// How often bindings are looked at, where nobody asks for any.
-const LOOK: Duration = Duration::from_secs(1);
-/// While more of them are over than one look clears.
-const AGAIN: Duration = Duration::from_millis(1);
+/// How often expired bindings are removed, if no request does so before.
+const TICK_INTERVAL: Duration = Duration::from_secs(1);
+/// How soon the next tick follows if more bindings have expired than one tick removes.
+const BUSY_TICK_INTERVAL: Duration = Duration::from_millis(1);
 
 /// Table `[affinity]`. Times are in milliseconds.
 #[derive(Deserialize)]
@@ -73,38 +74,39 @@
     flush_most_ms: Option<u64>,
 }
 
-/// What is wrong: the table, the key, and why.
-type Wrong = (&'static str, &'static str, &'static str);
+/// An invalid setting: the table, the key, and the reason.
+type ConfigError = (&'static str, &'static str, &'static str);
 
-/// All that the file says of it.
-pub struct Bindings {
-    /// How keys are made; the classes by name.
-    making: AffinityKeySettings,
+/// The settings of session affinity.
+pub struct AffinityConfig {
+    /// How keys are derived from requests, still without the classes and tenants.
+    key_settings: AffinityKeySettings,
+    /// The names of the classes whose requests have a key; empty for all.
     classes: Vec<String>,
-    /// Whether the file names who places are counted to.
-    owner_named: bool,
-    /// How far a preference goes before counts.
+    /// Whether the file sets the owner to whom entries of the table are attributed.
+    owner_is_set: bool,
+    /// The bound server is chosen while its rank is at most this multiple of the lowest rank. At least 1.
     pub slack: f64,
     settings: Settings,
-    /// Where they are kept, if they are.
-    store: Option<Stores>,
+    /// Where the bindings are stored, if they are.
+    store: Option<StoreConfig>,
 }
 
-/// Where bindings are kept.
+/// The settings of the store of bindings.
 #[derive(Clone)]
-pub struct Stores {
+pub struct StoreConfig {
     path: PathBuf,
-    /// What tells how the disk fails, in trials.
+    /// A file that controls simulated faults of the disk, for tests.
     trial: Option<PathBuf>,
     settings: spurdrum_store::Settings,
 }
 
 impl AffinityTable {
-    /// What the table says.
-    pub fn read(&self) -> Result<Bindings, Wrong> {
-        let wrong = |key| move |why| ("affinity", key, why);
+    /// Validates the table.
+    pub fn to_config(&self) -> Result<AffinityConfig, ConfigError> {
+        let error = |key| move |reason| ("affinity", key, reason);
         let parts: Result<Vec<_>, _> =
-            self.key.iter().map(|part| part.parse().map_err(wrong("key"))).collect();
+            self.key.iter().map(|part| part.parse().map_err(error("key"))).collect();
         let parts = parts?;
         if parts.is_empty() {
             return Err(("affinity", "key", "is empty"));
@@ -128,34 +130,36 @@
             Some(FirstName::Ring) => First::Ring,
             Some(FirstName::Lowest) | None => First::Lowest,
         };
-        settings.validate().map_err(|(key, why)| ("affinity", key, why))?;
-        let store = self.store.as_ref().map(StoreTable::read).transpose()?;
+        settings.validate().map_err(|(key, reason)| ("affinity", key, reason))?;
+        let store = self.store.as_ref().map(StoreTable::to_config).transpose()?;
         let owner = match self.owner {
             Some(OwnerName::Address) => Owner::Address,
             Some(OwnerName::Tenant) | None => Owner::Tenant,
         };
-        let mut making = AffinityKeySettings { parts, owner, prefixes, ..AffinityKeySettings::default() };
+        let mut key_settings =
+            AffinityKeySettings { parts, owner, prefixes, ..AffinityKeySettings::default() };
         if let Some(name) = &self.answer {
-            making.set_response_header(name).map_err(wrong("answer"))?;
+            key_settings.set_response_header(name).map_err(error("answer"))?;
         }
-        Ok(Bindings {
-            making,
+        Ok(AffinityConfig {
+            key_settings,
             classes: self.classes.clone(),
-            owner_named: self.owner.is_some(),
+            owner_is_set: self.owner.is_some(),
             slack,
             settings,
             store,
         })
     }
 
-    /// A class that is named and that there is not.
+    /// Returns the first class of `classes` that does not exist, if there is one.
     pub fn unknown_class(&self, is_class: impl Fn(&str) -> bool) -> Option<&String> {
         self.classes.iter().find(|name| !is_class(name))
     }
 }
 
 impl StoreTable {
-    fn read(&self) -> Result<Stores, Wrong> {
+    /// Validates the table.
+    fn to_config(&self) -> Result<StoreConfig, ConfigError> {
         let mut settings = spurdrum_store::Settings::default();
         set_time(&mut settings.every, self.write_every_ms);
         set(&mut settings.share, self.share);
@@ -164,45 +168,56 @@
         set_time(&mut settings.retry_least, self.retry_least_ms);
         set_time(&mut settings.retry_most, self.retry_most_ms);
         set_time(&mut settings.flush_most, self.flush_most_ms);
-        settings.validate().map_err(|(key, why)| ("affinity.store", key, why))?;
-        Ok(Stores { path: self.path.clone(), trial: self.trial.clone(), settings })
+        settings.validate().map_err(|(key, reason)| ("affinity.store", key, reason))?;
+        Ok(StoreConfig { path: self.path.clone(), trial: self.trial.clone(), settings })
     }
 }
 
-impl Bindings {
-    /// How keys are made of the requests of a node with these classes and tenants. The error names the class that there is not.
-    pub fn making(&self, names: &spurdrum_http::ConfigNames) -> Result<AffinityKeySettings, String> {
-        let class = |name: &String| {
-            let at = names.classes.iter().position(|class| class == name);
-            at.ok_or_else(|| format!("`affinity.classes`: there is no class `{name}`"))
+impl AffinityConfig {
+    /// Returns how keys are derived from the requests of a node with these classes and tenants. The error
+    /// names a class that does not exist.
+    pub fn key_settings(&self, names: &spurdrum_http::ConfigNames) -> Result<AffinityKeySettings, String> {
+        let class_index = |name: &String| {
+            let index = names.classes.iter().position(|class| class == name);
+            index.ok_or_else(|| format!("`affinity.classes`: there is no class `{name}`"))
         };
-        let classes = self.classes.iter().map(class).collect::<Result<_, _>>()?;
-        // Without tenants all would be one owner, and nobody held back.
-        let by_address = !self.owner_named && names.tenants.is_empty();
-        let owner = if by_address { Owner::Address } else { self.making.owner };
-        Ok(AffinityKeySettings { classes, owner, tenants: names.tenants.clone(), ..self.making.clone() })
+        let classes = self.classes.iter().map(class_index).collect::<Result<_, _>>()?;
+        // Without tenants, all entries would have the same owner, and so no client could be limited to its
+        // share of the table.
+        let by_address = !self.owner_is_set && names.tenants.is_empty();
+        let owner = if by_address { Owner::Address } else { self.key_settings.owner };
+        Ok(AffinityKeySettings {
+            classes,
+            owner,
+            tenants: names.tenants.clone(),
+            ..self.key_settings.clone()
+        })
     }
 
-    /// The bindings of a node whose servers are cold for so long.
+    /// Creates the table of bindings, for servers with this slow-start time.
     pub fn start(&self, now: f64, cold_ms: f64) -> Result<Rc<RefCell<Affinity>>, String> {
         let settings = Settings { cold_ms, ..self.settings.clone() };
         let affinity =
-            Affinity::new(settings, now).map_err(|(key, why)| format!("`affinity.{key}`: {why}"))?;
+            Affinity::new(settings, now).map_err(|(key, reason)| format!("`affinity.{key}`: {reason}"))?;
         Ok(Rc::new(RefCell::new(affinity)))
     }
 
-    /// The secret by which keys are hashed: of the store's own file, or drawn anew where nothing is kept.
+    /// Returns the keyer with the secret by which keys are hashed: the secret in the store's own file, or a
+    /// new random one if nothing is stored.
     pub fn keyer(&self) -> Result<Keyer, String> {
-        let Some(Stores { path, .. }) = &self.store else { return random_secret().map(Keyer::new) };
-        let mut name = path.as_os_str().to_owned();
-        name.push(".secret");
-        secret(Path::new(&name)).map(Keyer::new).map_err(|error| {
-            format!("`affinity.store.path`: {} cannot be had: {error}", Path::new(&name).display())
+        let Some(StoreConfig { path, .. }) = &self.store else { return random_secret().map(Keyer::new) };
+        let mut secret_path = path.as_os_str().to_owned();
+        secret_path.push(".secret");
+        read_or_create_secret(Path::new(&secret_path)).map(Keyer::new).map_err(|error| {
+            format!(
+                "`affinity.store.path`: {} cannot be read or created: {error}",
+                Path::new(&secret_path).display()
+            )
         })
     }
 
-    /// Where they are kept, if they are.
-    pub fn store(&self) -> Option<&Stores> {
+    /// Returns the settings of the store, if bindings are stored.
+    pub fn store(&self) -> Option<&StoreConfig> {
         self.store.as_ref()
     }
 }
@@ -214,9 +229,10 @@
     Ok(secret)
 }
 
-/// The secret of a file, which is made where there is none. Whoever makes it does so whole: two nodes that start together
-/// have one secret.
-fn secret(path: &Path) -> std::io::Result<[u8; 16]> {
+/// Reads the secret from a file, or creates the file with a random one if it does not exist. The file appears
+/// under its name only once it is complete, and an existing file is not replaced, so two nodes that start at
+/// the same time use the same secret.
+fn read_or_create_secret(path: &Path) -> std::io::Result<[u8; 16]> {
     use std::os::unix::fs::OpenOptionsExt;
     let read = || {
         let bytes = std::fs::read(path)?;
@@ -225,29 +241,29 @@
     };
     match read() {
         Err(error) if error.kind() == ErrorKind::NotFound => {}
-        done => return done,
+        result => return result,
     }
-    let new = path.with_extension(format!("new-{}", std::process::id()));
+    let temporary = path.with_extension(format!("new-{}", std::process::id()));
     let mut file =
-        std::fs::OpenOptions::new().write(true).create(true).truncate(true).mode(0o600).open(&new)?;
+        std::fs::OpenOptions::new().write(true).create(true).truncate(true).mode(0o600).open(&temporary)?;
     file.write_all(&random_secret().map_err(std::io::Error::other)?)?;
     file.sync_all()?;
-    // It fails where another was first.
-    let linked = std::fs::hard_link(&new, path);
-    std::fs::remove_file(&new)?;
+    // Fails if another process has created the file meanwhile; its secret is used then.
+    let linked = std::fs::hard_link(&temporary, path);
+    std::fs::remove_file(&temporary)?;
     match linked {
         Err(error) if error.kind() != ErrorKind::AlreadyExists => Err(error),
         _ => read(),
     }
 }
 
-/// Bindings as rows of a file.
-pub struct Kept {
+/// Converts between bindings and the rows of the store.
+pub struct BindingRows {
     affinity: Rc<RefCell<Affinity>>,
     now: Box<dyn Fn() -> f64>,
 }
 
-impl Keeper for Kept {
+impl Keeper for BindingRows {
     const TABLES: &'static [&'static str] = &[RUNS, PLACES];
 
     fn unwritten(&self) -> usize {
@@ -261,7 +277,7 @@
             Row { table, key, value }
         };
         let mut rows: Vec<Row> = writes.into_iter().map(row).collect();
-        // One table after the other, and within each as they came.
+        // Sorted by table; within a table the rows keep their order.
         rows.sort_by_key(|row| row.table != RUNS);
         rows
     }
@@ -301,18 +317,18 @@
     }
 }
 
-/// Lets bindings age for as long as this is awaited.
-pub async fn keep_time(affinity: Rc<RefCell<Affinity>>, now: impl Fn() -> f64) {
+/// Removes expired bindings for as long as the node runs.
+pub async fn run_timer(affinity: Rc<RefCell<Affinity>>, now: impl Fn() -> f64) {
     loop {
         affinity.borrow_mut().tick(now());
         let due = affinity.borrow().next_wake().is_some_and(|wake| wake <= now());
-        sleep(if due { AGAIN } else { LOOK }).await;
+        sleep(if due { BUSY_TICK_INTERVAL } else { TICK_INTERVAL }).await;
     }
 }
 
-/// Keeps bindings in their file until `stop` is done.
-pub async fn keep(
-    store: Stores,
+/// Stores bindings in their file until `stop` completes.
+pub async fn store_bindings(
+    store: StoreConfig,
     keyer: Keyer,
     affinity: Rc<RefCell<Affinity>>,
     status: Rc<RefCell<spurdrum_store::Status>>,
@@ -320,16 +336,16 @@
     stop: impl Future<Output = ()>,
 ) {
     let about = About { format: record::FORMAT, mark: keyer.mark() };
-    let Stores { path, trial, settings } = store;
-    let kept = Rc::new(RefCell::new(Kept { affinity, now: Box::new(now) }));
-    // Nodes that start together must not come together: their numbers do not.
+    let StoreConfig { path, trial, settings } = store;
+    let rows = Rc::new(RefCell::new(BindingRows { affinity, now: Box::new(now) }));
+    // Nodes that start at the same time must not write at the same time: the seed differs between processes.
     let mut random = fastrand::Rng::with_seed(u64::from(std::process::id()));
-    let chance = move || random.f64();
+    let random_fraction = move || random.f64();
     let open = move || match &trial {
         None => Disk::open(&path, about),
-        Some(says) => Disk::open_on_trial(&path, about, says),
+        Some(faults) => Disk::open_on_trial(&path, about, faults),
     };
-    if let Err(error) = spurdrum_store::keep(open, settings, kept, status, chance, stop).await {
-        tracing::warn!("the bindings' store: there is no thread for it: {error}");
+    if let Err(error) = spurdrum_store::keep(open, settings, rows, status, random_fraction, stop).await {
+        tracing::warn!("the bindings' store: cannot start its thread: {error}");
     }
 }
--- a/crates/spurdrum/src/config.rs
+++ b/crates/spurdrum/src/config.rs
@@ -1,4 +1,4 @@
-//! What a node is told, wherever it comes from.
+//! The configuration of a node, independent of whether it comes from the settings file or from the platform.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,66 +10,67 @@
 use spurdrum_policy::Settings;
 use spurdrum_sources::{follower, List};
 
-use crate::affinity::Bindings;
-use crate::list::Places;
+use crate::affinity::AffinityConfig;
+use crate::list::ZonesAndKinds;
 use crate::log::Format;
-use crate::registry::Registry;
+use crate::registry::RegistryConfig;
 
-/// Everything that a node knows before its first event.
+/// The whole configuration of a node.
 pub struct Config {
-    /// Its name, for its log.
+    /// The node's name, which starts each line of its log.
     pub name: String,
-    /// Where clients connect.
+    /// The address on which the node listens for clients.
     pub listen: SocketAddr,
-    /// What that is called where it was told.
+    /// The key or variable that gave `listen`, for error messages.
     pub listen_key: &'static str,
-    /// Where operators call, if they do, and what that is called where it was told.
-    pub ops: Option<(SocketAddr, &'static str)>,
-    /// Whether operators may ask how long answers took.
+    /// The address of the admin endpoint, if there is one, and the key or variable that gave it.
+    pub admin_address: Option<(SocketAddr, &'static str)>,
+    /// Whether the node records latency histograms for the operators' call `latencies`.
     pub latencies: bool,
-    /// Where the list of servers comes from. What the file says counts over the variable: the file can be replaced.
+    /// Where the list of servers comes from. An address in the file takes precedence over the environment
+    /// variable, since the file can be replaced while the node runs.
     pub source: Source,
-    /// What the log looks like.
+    /// The format of the log.
     pub log: Format,
-    /// For random numbers.
+    /// The seed of the random number generators.
     pub seed: u64,
-    /// Descriptors and memory that it may use.
+    /// The limits on file descriptors and memory.
     pub limits: Limits,
-    /// How client connections are dealt with.
+    /// The settings for admission and time-outs of client connections.
     pub connections: spurdrum_admission::Settings,
-    /// How the list of servers is followed.
-    pub following: follower::Settings,
-    /// A registry that is followed beside that source, or alone.
-    pub registry: Option<Registry>,
-    /// The list of servers as it was last known.
-    pub known: List,
-    /// What the decisions go by.
+    /// The settings for following the catalog's list of servers.
+    pub follower_settings: follower::Settings,
+    /// A registry that the node follows in addition to `source`, or alone.
+    pub registry: Option<RegistryConfig>,
+    /// The list of servers that the node starts with: the last known or the static one.
+    pub initial_list: List,
+    /// The settings of the balancing policy.
     pub settings: Settings,
-    /// The names that requests use.
+    /// The names of classes and tenants that requests use.
     pub names: ConfigNames,
-    /// The names of zones and machine kinds, as lists use them.
-    pub places: Places,
-    /// A server closes a connection that stands idle for this long.
-    pub conn_idle: Duration,
-    /// A connection that is not made by then has failed.
+    /// The names of zones and machine kinds that lists of servers use.
+    pub zones_and_kinds: ZonesAndKinds,
+    /// How long a server keeps an idle connection open.
+    pub server_idle_timeout: Duration,
+    /// The time-out for connecting to a server.
     pub dial_timeout: Duration,
-    /// Requests that it may hold at once.
-    pub most_held: usize,
-    /// What the platform said, as it said it.
-    pub told: Arc<Value>,
-    /// Which requests had better share a server, where that is on.
-    pub affinity: Option<Bindings>,
-    /// Where what happens is noted, if it is.
+    /// The maximum number of pending requests.
+    pub max_pending: usize,
+    /// The platform's JSON as it was read; null if the settings file has `[node]`.
+    pub platform_json: Arc<Value>,
+    /// The settings of session affinity, if it is on.
+    pub affinity: Option<AffinityConfig>,
+    /// The settings of the trace file, if there is one.
     pub trace: Option<spurdrum_trace::Settings>,
 }
 
-/// Where a list of servers comes from.
+/// The source of the list of servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// None but a registry.
+    /// No source other than a registry.
     None,
-    /// The file has it.
+    /// The static list in the settings file.
     Static,
-    /// A catalog at this address.
+    /// A discovery catalog at this address.
     Catalog(SocketAddr),
 }
--- a/crates/spurdrum/src/file.rs
+++ b/crates/spurdrum/src/file.rs
@@ -1,4 +1,7 @@
-//! What may be set beyond what the platform tells: one TOML file with a table for each subsystem.
+//! The settings file: TOML with a table for each subsystem. With `[node]` it holds the whole configuration of
+//! a node; without, it supplements the configuration that comes from the platform.
+//!
+//! The names of the tables' fields are the keys of the file.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -13,14 +16,14 @@
 use spurdrum_policy::{Class, Effect, Group, Weights};
 use spurdrum_sources::{follower, List, StaticList};
 
-use crate::affinity::{AffinityTable, Bindings};
+use crate::affinity::{AffinityConfig, AffinityTable};
 use crate::config::{Config, Source};
-use crate::list::Places;
+use crate::list::ZonesAndKinds;
 use crate::log::Format;
-use crate::registry::{MergeTable, Myself, RegistryTable};
+use crate::registry::{MergeTable, NodeInfo, RegistryTable};
 use crate::set::{set, set_time};
 
-/// The whole file. A table that is absent leaves its subsystem off.
+/// The settings file. A subsystem without its table is off.
 #[derive(Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct File {
@@ -35,7 +38,7 @@
     trace: Option<TraceTable>,
 }
 
-/// Table `[node]`: a node that is told everything by this file.
+/// Table `[node]`: a node that is configured by this file alone.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct NodeTable {
@@ -67,9 +70,9 @@
 }
 
 impl NodeTable {
-    fn myself(&self) -> Myself<'_> {
+    fn node_info(&self) -> NodeInfo<'_> {
         let Self { name, listen, zone, nodes, me, .. } = self;
-        Myself { name, listen: *listen, zone, nodes: *nodes, me: *me }
+        NodeInfo { name, listen: *listen, zone, nodes: *nodes, node_index: *me }
     }
 }
 
@@ -89,7 +92,7 @@
     1
 }
 
-/// One of `[[class]]`.
+/// A table of `[[class]]`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ClassTable {
@@ -164,7 +167,7 @@
 struct Sources {
     catalog: Option<Following>,
     #[serde(rename = "static")]
-    fixed: Option<StaticList>,
+    static_list: Option<StaticList>,
     registry: Option<RegistryTable>,
     merge: Option<MergeTable>,
 }
@@ -224,42 +227,43 @@
     most_ms: Option<u64>,
 }
 
-/// Reads the file; none means that everything is off. The error names the file, the line and the key.
+/// Reads the settings file; without one, everything is off. The error names the file, the line and the key.
 pub fn read(path: Option<&Path>) -> Result<File, String> {
     let Some(path) = path else { return Ok(File::default()) };
     file::read(path, parse)
 }
 
-/// Reads the file's text. The error begins with the line.
+/// Parses and validates the text of a settings file. The error begins with the number of the line.
 fn parse(text: &str) -> Result<File, String> {
     let file: File = file::from_toml(text)?;
     let line_of = |table: &str, key: &str| {
-        let (of_table, of_key) = (format!("[{table}"), format!("{table}."));
-        let begins = text.lines().position(|line| line.trim_start().starts_with(&of_table)).unwrap_or(0);
-        let of = |line: &str| {
-            line.trim_start().trim_start_matches('[').trim_start_matches(&of_key).starts_with(key)
+        let (header, dotted_prefix) = (format!("[{table}"), format!("{table}."));
+        let first_line = text.lines().position(|line| line.trim_start().starts_with(&header)).unwrap_or(0);
+        let has_key = |line: &str| {
+            line.trim_start().trim_start_matches('[').trim_start_matches(&dotted_prefix).starts_with(key)
         };
-        text.lines().skip(begins).position(of).map_or(1, |line| begins + line + 1)
+        text.lines().skip(first_line).position(has_key).map_or(1, |line| first_line + line + 1)
     };
-    let wrong =
-        |table: &str, key: &str, why: &str| format!("{}: `{table}.{key}`: {why}", line_of(table, key));
-    file.connections().validate().map_err(|(key, why)| wrong("connections", key, &why))?;
-    file.following().validate().map_err(|(key, why)| wrong("sources.catalog", key, why))?;
-    file.check().map_err(|(table, key, why)| wrong(table, key, why))?;
+    let message =
+        |table: &str, key: &str, reason: &str| format!("{}: `{table}.{key}`: {reason}", line_of(table, key));
+    file.connections().validate().map_err(|(key, reason)| message("connections", key, &reason))?;
+    file.follower_settings().validate().map_err(|(key, reason)| message("sources.catalog", key, reason))?;
+    file.validate().map_err(|(table, key, reason)| message(table, key, reason))?;
     Ok(file)
 }
 
 impl File {
-    /// The settings for connections: without the table, budgets and times only.
+    /// Returns the settings for client connections. Without the table, only the fixed budgets and time-outs
+    /// apply.
     pub fn connections(&self) -> Settings {
         let mut settings = Settings { adaptive: self.connections.is_some(), ..Settings::default() };
         let Some(table) = &self.connections else { return settings };
         let time = set_time;
-        let pace = |to: &mut TransferTimeout, from: &Option<PaceTable>| {
-            if let Some(from) = from {
-                time(&mut to.initial, from.first_ms);
-                set(&mut to.min_rate, from.rate);
-                time(&mut to.max, from.most_ms);
+        let transfer = |timeout: &mut TransferTimeout, table: &Option<PaceTable>| {
+            if let Some(table) = table {
+                time(&mut timeout.initial, table.first_ms);
+                set(&mut timeout.min_rate, table.rate);
+                time(&mut timeout.max, table.most_ms);
             }
         };
         set(&mut settings.clients_hold, table.clients_hold);
@@ -280,9 +284,9 @@
         time(&mut settings.silent, table.silent_ms);
         time(&mut settings.silent_pressed, table.silent_pressed_ms);
         time(&mut settings.idle, table.idle_ms);
-        pace(&mut settings.head, &table.head);
-        pace(&mut settings.body, &table.body);
-        pace(&mut settings.read, &table.read);
+        transfer(&mut settings.head, &table.head);
+        transfer(&mut settings.body, &table.body);
+        transfer(&mut settings.read, &table.read);
         time(&mut settings.linger, table.linger_ms);
         set(&mut settings.peers, table.peers);
         set(&mut settings.peer_prefix, table.peer_prefix);
@@ -290,8 +294,8 @@
         settings
     }
 
-    /// How the list of servers is followed.
-    pub fn following(&self) -> follower::Settings {
+    /// Returns the settings for following the catalog's list of servers.
+    pub fn follower_settings(&self) -> follower::Settings {
         let mut settings = follower::Settings::default();
         let Some(table) = self.sources.as_ref().and_then(|sources| sources.catalog.as_ref()) else {
             return settings;
@@ -308,12 +312,12 @@
         settings
     }
 
-    /// What the log looks like.
+    /// Returns the format of the log.
     pub fn log(&self) -> Format {
         self.log.as_ref().map(|log| log.format).unwrap_or_default()
     }
 
-    /// Where what happens is noted, if it is.
+    /// Returns the settings of the trace file, if there is one.
     pub fn trace(&self) -> Option<spurdrum_trace::Settings> {
         self.trace.as_ref().map(|table| spurdrum_trace::Settings {
             path: table.path.clone(),
@@ -322,19 +326,19 @@
         })
     }
 
-    /// Which requests had better share a server.
-    pub fn affinity(&self) -> Option<Bindings> {
-        self.affinity.as_ref().and_then(|table| table.read().ok())
+    /// Returns the settings of session affinity, if it is on.
+    pub fn affinity(&self) -> Option<AffinityConfig> {
+        self.affinity.as_ref().and_then(|table| table.to_config().ok())
     }
 
-    /// Whether it tells a node everything.
+    /// Returns whether the file has `[node]` and so configures a node by itself.
     pub fn has_node(&self) -> bool {
         self.node.is_some()
     }
 
-    /// What makes no sense: the table, the key, and why.
-    fn check(&self) -> Result<(), (&'static str, &'static str, &'static str)> {
-        self.affinity.as_ref().map(AffinityTable::read).transpose()?;
+    /// Validates the settings across tables. The error is the table, the key, and the reason.
+    fn validate(&self) -> Result<(), (&'static str, &'static str, &'static str)> {
+        self.affinity.as_ref().map(AffinityTable::to_config).transpose()?;
         if let Some(table) = &self.trace {
             if !(1..=1 << 20).contains(&table.most_mb) {
                 return Err(("trace", "most_mb", "is not between 1 and 1048576"));
@@ -343,22 +347,22 @@
                 return Err(("trace", "queue", "is not between 1 and 1048576"));
             }
         }
-        let fixed = self.fixed();
-        if let Some((key, why)) = fixed.and_then(|fixed| fixed.check().err()) {
-            return Err(("sources.static", key, why));
+        let static_list = self.static_list();
+        if let Some((key, reason)) = static_list.and_then(|list| list.check().err()) {
+            return Err(("sources.static", key, reason));
         }
         let registry = self.registry();
         if self.sources.as_ref().is_some_and(|sources| sources.merge.is_some()) && registry.is_none() {
             return Err(("sources.merge", "", "needs [sources.registry]"));
         }
-        if self.catalog_address().is_some() && fixed.is_some() && registry.is_none() {
+        if self.catalog_address().is_some() && static_list.is_some() && registry.is_none() {
             return Err(("sources.static", "servers", "stands beside `sources.catalog.address`"));
         }
         let Some(node) = &self.node else {
             if registry.is_some() {
                 return Err(("sources.registry", "endpoints", "needs [node]"));
             }
-            return match (fixed, self.catalog_address(), self.class.first(), &self.servers) {
+            return match (static_list, self.catalog_address(), self.class.first(), &self.servers) {
                 (Some(_), ..) => Err(("sources.static", "servers", "needs [node]")),
                 (_, Some(_), ..) => Err(("sources.catalog", "address", "needs [node]")),
                 (_, _, Some(_), _) => Err(("class", "name", "needs [node]")),
@@ -370,8 +374,8 @@
             return Err(("node", "listen", "there is no [[class]]"));
         }
         if let Some(registry) = registry {
-            registry.read(self.merge(), &node.myself())?;
-        } else if fixed.is_none() && self.catalog_address().is_none() {
+            registry.to_config(self.merge(), &node.node_info())?;
+        } else if static_list.is_none() && self.catalog_address().is_none() {
             return Err((
                 "node",
                 "listen",
@@ -392,11 +396,12 @@
         if self.class.iter().any(|class| class.effect == EffectName::Keyed && class.window_ms.is_none()) {
             return Err(("class", "effect", "a keyed class needs `window_ms`"));
         }
-        let own_aim = |class: &ClassTable| class.aim_ms.is_some_and(|ms| !(ms.is_finite() && ms > 0.0));
-        self.settings(node, &self.places(node)).validate().map_err(|wrong| {
-            let (table, key) = match wrong.key() {
-                // Where it is left out, it is the deadline.
-                "classes[].aim_ms" if self.class.iter().any(own_aim) => ("class", "aim_ms"),
+        let has_invalid_objective =
+            |class: &ClassTable| class.aim_ms.is_some_and(|ms| !(ms.is_finite() && ms > 0.0));
+        self.settings(node, &self.zones_and_kinds(node)).validate().map_err(|error| {
+            let (table, key) = match error.key() {
+                // Without this key the latency objective is the deadline, so that is the invalid key.
+                "classes[].aim_ms" if self.class.iter().any(has_invalid_objective) => ("class", "aim_ms"),
                 "classes[].window_ms" => ("class", "window_ms"),
                 "classes[].worth" => ("class", "worth"),
                 "classes[].late_worth" => ("class", "late_worth"),
@@ -409,8 +414,8 @@
         })
     }
 
-    fn fixed(&self) -> Option<&StaticList> {
-        self.sources.as_ref().and_then(|sources| sources.fixed.as_ref())
+    fn static_list(&self) -> Option<&StaticList> {
+        self.sources.as_ref().and_then(|sources| sources.static_list.as_ref())
     }
 
     fn registry(&self) -> Option<&RegistryTable> {
@@ -425,12 +430,13 @@
         self.sources.as_ref()?.catalog.as_ref()?.address
     }
 
-    /// Zones and kinds by their first naming; the node's own zone is the first.
-    fn places(&self, node: &NodeTable) -> Places {
+    /// Returns the names of zones and kinds in the order in which the file first names them. The node's own
+    /// zone is the first.
+    fn zones_and_kinds(&self, node: &NodeTable) -> ZonesAndKinds {
         let (mut zones, mut kinds) = (vec![node.zone.clone()], Vec::new());
-        let of_static = || self.fixed().into_iter().flat_map(|table| &table.servers);
-        let named_zones = node.zones.iter().chain(of_static().map(|server| &server.zone));
-        let named_kinds = node.kinds.iter().chain(of_static().map(|server| &server.kind));
+        let static_servers = || self.static_list().into_iter().flat_map(|table| &table.servers);
+        let named_zones = node.zones.iter().chain(static_servers().map(|server| &server.zone));
+        let named_kinds = node.kinds.iter().chain(static_servers().map(|server| &server.kind));
         for (names, named) in
             [(&mut zones, named_zones.collect::<Vec<_>>()), (&mut kinds, named_kinds.collect())]
         {
@@ -440,10 +446,11 @@
                 }
             }
         }
-        Places { zones, kinds }
+        ZonesAndKinds { zones, kinds }
     }
 
-    fn settings(&self, node: &NodeTable, places: &Places) -> spurdrum_policy::Settings {
+    /// Returns the settings of the balancing policy.
+    fn settings(&self, node: &NodeTable, zones_and_kinds: &ZonesAndKinds) -> spurdrum_policy::Settings {
         let class = |table: &ClassTable| {
             let group = match table.group {
                 GroupName::All => Group::All,
@@ -464,7 +471,7 @@
         settings.quotas_per_s = vec![f64::MAX; node.tenants.len()];
         (settings.nodes, settings.node_index) = (node.nodes, node.me);
         settings.weights = Weights::Size;
-        settings.kinds = places.kinds.len().max(1);
+        settings.kinds = zones_and_kinds.kinds.len().max(1);
         settings.max_retry_after_ms = node.retry_after_most_ms;
         let servers = self.servers.as_ref();
         set(&mut settings.max_attempts, servers.and_then(|servers| servers.max_attempts));
@@ -473,29 +480,29 @@
         settings
     }
 
-    /// All that a node is told, where `[node]` is there.
-    pub fn alone(&self) -> Option<Config> {
+    /// Returns the whole configuration of the node; `None` without `[node]`.
+    pub fn node_config(&self) -> Option<Config> {
         let node = self.node.as_ref()?;
-        let places = self.places(node);
-        let settings = self.settings(node, &places);
-        let known = self.fixed().map(StaticList::list);
-        let mut following = self.following();
-        (following.nodes, following.node_index) = (node.nodes, node.me);
+        let zones_and_kinds = self.zones_and_kinds(node);
+        let settings = self.settings(node, &zones_and_kinds);
+        let initial_list = self.static_list().map(StaticList::list);
+        let mut follower_settings = self.follower_settings();
+        (follower_settings.nodes, follower_settings.node_index) = (node.nodes, node.me);
         let time = |ms: Option<u64>, default| Duration::from_millis(ms.unwrap_or(default));
         let servers = self.servers.as_ref();
         Some(Config {
             name: node.name.clone(),
             listen: node.listen,
             listen_key: "node.listen",
-            told: Arc::default(),
-            ops: node.ops.map(|address| (address, "node.ops")),
+            platform_json: Arc::default(),
+            admin_address: node.ops.map(|address| (address, "node.ops")),
             latencies: node.latencies,
-            source: match (self.catalog_address(), self.fixed()) {
+            source: match (self.catalog_address(), self.static_list()) {
                 (Some(address), _) => Source::Catalog(address),
                 (None, Some(_)) => Source::Static,
                 (None, None) => Source::None,
             },
-            registry: self.registry().and_then(|table| table.read(self.merge(), &node.myself()).ok()),
+            registry: self.registry().and_then(|table| table.to_config(self.merge(), &node.node_info()).ok()),
             log: self.log(),
             seed: node.seed.unwrap_or_else(random_seed),
             limits: Limits {
@@ -503,16 +510,16 @@
                 memory: node.memory_mb.map_or(1 << 50, |mb| mb.min(1 << 30) << 20),
             },
             connections: self.connections(),
-            following,
-            known: known.unwrap_or(List { revision: 0, complete: true, members: Vec::new() }),
+            follower_settings,
+            initial_list: initial_list.unwrap_or(List { revision: 0, complete: true, members: Vec::new() }),
             names: ConfigNames {
                 classes: self.class.iter().map(|class| class.name.clone()).collect(),
                 tenants: node.tenants.clone(),
             },
-            places,
-            conn_idle: time(servers.and_then(|servers| servers.idle_ms), 20_000),
+            zones_and_kinds,
+            server_idle_timeout: time(servers.and_then(|servers| servers.idle_ms), 20_000),
             dial_timeout: time(servers.and_then(|servers| servers.dial_timeout_ms), 250),
-            most_held: node.most_held,
+            max_pending: node.most_held,
             affinity: self.affinity(),
             trace: self.trace(),
             settings,
@@ -520,7 +527,8 @@
     }
 }
 
-/// Nodes that start together must not choose alike.
+/// Returns a random seed that differs between processes: nodes that start at the same time must not make the
+/// same choices.
 pub fn random_seed() -> u64 {
     use std::hash::{BuildHasher, RandomState};
     RandomState::new().hash_one(std::process::id())
@@ -532,7 +540,7 @@
 
     use super::*;
 
-    const SOUND: &str = "[node]\nlisten = \"127.0.0.1:1\"\ntenants = [\"a\"]\n[[class]]\nname = \"r\"\n\
+    const VALID: &str = "[node]\nlisten = \"127.0.0.1:1\"\ntenants = [\"a\"]\n[[class]]\nname = \"r\"\n\
                          effect = \"keyed\"\nwindow_ms = 5\ndeadline_ms = 9\n[servers]\nidle_ms = 5\n\
                          [connections]\nclients_hold = 0.3\nhead = { first_ms = 3 }\n[log]\nformat = \"json\"\n\
                          [sources.static]\nservers = [{ address = \"127.0.0.1:2\", weight = 2.0 }]\n";
@@ -540,28 +548,29 @@
     proptest! {
         #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-        /// Whatever is changed in a file, it is read, or refused with its line.
+        /// Any edit of a valid file gives a file that is read, or an error that begins with a line number;
+        /// nothing panics.
         #[test]
-        fn a_spoilt_file_is_read_or_refused_with_a_line(
-            at in 0..SOUND.len(),
-            gone in 0..20_usize,
-            put in "[-a-z0-9=.\"\\[\\]{} \n]{0,12}",
+        fn an_edited_file_is_read_or_rejected_with_a_line_number(
+            start in 0..VALID.len(),
+            removed in 0..20_usize,
+            inserted in "[-a-z0-9=.\"\\[\\]{} \n]{0,12}",
         ) {
-            let end = (at + gone).min(SOUND.len());
-            let text = format!("{}{put}{}", &SOUND[..at], &SOUND[end..]);
+            let end = (start + removed).min(VALID.len());
+            let text = format!("{}{inserted}{}", &VALID[..start], &VALID[end..]);
             match parse(&text) {
-                Ok(file) => drop(file.alone()),
-                Err(why) => {
-                    let line = why.split(':').next().and_then(|line| line.parse::<usize>().ok());
-                    prop_assert!(line.is_some_and(|line| line <= text.lines().count() + 1), "{why}");
+                Ok(file) => drop(file.node_config()),
+                Err(error) => {
+                    let line = error.split(':').next().and_then(|line| line.parse::<usize>().ok());
+                    prop_assert!(line.is_some_and(|line| line <= text.lines().count() + 1), "{error}");
                 }
             }
         }
     }
 
     #[test]
-    fn the_sound_one_is_sound() {
-        let alone = parse(SOUND).map(|file| file.alone().is_some());
-        assert_eq!(alone, Ok(true));
+    fn the_valid_file_is_accepted() {
+        let has_config = parse(VALID).map(|file| file.node_config().is_some());
+        assert_eq!(has_config, Ok(true));
     }
 }
--- a/crates/spurdrum/src/following.rs
+++ b/crates/spurdrum/src/following.rs
@@ -1,4 +1,4 @@
-//! Where lists of servers go, and what the log says of them.
+//! Passes lists of servers from the sources to the core, and logs which servers they change.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -12,29 +12,30 @@
 use spurdrum_sources::reconciler::Event;
 use spurdrum_sources::{List, Phase};
 
-use crate::list::{self, Places};
-use crate::merge::{self, Merged};
+use crate::list::{self, ZonesAndKinds};
+use crate::merge::{self, MergedList};
 
-/// So many servers of a list are named in the log; the others are counted.
-const NAMED_MOST: usize = 16;
+/// The maximum number of servers that a log line names; it gives the number of the others.
+const MAX_LOGGED_IDS: usize = 16;
 
-/// Where lists go: to the core, or where there are several sources, to what makes one list of theirs.
-pub struct Sink {
-    /// Whose list it is.
+/// Receives lists. It passes them to the core, or with several sources to the reconciler that merges them.
+pub struct ListSink {
+    /// The node that uses the list.
     pub node: Rc<Node<Upstream>>,
-    /// Zones and kinds by name.
-    pub places: Rc<Places>,
-    /// Where there are several sources.
-    pub merged: Option<Rc<Merged>>,
-    /// The list as the last catalog or file told it, for a process that takes over.
-    pub told: Rc<RefCell<List>>,
-    /// Attempts that had been written to servers when the list was last confirmed.
+    /// The names of zones and kinds.
+    pub zones_and_kinds: Rc<ZonesAndKinds>,
+    /// The merged list, if there may be several sources.
+    pub merged: Option<Rc<MergedList>>,
+    /// The latest list of the catalog or the settings file. It is handed over to an incoming process.
+    pub latest: Rc<RefCell<List>>,
+    /// The number of attempts that had been written to servers when the list was last confirmed.
     pub attempts_when_confirmed: Cell<u64>,
 }
 
-impl Sink {
-    /// What the log says of attempts as the view changes: how many went out while nothing confirmed the list.
-    fn attempts_on_trust(&self, from: Freshness, to: Freshness) -> String {
+impl ListSink {
+    /// Returns the part of a log line that gives the number of attempts sent while the list was not
+    /// confirmed. The part is empty until the list is fresh again.
+    fn unconfirmed_attempts(&self, from: Freshness, to: Freshness) -> String {
         let attempts = self.node.metrics.attempts();
         if from == Freshness::Fresh {
             self.attempts_when_confirmed.set(attempts);
@@ -47,60 +48,60 @@
         }
     }
 
-    /// Hands on a list, or what changed in it, and logs which servers it changes.
-    pub fn listed(&self, source: usize, list: List) {
-        let changes = Changes::between(&self.told.borrow(), &list);
+    /// Passes on a list, complete or with changes only, and logs which servers it changes.
+    pub fn update(&self, source: usize, list: List) {
+        let changes = Changes::between(&self.latest.borrow(), &list);
         if !changes.is_empty() {
             tracing::info!("list version {}: {changes}", list.revision);
         }
-        self.told.borrow_mut().merge(&list);
+        self.latest.borrow_mut().merge(&list);
         match &self.merged {
-            Some(merged) => merged.listed(source, list),
-            None => self.node.update_servers(list.complete, self.places.listed(&list)),
+            Some(merged) => merged.update_list(source, list),
+            None => self.node.update_servers(list.complete, self.zones_and_kinds.to_servers(&list)),
         }
     }
 }
 
-/// Follows the list for as long as the node runs.
-pub async fn follow(catalog: Rc<Catalog>, sink: Rc<Sink>) {
-    let shown = Rc::clone(&catalog);
-    let news = move |news| match news {
+/// Follows the catalog's list for as long as the node runs.
+pub async fn follow(catalog: Rc<Catalog>, sink: Rc<ListSink>) {
+    let status_of = Rc::clone(&catalog);
+    let on_event = move |event| match event {
         CatalogEvent::Started { first_call } => {
-            let known = sink.told.borrow();
-            let (servers, version) = (known.members.len(), known.revision);
-            let after = first_call.as_secs_f64();
+            let initial = sink.latest.borrow();
+            let (servers, version) = (initial.members.len(), initial.revision);
+            let delay = first_call.as_secs_f64();
             tracing::info!(
-                "started with {servers} servers of version {version}; the first list call in {after:.3} s"
+                "started with {servers} servers of list version {version}; first discovery call in {delay:.3} s"
             );
         }
-        CatalogEvent::List(list) => sink.listed(merge::CATALOG, list),
+        CatalogEvent::List(list) => sink.update(merge::CATALOG, list),
         CatalogEvent::FreshnessChanged { from, to, cause } => {
             if let Some(merged) = &sink.merged {
-                merged.tell(Event::Freshness { source: merge::CATALOG, freshness: to });
+                merged.handle(Event::Freshness { source: merge::CATALOG, freshness: to });
             }
-            let attempts = sink.attempts_on_trust(from, to);
+            let attempts = sink.unconfirmed_attempts(from, to);
             tracing::info!(
                 "the list of servers: {from} -> {to}, {cause}; {}{attempts}",
-                list::trust(shown.status())
+                list::confirmation(status_of.status())
             );
         }
         CatalogEvent::Ready { result, after } => {
             sink.node.start_serving();
-            tracing::info!("ready {:.3} s after the start: {result}", after.as_secs_f64());
+            tracing::info!("ready to serve {:.3} s after the start: {result}", after.as_secs_f64());
         }
         CatalogEvent::ListShrunk(before, now) => {
-            tracing::warn!("the list of servers is shorter by much: {before} before, {now} now");
+            tracing::warn!("the list of servers has shrunk a lot: {before} servers before, {now} now");
         }
         CatalogEvent::CallEnded(report) => tracing::info!("{report}"),
     };
-    catalog.follow(news).await;
+    catalog.follow(on_event).await;
 }
 
 fn phases(list: &List) -> impl Iterator<Item = (&str, Phase)> {
     list.members.iter().map(|member| (&*member.id, member.phase))
 }
 
-/// Which servers a list changes, by their ids.
+/// The ids of the servers whose phase a list changes.
 #[derive(Default)]
 struct Changes {
     ready: Vec<String>,
@@ -109,23 +110,24 @@
 }
 
 impl Changes {
-    fn between(held: &List, list: &List) -> Self {
-        let before: HashMap<&str, Phase> = phases(held).collect();
+    /// Returns the changes from `old` to `list`.
+    fn between(old: &List, list: &List) -> Self {
+        let before: HashMap<&str, Phase> = phases(old).collect();
         let mut changes = Self::default();
         for (id, phase) in phases(list) {
             if before.get(id).copied().unwrap_or(Phase::Left) != phase {
-                changes.of(phase).push(id.to_owned());
+                changes.ids_of(phase).push(id.to_owned());
             }
         }
         if list.complete {
-            let named: HashSet<&str> = phases(list).map(|(id, _)| id).collect();
-            let missing = phases(held).filter(|(id, _)| !named.contains(id));
+            let listed: HashSet<&str> = phases(list).map(|(id, _)| id).collect();
+            let missing = phases(old).filter(|(id, _)| !listed.contains(id));
             changes.gone.extend(missing.map(|(id, _)| id.to_owned()));
         }
         changes
     }
 
-    fn of(&mut self, phase: Phase) -> &mut Vec<String> {
+    fn ids_of(&mut self, phase: Phase) -> &mut Vec<String> {
         match phase {
             Phase::Active => &mut self.ready,
             Phase::Leaving => &mut self.draining,
@@ -140,13 +142,13 @@
 
 impl fmt::Display for Changes {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let kinds = [("draining", &self.draining), ("gone", &self.gone), ("ready", &self.ready)];
+        let changes = [("draining", &self.draining), ("gone", &self.gone), ("ready", &self.ready)];
         let mut separator = "";
-        for (kind, ids) in kinds.into_iter().filter(|(_, ids)| !ids.is_empty()) {
-            let named = ids.len().min(NAMED_MOST);
-            write!(f, "{separator}{kind} {}", ids[..named].join(", "))?;
-            if ids.len() > named {
-                write!(f, " and {} more", ids.len() - named)?;
+        for (change, ids) in changes.into_iter().filter(|(_, ids)| !ids.is_empty()) {
+            let shown = ids.len().min(MAX_LOGGED_IDS);
+            write!(f, "{separator}{change} {}", ids[..shown].join(", "))?;
+            if ids.len() > shown {
+                write!(f, " and {} more", ids.len() - shown)?;
             }
             separator = "; ";
         }
--- a/crates/spurdrum/src/list.rs
+++ b/crates/spurdrum/src/list.rs
@@ -1,27 +1,28 @@
-//! Between sources and the core: what a source says of servers, in the terms of the decisions.
+//! Conversion of lists and evidence between the sources' types and those of the core and the policy, and
+//! their status texts.
 
 use spurdrum_core::{ListEvidence, ListedServer};
 use spurdrum_policy::{Availability, ServerEntry, ServerId};
 use spurdrum_sources::follower::{Counts, Evidence, Freshness};
 use spurdrum_sources::{List, Member, Phase};
 
-/// Names in the order of the settings, whose indices the decisions use.
+/// The names of zones and machine kinds, in the order of the settings. The policy refers to them by index.
 #[derive(Clone, Debug, Default)]
-pub struct Places {
-    /// Zones.
+pub struct ZonesAndKinds {
+    /// The zones' names.
     pub zones: Vec<String>,
-    /// Machine kinds.
+    /// The machine kinds' names.
     pub kinds: Vec<String>,
 }
 
-impl Places {
-    /// The servers of a list.
-    pub fn listed(&self, list: &List) -> Vec<ListedServer> {
-        list.members.iter().map(|member| self.entry(member)).collect()
+impl ZonesAndKinds {
+    /// Converts the members of a list to the core's type.
+    pub fn to_servers(&self, list: &List) -> Vec<ListedServer> {
+        list.members.iter().map(|member| self.to_server(member)).collect()
     }
 
-    fn entry(&self, member: &Member) -> ListedServer {
-        let place = |names: &[String], name| names.iter().position(|n| n == name).unwrap_or(names.len());
+    fn to_server(&self, member: &Member) -> ListedServer {
+        let index_of = |names: &[String], name| names.iter().position(|n| n == name).unwrap_or(names.len());
         let entry = ServerEntry {
             server: ServerId(0),
             availability: match member.phase {
@@ -29,10 +30,10 @@
                 Phase::Leaving => Availability::Draining,
                 Phase::Left => Availability::Gone,
             },
-            started_at: Some(member.up_since_ms).filter(|at| *at > 0.0),
+            started_at: Some(member.up_since_ms).filter(|started_at| *started_at > 0.0),
             cell: member.cell,
-            zone: place(&self.zones, &member.locality),
-            kind: place(&self.kinds, &member.flavor),
+            zone: index_of(&self.zones, &member.locality),
+            kind: index_of(&self.kinds, &member.flavor),
             weight: member.size,
             name_hash: spurdrum_facts::name_hash(&member.id),
         };
@@ -40,9 +41,10 @@
     }
 }
 
-/// What servers show, as a follower takes it.
-pub fn evidence(sign: ListEvidence) -> Evidence {
-    match sign {
+/// Converts evidence that the list is out of date, which the core observes at servers, to the follower's
+/// type.
+pub fn evidence(evidence: ListEvidence) -> Evidence {
+    match evidence {
         ListEvidence::Unreachable(server) => Evidence::Unreachable(server.0 as u64),
         ListEvidence::Refused { idle } => Evidence::Refused { idle },
         ListEvidence::Ejected => Evidence::Ejected,
@@ -50,23 +52,24 @@
     }
 }
 
-/// The age of a view and its version, as operators are shown them.
-pub fn shown(age: Option<std::time::Duration>, revision: Option<u64>) -> (String, String) {
+/// Returns the age of a list's confirmation and the list's revision as texts for operators.
+pub fn age_and_revision(age: Option<std::time::Duration>, revision: Option<u64>) -> (String, String) {
     let age = age.map_or("never".to_owned(), |age| format!("{:.1} s ago", age.as_secs_f64()));
     (age, revision.map_or("none".to_owned(), |revision| revision.to_string()))
 }
 
-/// How far a list is trusted, its age, its version, and what was done to follow it.
-type Status = (Freshness, Option<std::time::Duration>, Option<u64>, Counts);
+/// The state of a follower: the list's freshness, the time since its confirmation, its revision, and the
+/// counts of calls.
+type FollowerStatus = (Freshness, Option<std::time::Duration>, Option<u64>, Counts);
 
-/// The age and version of a list, for a line that tells of its view.
-pub fn trust((_, age, revision, _): Status) -> String {
-    let (age, revision) = shown(age, revision);
+/// Returns the age and revision of a list for the log.
+pub fn confirmation((_, age, revision, _): FollowerStatus) -> String {
+    let (age, revision) = age_and_revision(age, revision);
     format!("confirmed {age}, version {revision}")
 }
 
-/// The state of a list in one line, for operators.
-pub fn status((view, age, revision, counts): Status) -> String {
-    let (age, revision) = shown(age, revision);
-    format!("list {view}, confirmed {age}, version {revision}; {counts}")
+/// Returns the state of a list as one line for operators.
+pub fn status((freshness, age, revision, counts): FollowerStatus) -> String {
+    let (age, revision) = age_and_revision(age, revision);
+    format!("list {freshness}, confirmed {age}, version {revision}; {counts}")
 }
--- a/crates/spurdrum/src/main.rs
+++ b/crates/spurdrum/src/main.rs
@@ -1,5 +1,6 @@
-//! One real node: starts, serves until SIGTERM, answers what it has taken, and ends. SIGHUP makes it read its
-//! configuration again.
+//! The program `spurdrum`: runs one node. The node serves until SIGTERM, then answers its pending requests
+//! and exits. On SIGHUP it reloads its configuration. Other commands check a settings file, supervise a node,
+//! and control a rollout.
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -37,23 +38,24 @@
 mod set;
 
 use config::{Config, Source};
-use following::{follow, Sink};
-use merge::Merged;
-use registry::{Place, Registry};
+use following::{follow, ListSink};
+use merge::MergedList;
+use registry::{RegistryBackend, RegistryConfig};
 use spurdrum_sources::registry::consul::Consul;
 use spurdrum_sources::registry::etcd::{Etcd, Registration};
 use spurdrum_sources::registry::shell::{RegistryClient, Shell};
 
 /// A load-balancing reverse proxy: one node.
 ///
-/// Without `[node]` in its file, it is told what it needs in GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_CONFIG.
+/// Without `[node]` in the settings file, the node is configured by GW_NAME, GW_LISTEN, GW_DISCOVERY and
+/// GW_CONFIG.
 #[derive(Parser)]
 #[command(version, about)]
 struct Cli {
-    /// TOML with a table for each subsystem that is to be on.
+    /// Settings file: TOML with a table for each subsystem to turn on.
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
-    /// Where operators call, in place of what the file or GW_OPS says.
+    /// Address of the admin endpoint; overrides the settings file and GW_OPS.
     #[arg(long, value_name = "ADDRESS")]
     ops: Option<SocketAddr>,
     #[command(subcommand)]
@@ -62,40 +64,42 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Read a file as `--config` would, say what is wrong with it, and end.
+    /// Check a settings file as `--config` would read it, report the first error, and exit.
     Check {
-        /// The file.
+        /// The settings file.
         file: PathBuf,
     },
-    /// Keep a node on this machine: start it, replace it when a rollout says so, and start it again when it ends.
+    /// Supervise a node on this machine: start it, replace it when a rollout requests so, and restart it when
+    /// it exits.
     Keeper {
-        /// TOML with what the keeper is told.
+        /// The supervisor's settings, in TOML.
         file: PathBuf,
     },
-    /// Carry a change to a fleet in stages.
+    /// Roll out a change to a fleet in stages.
     Rollout {
         #[command(subcommand)]
-        what: rollout::What,
+        command: rollout::RolloutCommand,
     },
 }
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    let done = match cli.command {
+    let result = match cli.command {
         Some(Command::Check { file }) => check(&file),
-        Some(Command::Keeper { file }) => rollout::keep(&file),
-        Some(Command::Rollout { what }) => rollout::carry_out(what),
+        Some(Command::Keeper { file }) => rollout::supervise(&file),
+        Some(Command::Rollout { command }) => rollout::run(command),
         None => start(cli.config, cli.ops),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("spurdrum: {}", spurdrum_facts::one_line(&why));
+        Err(error) => {
+            eprintln!("spurdrum: {}", spurdrum_facts::one_line(&error));
             ExitCode::FAILURE
         }
     }
 }
 
+/// Checks a settings file and prints the result.
 fn check(file: &std::path::Path) -> Result<(), String> {
     match file::read(Some(file))?.has_node() {
         true => platform::read(Some(file))
@@ -107,20 +111,21 @@
     }
 }
 
-/// Asks for as many descriptors as the node may hold; where the system gives fewer, the budgets follow it.
+/// Raises the process's limit of open file descriptors to the configured number. If the system allows fewer,
+/// the node's budgets are computed from that lower number.
 fn raise_descriptors(config: &mut Config) {
     use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
     let wanted = config.limits.sockets as u64;
-    let has = getrlimit(Resource::Nofile);
-    if has.current.is_some_and(|current| current < wanted) {
-        let current = has.maximum.map_or(wanted, |most| most.min(wanted));
-        // It fails where the system allows even less: then that is what there is.
-        let _ = setrlimit(Resource::Nofile, Rlimit { current: Some(current), maximum: has.maximum });
+    let limit = getrlimit(Resource::Nofile);
+    if limit.current.is_some_and(|current| current < wanted) {
+        let current = limit.maximum.map_or(wanted, |maximum| maximum.min(wanted));
+        // Fails if the system allows even fewer; the limit that is in force is read below.
+        let _ = setrlimit(Resource::Nofile, Rlimit { current: Some(current), maximum: limit.maximum });
     }
-    let most = getrlimit(Resource::Nofile).current.unwrap_or(wanted);
-    if most < wanted {
-        tracing::warn!("`sockets` is {wanted}, but the system allows {most} descriptors");
-        config.limits.sockets = most as usize;
+    let allowed = getrlimit(Resource::Nofile).current.unwrap_or(wanted);
+    if allowed < wanted {
+        tracing::warn!("`sockets` is {wanted}, but the system allows {allowed} file descriptors");
+        config.limits.sockets = allowed as usize;
     }
 }
 
@@ -128,29 +133,30 @@
     on_event_loop(serve(file, ops))
 }
 
-/// Runs to its end on an event loop of its own.
-fn on_event_loop<T>(work: impl Future<Output = Result<T, String>>) -> Result<T, String> {
+/// Runs a future to completion on a new single-threaded event loop.
+fn on_event_loop<T>(future: impl Future<Output = Result<T, String>>) -> Result<T, String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|error| format!("cannot start the event loop: {error}"))?;
-    LocalSet::new().block_on(&runtime, work)
+    LocalSet::new().block_on(&runtime, future)
 }
 
-/// Connections that may wait to be accepted.
+/// The length of the listening sockets' queues of connections that are not accepted yet.
 const BACKLOG: u32 = 1024;
 
-/// Listens on an address; where it is shared, beside another process that does.
+/// Listens on an address. With `shared`, another process that also shares it may listen on the same address.
+/// `key` is the key or variable that gave the address, for the error message.
 fn listen(address: SocketAddr, key: &str, shared: bool) -> Result<TcpListener, String> {
-    let listener = || {
+    let bind = || {
         let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
         socket.set_reuseaddr(true)?;
         socket.set_reuseport(shared)?;
         socket.bind(address)?;
         socket.listen(BACKLOG)
     };
-    listener().map_err(|error: std::io::Error| format!("`{key}`: cannot listen on {address}: {error}"))
+    bind().map_err(|error: std::io::Error| format!("`{key}`: cannot listen on {address}: {error}"))
 }
 
-/// The listening socket that the outgoing process handed over.
+/// Returns the listening socket that the outgoing process handed over, registered with the event loop.
 fn received_listener(listener: &std::net::TcpListener) -> Result<TcpListener, String> {
     let listener = listener.try_clone().and_then(|listener| {
         listener.set_nonblocking(true)?;
@@ -159,150 +165,176 @@
     listener.map_err(|error| format!("cannot use the listening socket that was handed over: {error}"))
 }
 
+/// Runs the node until it has shut down.
 async fn serve(file: Option<PathBuf>, ops: Option<SocketAddr>) -> Result<(), String> {
-    // Before all else: from here on neither signal ends the program by itself.
-    let hear = |kind, name| signal(kind).map_err(|error| format!("cannot hear {name}: {error}"));
-    let mut stop = hear(SignalKind::terminate(), "SIGTERM")?;
-    let mut reload = hear(SignalKind::hangup(), "SIGHUP")?;
+    // Installed before everything else: from here on neither signal terminates the process by its default
+    // action.
+    let listen_for =
+        |kind, name| signal(kind).map_err(|error| format!("cannot install a handler for {name}: {error}"));
+    let mut stop = listen_for(SignalKind::terminate(), "SIGTERM")?;
+    let mut reload = listen_for(SignalKind::hangup(), "SIGHUP")?;
     let mut config = platform::read(file.as_deref())?;
-    config.ops = ops.map(|address| (address, "--ops")).or(config.ops);
+    config.admin_address = ops.map(|address| (address, "--ops")).or(config.admin_address);
     if let Some(registry) = &mut config.registry {
         registry.read_files()?;
     }
     let _log = log::start(&config.name, config.log);
     raise_descriptors(&mut config);
-    // A process that operators can ask may be replaced by one that runs beside it.
-    let takeover = match config.ops {
+    // Only a process with an admin endpoint may be replaced by one that starts while it still runs.
+    let takeover = match config.admin_address {
         Some(_) => replace::take_over(&config.name, config.listen).await,
         None => None,
     };
     let listener = match &takeover {
         Some(takeover) => received_listener(&takeover.listener)?,
-        None => listen(config.listen, config.listen_key, config.ops.is_some())?,
+        None => listen(config.listen, config.listen_key, config.admin_address.is_some())?,
     };
-    let desk = config.ops.map(|(address, key)| listen(address, key, false)).transpose()?;
+    let admin_listener =
+        config.admin_address.map(|(address, key)| listen(address, key, false)).transpose()?;
 
     let connections =
         Connections::new(config.connections.clone(), config.limits, config.settings.max_retry_after_ms)
             .map_err(|(key, why)| format!("`connections.{key}`: {why}"))?;
-    let mut handed_state = takeover.as_ref().and_then(replace::HandedState::from_takeover);
-    let passed = replace::follow(takeover, &connections);
-    // What the process that was here has been told counts as told to this one, too: drains among it.
-    if let (Some(handed_state), Source::Catalog(_)) = (&mut handed_state, config.source) {
-        std::mem::swap(&mut config.known, &mut handed_state.list);
+    let mut handed_over_state = takeover.as_ref().and_then(replace::HandedOverState::from_takeover);
+    let handed_over = replace::follow(takeover, &connections);
+    // The list that the outgoing process had received, including drains, counts as received by this process.
+    if let (Some(handed_over_state), Source::Catalog(_)) = (&mut handed_over_state, config.source) {
+        std::mem::swap(&mut config.initial_list, &mut handed_over_state.list);
     }
-    let told_list = Rc::new(RefCell::new(config.known.clone()));
+    let latest_list = Rc::new(RefCell::new(config.initial_list.clone()));
     let catalog = match config.source {
         Source::Static | Source::None => None,
         Source::Catalog(address) => {
-            // Without a list of an earlier run the whole list is read first.
-            let known = &config.known;
-            let known = (known.revision > 0 || !known.members.is_empty()).then_some(known.revision);
-            let catalog = Catalog::new(address, config.following.clone(), config.seed, known);
+            // Without a list from an earlier run, the catalog's complete list is read first.
+            let initial = &config.initial_list;
+            let revision = (initial.revision > 0 || !initial.members.is_empty()).then_some(initial.revision);
+            let catalog = Catalog::new(address, config.follower_settings.clone(), config.seed, revision);
             let catalog = catalog.map_err(|(key, why)| format!("`sources.catalog.{key}`: {why}"))?;
-            catalog.restore_leaving(config.known.clone());
+            catalog.restore_leaving(config.initial_list.clone());
             Some(catalog)
         }
     };
-    let bindings = match &config.affinity {
+    let affinity_parts = match &config.affinity {
         None => None,
-        Some(bindings) => {
-            config.settings.preference_slack = bindings.slack;
-            let (making, keyer) = (bindings.making(&config.names)?, bindings.keyer()?);
-            let affinity = bindings.start(unix_ms()?, config.settings.slow_start_ms)?;
-            Some((affinity, Rc::new(AffinityKeys::new(making, keyer)), keyer))
+        Some(affinity_config) => {
+            config.settings.preference_slack = affinity_config.slack;
+            let (key_settings, keyer) =
+                (affinity_config.key_settings(&config.names)?, affinity_config.keyer()?);
+            let affinity = affinity_config.start(unix_ms()?, config.settings.slow_start_ms)?;
+            Some((affinity, Rc::new(AffinityKeys::new(key_settings, keyer)), keyer))
         }
     };
-    let affinity = bindings.as_ref().map(|(affinity, ..)| Rc::clone(affinity));
-    let keys = bindings.as_ref().map(|(_, keys, _)| Rc::clone(keys));
-    let figures = Rc::new(match config.latencies {
+    let affinity = affinity_parts.as_ref().map(|(affinity, ..)| Rc::clone(affinity));
+    let keys = affinity_parts.as_ref().map(|(_, keys, _)| Rc::clone(keys));
+    let metrics = Rc::new(match config.latencies {
         true => NodeMetrics::with_latencies(),
         false => NodeMetrics::default(),
     });
-    figures.add_classes(&config.names.classes);
-    let upstream =
-        Upstream::new(Rc::clone(&connections), Rc::clone(&figures), config.conn_idle, config.dial_timeout);
+    metrics.add_classes(&config.names.classes);
+    let upstream = Upstream::new(
+        Rc::clone(&connections),
+        Rc::clone(&metrics),
+        config.server_idle_timeout,
+        config.dial_timeout,
+    );
     let upstream = upstream.with_keys(keys.clone());
-    let (trace, _writing) = match &config.trace {
+    let (trace, _trace_writer) = match &config.trace {
         None => (None, None),
         Some(settings) => {
             let started = Trace::start(settings);
-            let (trace, writing) =
+            let (trace, writer) =
                 started.map_err(|error| format!("`trace.path`: {}: {error}", settings.path.display()))?;
-            (Some(trace), Some(writing))
+            (Some(trace), Some(writer))
         }
     };
-    let signs = catalog.clone();
+    let evidence_receiver = catalog.clone();
     let core = spurdrum_core::Config {
         seed: config.seed,
         settings: config.settings,
-        max_pending: config.most_held,
-        idle_check_interval: config.conn_idle / 20,
+        max_pending: config.max_pending,
+        idle_check_interval: config.server_idle_timeout / 20,
     };
     let node = Node::new(
         core,
         Rc::clone(&connections),
-        Rc::clone(&figures),
+        Rc::clone(&metrics),
         upstream,
-        move |sign| {
-            if let Some(catalog) = &signs {
-                catalog.report_evidence(list::evidence(sign));
+        move |evidence| {
+            if let Some(catalog) = &evidence_receiver {
+                catalog.report_evidence(list::evidence(evidence));
             }
         },
         affinity.clone(),
         trace,
     )?;
-    let (end_store, store_ends) = oneshot::channel();
-    let (store_status, stored) = keep_bindings(&node, &config.affinity, bindings, store_ends);
-    let places = Rc::new(config.places);
+    let (stop_store, store_stop) = oneshot::channel();
+    let (store_status, store_task) = start_affinity(&node, &config.affinity, affinity_parts, store_stop);
+    let zones_and_kinds = Rc::new(config.zones_and_kinds);
     let names = Rc::new(RefCell::new(Rc::new(config.names)));
-    let fixed = affinity.is_some();
-    let retuner = retune::Retuner::new(
+    let affinity_on = affinity.is_some();
+    let reloader = retune::Reloader::new(
         Rc::clone(&node),
         Rc::clone(&names),
-        Rc::clone(&places),
-        fixed,
-        config.most_held,
+        Rc::clone(&zones_and_kinds),
+        affinity_on,
+        config.max_pending,
     );
-    // With a registry there may be several sources; without, the one there is goes to the core as it comes.
-    let mut leaves = None;
+    // With a registry there may be several sources, whose lists are merged. Without one, the single source's
+    // list goes to the core unchanged.
+    let mut registration = None;
     let registry = match config.registry {
         None => None,
         Some(mut registry) => {
-            if let (Some(register), Place::Etcd(cluster)) = (registry.register.take(), &registry.place) {
+            if let (Some(register), RegistryBackend::Etcd(cluster)) =
+                (registry.register.take(), &registry.backend)
+            {
                 let etcd = Etcd::new(cluster.clone());
                 let etcd = etcd.map_err(|(key, why)| format!("`sources.registry.{key}`: {why}"))?;
-                leaves = Some(keep(etcd, register, config.seed));
+                registration = Some(register_node(etcd, register, config.seed));
             }
-            let merged = Merged::new(Rc::clone(&node), Rc::clone(&places), registry.merging.clone())?;
-            tokio::task::spawn_local(Rc::clone(&merged).keep_time());
-            let status = watch(&merged, registry, config.seed)
+            let merged = MergedList::new(
+                Rc::clone(&node),
+                Rc::clone(&zones_and_kinds),
+                registry.merge_settings.clone(),
+            )?;
+            tokio::task::spawn_local(Rc::clone(&merged).run_timer());
+            let status = follow_registry(&merged, registry, config.seed)
                 .map_err(|(key, why)| format!("`sources.registry.{key}`: {why}"))?;
             Some((merged, status))
         }
     };
     let merged = registry.as_ref().map(|(merged, _)| Rc::clone(merged));
     match &merged {
-        Some(merged) if config.source == Source::Static => merged.listed(merge::STATIC, config.known),
+        Some(merged) if config.source == Source::Static => {
+            merged.update_list(merge::STATIC, config.initial_list)
+        }
         Some(_) => {}
-        None => node.load_cached_servers(places.listed(&config.known)),
+        None => node.load_cached_servers(zones_and_kinds.to_servers(&config.initial_list)),
     }
-    // A list that the process before has not had confirmed may be of any age: what discovery removed since counts as told 6 s after,
-    // however young this process is.
-    if catalog.is_some() && handed_state.as_ref().is_none_or(|handed_state| handed_state.starting) {
+    // A list that discovery has not confirmed to the outgoing process either may be of any age. 6 s after
+    // discovery has removed a server, the node must no longer send requests to it, however recently this
+    // process has started; so requests wait until the list is confirmed.
+    if catalog.is_some()
+        && handed_over_state.as_ref().is_none_or(|handed_over_state| handed_over_state.starting)
+    {
         node.queue_until_serving();
     }
-    if let Some(handed_state) = handed_state {
-        handed_state.apply(&node, &names.borrow());
+    if let Some(handed_over_state) = handed_over_state {
+        handed_over_state.apply(&node, &names.borrow());
     }
-    let offer = config.ops.and_then(|_| {
-        let (node, list, names) = (Rc::clone(&node), Rc::clone(&told_list), Rc::clone(&names));
+    let offer = config.admin_address.and_then(|_| {
+        let (node, list, names) = (Rc::clone(&node), Rc::clone(&latest_list), Rc::clone(&names));
         let state_source = replace::StateSource { node, list, names };
         replace::offer(&config.name, config.listen, &listener, &connections, state_source)
     });
     let attempts_when_confirmed = Cell::default();
-    let sink =
-        Rc::new(Sink { node: Rc::clone(&node), places, merged, told: told_list, attempts_when_confirmed });
+    let sink = Rc::new(ListSink {
+        node: Rc::clone(&node),
+        zones_and_kinds,
+        merged,
+        latest: latest_list,
+        attempts_when_confirmed,
+    });
     if let Some(catalog) = &catalog {
         tokio::task::spawn_local(follow(Rc::clone(catalog), Rc::clone(&sink)));
     }
@@ -310,159 +342,179 @@
     tokio::task::spawn_local(Rc::clone(&node).close_idle_connections());
     tokio::task::spawn_local(Rc::clone(&node).release_server_connections());
     tokio::task::spawn_local(Rc::clone(&connections).run_timer());
-    let (reloaded, followed, mut told) = (Rc::clone(&sink), catalog.clone(), config.told);
+    let (reload_sink, reload_catalog, mut accepted_json) =
+        (Rc::clone(&sink), catalog.clone(), config.platform_json);
     tokio::task::spawn_local(async move {
         while reload.recv().await.is_some() {
-            read_again(file.clone(), &mut told, &reloaded, followed.as_ref(), &retuner).await;
+            reload_config(file.clone(), &mut accepted_json, &reload_sink, reload_catalog.as_ref(), &reloader)
+                .await;
         }
     });
-    let ending = Rc::new(Cell::new(false));
-    if let Some(desk) = desk {
-        let operated = operated::Process { node: Rc::clone(&node), ending: Rc::clone(&ending) };
-        let calls = spurdrum_ops::NodeCalls(operated);
-        tokio::task::spawn_local(spurdrum_ops::serve(desk, calls, spurdrum_ops::Settings::default()));
+    let shutting_down = Rc::new(Cell::new(false));
+    if let Some(admin_listener) = admin_listener {
+        let node_status =
+            operated::NodeStatus { node: Rc::clone(&node), shutting_down: Rc::clone(&shutting_down) };
+        let calls = spurdrum_ops::NodeCalls(node_status);
+        tokio::task::spawn_local(spurdrum_ops::serve(
+            admin_listener,
+            calls,
+            spurdrum_ops::Settings::default(),
+        ));
     }
     let status = move || {
-        let shown = affinity.as_ref().map(|affinity| {
+        let affinity_status = affinity.as_ref().map(|affinity| {
             let store =
                 store_status.as_ref().map_or(String::new(), |status| format!("\n{}", status.borrow()));
             format!("\n{}{store}", affinity.borrow().status())
         });
         let list = catalog.as_ref().map(|catalog| list::status(catalog.status()));
-        let registry = registry.as_ref().map(|(merged, of)| format!("{}; {}", of(), merged.status()));
+        let registry = registry.as_ref().map(|(merged, status)| format!("{}; {}", status(), merged.status()));
         let list = match (list, registry) {
             (Some(list), Some(registry)) => format!("{registry}\n{list}"),
-            (Some(one), None) | (None, Some(one)) => one,
+            (Some(only), None) | (None, Some(only)) => only,
             (None, None) => "list static".to_owned(),
         };
-        list + &shown.unwrap_or_default()
+        list + &affinity_status.unwrap_or_default()
     };
     let front = Front::new(node, names, status).with_keys(keys);
-    let successor = offer.clone().map(|offer| Rc::new(replace::Incoming(offer)) as Rc<dyn IncomingProcess>);
-    let front = front.with_incoming_process(successor);
-    spurdrum_http::run(front, listener, passed, async move {
+    let incoming = offer.clone().map(|offer| Rc::new(replace::Incoming(offer)) as Rc<dyn IncomingProcess>);
+    let front = front.with_incoming_process(incoming);
+    spurdrum_http::run(front, listener, handed_over, async move {
         stop.recv().await;
         if let Some(offer) = offer {
             offer.stop();
         }
-        ending.set(true);
-        // Who follows the registry hears of it first.
-        if let Some((leave, gone)) = leaves {
-            let _ = leave.send(());
-            let _ = gone.await;
+        shutting_down.set(true);
+        // Deregisters first, so that those who follow the registry learn of the shutdown before the node
+        // stops.
+        if let Some((deregister, deregistered)) = registration {
+            let _ = deregister.send(());
+            let _ = deregistered.await;
         }
     })
     .await;
-    // What was bound last is written once nothing is bound any more.
-    let _ = end_store.send(());
-    if let Some(stored) = stored {
-        let _ = stored.await;
+    // The store is stopped after the last request, so that it also writes the bindings that were made last.
+    let _ = stop_store.send(());
+    if let Some(store_task) = store_task {
+        let _ = store_task.await;
     }
     Ok(())
 }
 
+/// The status of the store of bindings, if there is one.
 type StoreStatus = Option<Rc<RefCell<spurdrum_store::Status>>>;
 
-/// Lets bindings age, and keeps them where they are to be kept, until `end`. How the store does, and what tells that it is
-/// done.
-fn keep_bindings(
+/// Starts the timer of session affinity and, if configured, the task that stores its bindings until `stop`.
+/// Returns the store's status and its task.
+fn start_affinity(
     node: &Rc<Node<Upstream>>,
-    config: &Option<affinity::Bindings>,
-    bindings: Option<(Rc<RefCell<Affinity>>, Rc<AffinityKeys>, Keyer)>,
-    end: oneshot::Receiver<()>,
+    config: &Option<affinity::AffinityConfig>,
+    affinity_parts: Option<(Rc<RefCell<Affinity>>, Rc<AffinityKeys>, Keyer)>,
+    stop: oneshot::Receiver<()>,
 ) -> (StoreStatus, Option<tokio::task::JoinHandle<()>>) {
-    let Some((affinity, _, keyer)) = bindings else { return (None, None) };
+    let Some((affinity, _, keyer)) = affinity_parts else { return (None, None) };
     let clock = |node: &Rc<Node<Upstream>>| {
         let node = Rc::clone(node);
         move || node.now()
     };
-    tokio::task::spawn_local(affinity::keep_time(Rc::clone(&affinity), clock(node)));
+    tokio::task::spawn_local(affinity::run_timer(Rc::clone(&affinity), clock(node)));
     let store = config.as_ref().and_then(|config| config.store());
     let Some(store) = store.cloned() else { return (None, None) };
     let status = Rc::new(RefCell::new(spurdrum_store::Status::default()));
-    let ends = async {
-        // Dropped unheard, it comes to the same.
-        let _ = end.await;
+    let stop = async {
+        // A dropped sender stops the store as well.
+        let _ = stop.await;
     };
-    let kept = affinity::keep(store, keyer, affinity, Rc::clone(&status), clock(node), ends);
-    (Some(status), Some(tokio::task::spawn_local(kept)))
+    let stored = affinity::store_bindings(store, keyer, affinity, Rc::clone(&status), clock(node), stop);
+    (Some(status), Some(tokio::task::spawn_local(stored)))
 }
 
-/// Keeps the node's own key in a registry: how to have it taken out, and what tells that it is.
-fn keep(etcd: Etcd, register: registry::Register, seed: u64) -> (oneshot::Sender<()>, oneshot::Receiver<()>) {
-    let (leave, leaves) = oneshot::channel();
-    let (tell, gone) = oneshot::channel();
+/// Registers the node in a registry until shutdown. Returns a sender that starts the deregistration and a
+/// receiver that reports when it is done.
+fn register_node(
+    etcd: Etcd,
+    register: registry::RegistrationConfig,
+    seed: u64,
+) -> (oneshot::Sender<()>, oneshot::Receiver<()>) {
+    let (deregister, deregister_receiver) = oneshot::channel();
+    let (done, deregistered) = oneshot::channel();
     tokio::task::spawn_local(async move {
         let [active_value, leaving_value] = register.values.map(String::into_bytes);
         let registration =
             Registration { etcd, key: register.key.clone().into_bytes(), active_value, leaving_value };
-        let leaves = async {
-            // Dropped unheard, it comes to the same.
-            let _ = leaves.await;
+        let stop = async {
+            // A dropped sender deregisters the node as well.
+            let _ = deregister_receiver.await;
         };
-        let told = |state| tracing::info!("the node's key {} in the registry: {state}", register.key);
-        // Its settings were looked at when they were read.
-        let _ = registration.run(register.settings, seed, leaves, told).await;
-        let _ = tell.send(());
+        let on_state = |state| tracing::info!("the node's key {} in the registry: {state}", register.key);
+        // The only error is an invalid setting; the settings were validated when they were read.
+        let _ = registration.run(register.settings, seed, stop, on_state).await;
+        let _ = done.send(());
     });
-    (leave, gone)
+    (deregister, deregistered)
 }
 
-type Status = Box<dyn Fn() -> String>;
+/// A function that returns a status text for operators.
+type StatusText = Box<dyn Fn() -> String>;
 
-/// Follows a registry for as long as the node runs. How its state is shown.
-fn watch(merged: &Rc<Merged>, registry: Registry, seed: u64) -> Result<Status, (&'static str, &'static str)> {
+/// Follows a registry for as long as the node runs. Returns the function that gives its status.
+fn follow_registry(
+    merged: &Rc<MergedList>,
+    registry: RegistryConfig,
+    seed: u64,
+) -> Result<StatusText, (&'static str, &'static str)> {
     fn follow<W: RegistryClient>(
-        merged: &Rc<Merged>,
-        wire: W,
-        registry: Registry,
+        merged: &Rc<MergedList>,
+        client: W,
+        registry: RegistryConfig,
         seed: u64,
-    ) -> Result<Status, (&'static str, &'static str)> {
-        let shell = Shell::new(wire, registry.following, seed)?;
+    ) -> Result<StatusText, (&'static str, &'static str)> {
+        let shell = Shell::new(client, registry.follower_settings, seed)?;
         tokio::task::spawn_local(Rc::clone(merged).follow(Rc::clone(&shell), registry.schema));
         Ok(Box::new(move || merge::status(&shell)))
     }
-    match &registry.place {
-        Place::Etcd(cluster) => follow(merged, Etcd::new(cluster.clone())?, registry, seed),
-        Place::Consul(service) => follow(merged, Consul::new(service.clone())?, registry, seed),
+    match &registry.backend {
+        RegistryBackend::Etcd(cluster) => follow(merged, Etcd::new(cluster.clone())?, registry, seed),
+        RegistryBackend::Consul(service) => follow(merged, Consul::new(service.clone())?, registry, seed),
     }
 }
 
-/// Reads the configuration again, for where the list of servers is, or what it says; all else holds from the next start on.
-/// One that cannot be read changes nothing.
-async fn read_again(
+/// Reloads the configuration: applies the settings that can change while the node runs, and the catalog's
+/// address or the static list. All other changes take effect at the next start. An invalid configuration
+/// changes nothing.
+async fn reload_config(
     file: Option<PathBuf>,
-    told: &mut Arc<Value>,
-    sink: &Sink,
+    accepted_json: &mut Arc<Value>,
+    sink: &ListSink,
     catalog: Option<&Rc<Catalog>>,
-    retuner: &Rc<retune::Retuner>,
+    reloader: &Rc<retune::Reloader>,
 ) {
-    let accepted = Arc::clone(told);
-    let read = tokio::task::spawn_blocking(move || {
+    let accepted = Arc::clone(accepted_json);
+    let reading = tokio::task::spawn_blocking(move || {
         let config = platform::read(file.as_deref())?;
-        platform::lacks_nothing(&accepted, &config.told).map(|()| config)
+        platform::check_no_key_missing(&accepted, &config.platform_json).map(|()| config)
     });
-    let read = read.await;
+    let read = reading.await;
     sink.node.metrics.record_reload(matches!(read, Ok(Ok(_))));
     if let Ok(Ok(config)) = &read {
-        *told = Arc::clone(&config.told);
-        retuner.apply(config);
+        *accepted_json = Arc::clone(&config.platform_json);
+        reloader.apply(config);
     }
     match (read, catalog) {
         (Ok(Ok(config)), Some(catalog)) => {
             if let Source::Catalog(address) = config.source {
                 if catalog.set_address(address) {
-                    tracing::info!("discovery is now at {address}");
+                    tracing::info!("the catalog's address is now {address}");
                 }
             }
         }
-        // A registry's endpoints hold from the next start on, like all else.
+        // Changes to a registry's endpoints take effect at the next start, like all others.
         (Ok(Ok(config)), None) if config.source == Source::None => {}
         (Ok(Ok(config)), None) => {
-            tracing::info!("the static list has {} servers now", config.known.members.len());
-            sink.listed(merge::STATIC, config.known);
+            tracing::info!("the static list now has {} servers", config.initial_list.members.len());
+            sink.update(merge::STATIC, config.initial_list);
         }
-        (Ok(Err(why)), _) => tracing::warn!("the configuration stays as it was: {why}"),
-        (Err(_), _) => tracing::warn!("the configuration stays as it was: reading it failed"),
+        (Ok(Err(error)), _) => tracing::warn!("the configuration stays as it was: {error}"),
+        (Err(_), _) => tracing::warn!("the configuration stays as it was: the task that reads it failed"),
     }
 }
--- a/crates/spurdrum/src/merge.rs
+++ b/crates/spurdrum/src/merge.rs
@@ -1,4 +1,4 @@
-//! Several sources of servers before one node: carries out what a [`Reconciler`] decides.
+//! Merges the lists of several sources into one list for the node: the shell of a [`Reconciler`].
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -10,87 +10,97 @@
 use spurdrum_sources::registry::shell::{RegistryClient, RegistryEvent, Shell};
 use spurdrum_sources::{List, Member, Timer};
 
-use crate::list::{self, Places};
+use crate::list::{self, ZonesAndKinds};
 
-/// Sources by their precedence.
+/// The index of the registry among the sources. A lower index takes precedence.
 pub const REGISTRY: usize = 0;
-/// See [`REGISTRY`].
+/// The index of the catalog, see [`REGISTRY`].
 pub const CATALOG: usize = 1;
-/// See [`REGISTRY`].
+/// The index of the static list, see [`REGISTRY`].
 pub const STATIC: usize = 2;
-const NAMES: [&str; 3] = ["the registry", "the catalog", "the static list"];
+/// The sources' names in the log, by index.
+const SOURCE_NAMES: [&str; 3] = ["the registry", "the catalog", "the static list"];
 
-/// Makes one list for a node.
-pub struct Merged {
+/// Applies the merged list of all sources to a node.
+pub struct MergedList {
     node: Rc<Node<Upstream>>,
-    places: Rc<Places>,
+    zones_and_kinds: Rc<ZonesAndKinds>,
     reconciler: RefCell<Reconciler>,
     timer: Timer,
 }
 
-impl Merged {
-    /// The list of a node, of which no source has told anything yet.
-    pub fn new(node: Rc<Node<Upstream>>, places: Rc<Places>, settings: Settings) -> Result<Rc<Self>, String> {
-        let reconciler = Reconciler::new(settings, NAMES.len(), unix_ms()?);
+impl MergedList {
+    /// Creates an empty merged list, before any source has reported.
+    pub fn new(
+        node: Rc<Node<Upstream>>,
+        zones_and_kinds: Rc<ZonesAndKinds>,
+        settings: Settings,
+    ) -> Result<Rc<Self>, String> {
+        let reconciler = Reconciler::new(settings, SOURCE_NAMES.len(), unix_ms()?);
         let reconciler = reconciler.map_err(|(key, why)| format!("`sources.merge.{key}`: {why}"))?;
-        Ok(Rc::new(Self { node, places, reconciler: RefCell::new(reconciler), timer: Timer::default() }))
+        Ok(Rc::new(Self {
+            node,
+            zones_and_kinds,
+            reconciler: RefCell::new(reconciler),
+            timer: Timer::default(),
+        }))
     }
 
-    /// A source tells a list, whole or of changes.
-    pub fn listed(&self, source: usize, list: List) {
+    /// Handles a list of a source, complete or with changes only.
+    pub fn update_list(&self, source: usize, list: List) {
         self.update(source, list.complete, list.members, Vec::new());
     }
 
     fn update(&self, source: usize, complete: bool, members: Vec<Member>, gone: Vec<String>) {
-        self.tell(Event::Update { source, complete, members, gone });
+        self.handle(Event::Update { source, complete, members, gone });
     }
 
-    /// Something has happened.
-    pub fn tell(&self, event: Event) {
+    /// Feeds an event to the reconciler and performs the resulting actions.
+    pub fn handle(&self, event: Event) {
         let mut actions = Vec::new();
         self.reconciler.borrow_mut().handle(self.timer.now(), event, &mut actions);
         for action in actions {
             match action {
                 Action::Suspect { source, before, now } => tracing::warn!(
-                    "{} had {before} servers and has {now} at once: it is doubted, and they stay",
-                    NAMES[source]
+                    "{} dropped from {before} to {now} servers at once: suspect, so the missing servers are kept",
+                    SOURCE_NAMES[source]
                 ),
-                Action::Trusted(source) => tracing::info!("{} is believed again", NAMES[source]),
+                Action::Trusted(source) => tracing::info!("{} is trusted again", SOURCE_NAMES[source]),
                 Action::Flapping(id, hold) => {
-                    tracing::warn!("server {id} comes and goes: nothing new for {} ms", hold.as_millis());
+                    tracing::warn!("server {id} appears and disappears repeatedly: its changes are held back for {} ms", hold.as_millis());
                 }
                 Action::Included { source, included } => tracing::info!(
                     "the servers of {} {}",
-                    NAMES[source],
+                    SOURCE_NAMES[source],
                     if included {
-                        "count again"
+                        "are used again"
                     } else {
-                        "do not count any more: it has been blind for long"
+                        "are no longer used: there has been no contact with it for too long"
                     }
                 ),
                 Action::Apply(members) => {
                     let list = List { revision: 0, complete: false, members };
-                    self.node.update_servers(list.complete, self.places.listed(&list));
+                    self.node.update_servers(list.complete, self.zones_and_kinds.to_servers(&list));
                 }
             }
         }
         self.timer.wake_no_later_than(self.reconciler.borrow().next_wake());
     }
 
-    /// Keeps time for as long as this is awaited.
-    pub async fn keep_time(self: Rc<Self>) {
+    /// Delivers the reconciler's timer ticks for as long as the node runs.
+    pub async fn run_timer(self: Rc<Self>) {
         loop {
-            self.tell(Event::Tick);
+            self.handle(Event::Tick);
             let wake = self.reconciler.borrow().next_wake();
             self.timer.sleep(wake).await;
         }
     }
 
-    /// Follows a registry for as long as this is awaited.
+    /// Follows a registry for as long as the node runs.
     pub async fn follow<W: RegistryClient>(self: Rc<Self>, registry: Rc<Shell<W>>, schema: CompiledSchema) {
         let mapper = RefCell::new(Mapper::new(schema));
-        let shown = Rc::clone(&registry);
-        let news = move |news| match news {
+        let status_of = Rc::clone(&registry);
+        let on_event = move |event| match event {
             RegistryEvent::Change(change) => {
                 let mapped = mapper.borrow_mut().map(&change);
                 for (key, fault) in mapped.errors {
@@ -99,29 +109,29 @@
                 self.update(REGISTRY, false, mapped.updated, mapped.gone);
             }
             RegistryEvent::FreshnessChanged { from, to, cause } => {
-                tracing::info!("the registry: {from} -> {to}, {cause}; {}", status(&shown));
-                self.tell(Event::Freshness { source: REGISTRY, freshness: to });
+                tracing::info!("the registry: {from} -> {to}, {cause}; {}", status(&status_of));
+                self.handle(Event::Freshness { source: REGISTRY, freshness: to });
             }
             RegistryEvent::Note(note) => tracing::warn!("the registry: {note}"),
         };
-        registry.follow(news).await;
+        registry.follow(on_event).await;
     }
 
-    /// What operators are shown of it.
+    /// Returns the state of the merged list as a text for operators.
     pub fn status(&self) -> String {
         let reconciler = self.reconciler.borrow();
-        let (standing, kept) = reconciler.source_counts(REGISTRY);
+        let (listed, kept) = reconciler.source_counts(REGISTRY);
         format!(
-            "servers {}, of the registry {standing}, kept in doubt {kept}, held back {}",
+            "servers {}, of the registry {listed}, kept in doubt {kept}, held back {}",
             reconciler.list().count(),
             reconciler.held_back()
         )
     }
 }
 
-/// The state of a registry's copy in one line, for operators.
+/// Returns the state of the local copy of a registry as one line for operators.
 pub fn status<W: RegistryClient>(registry: &Shell<W>) -> String {
-    let (view, age, revision, counts) = registry.status();
-    let (age, revision) = list::shown(age, revision);
-    format!("registry {view}, proved {age}, revision {revision}; {counts}")
+    let (freshness, age, revision, counts) = registry.status();
+    let (age, revision) = list::age_and_revision(age, revision);
+    format!("registry {freshness}, proved {age}, revision {revision}; {counts}")
 }
--- a/crates/spurdrum/src/operated.rs
+++ b/crates/spurdrum/src/operated.rs
@@ -1,4 +1,4 @@
-//! What operators are told of this process.
+//! The operators' calls for this process.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -7,17 +7,17 @@
 use spurdrum_http::Upstream;
 use spurdrum_ops::{AdminOperations, ServerCounts};
 
-/// This process as operators see it.
-pub struct Process {
-    /// What it counts.
+/// The state of this process that the admin endpoint exposes.
+pub struct NodeStatus {
+    /// The node, with its metrics and server counts.
     pub node: Rc<Node<Upstream>>,
-    /// Whether it has been told to end.
-    pub ending: Rc<Cell<bool>>,
+    /// Whether this process is shutting down.
+    pub shutting_down: Rc<Cell<bool>>,
 }
 
-impl AdminOperations for Process {
+impl AdminOperations for NodeStatus {
     fn ready(&self) -> Result<(), String> {
-        if self.ending.get() {
+        if self.shutting_down.get() {
             return Err("ending".into());
         }
         if self.node.server_counts().0 == 0 {
--- a/crates/spurdrum/src/registry.rs
+++ b/crates/spurdrum/src/registry.rs
@@ -1,5 +1,5 @@
-//! Tables `[sources.registry]` and `[sources.merge]`: a registry that is followed by watches, and how its servers and those
-//! of other sources become one list.
+//! Tables `[sources.registry]` and `[sources.merge]` of the settings file: a registry that the node follows,
+//! and how its servers and those of other sources are merged into one list.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -14,67 +14,70 @@
 
 use crate::set::{set, set_time};
 
-/// What makes no sense: the table, the key, and why.
-type Wrong = (&'static str, &'static str, &'static str);
+/// An invalid setting: the table, the key, and the reason.
+type ConfigError = (&'static str, &'static str, &'static str);
 
 const REGISTRY: &str = "sources.registry";
 
-/// Everything that following a registry takes.
-pub struct Registry {
-    /// Where it is, and what it speaks.
-    pub place: Place,
-    /// Where the user's password, or the token, is.
+/// The settings for following a registry.
+pub struct RegistryConfig {
+    /// The kind of registry and its address.
+    pub backend: RegistryBackend,
+    /// The file with the user's password (etcd) or the token (Consul).
     secret_file: Option<PathBuf>,
-    /// Where what TLS needs is: the authority, and the node's certificate with its key.
+    /// The files for TLS, if it is on.
     tls_files: Option<TlsFiles>,
-    /// How the node registers itself there, where it does.
-    pub register: Option<Register>,
-    /// How it is followed.
-    pub following: follower::Settings,
-    /// How keys and values map to servers.
+    /// The node's own registration, if it registers itself.
+    pub register: Option<RegistrationConfig>,
+    /// The settings of the follower.
+    pub follower_settings: follower::Settings,
+    /// The mapping of keys and values to servers.
     pub schema: CompiledSchema,
-    /// How its servers and those of other sources are made into one list.
-    pub merging: reconciler::Settings,
+    /// The settings for merging its servers with those of other sources.
+    pub merge_settings: reconciler::Settings,
 }
 
+/// The files for TLS.
 struct TlsFiles {
+    /// The certificate of the authority that signed the registry's certificate.
     ca: PathBuf,
+    /// The node's own certificate and its key.
     identity: Option<(PathBuf, PathBuf)>,
 }
 
-/// How a node registers itself.
-pub struct Register {
-    /// Its key.
+/// The registration of a node in a registry.
+pub struct RegistrationConfig {
+    /// The node's key in the registry.
     pub key: String,
-    /// Its value while it serves, and once it is to end.
+    /// The key's value while the node serves, and while it shuts down.
     pub values: [String; 2],
-    /// When, and for how long.
+    /// The lease's time to live and the time for draining.
     pub settings: registrar::Settings,
 }
 
-/// What a node is told of itself.
-pub struct Myself<'f> {
-    /// Its name.
+/// A node's settings about itself.
+pub struct NodeInfo<'f> {
+    /// The node's name.
     pub name: &'f str,
-    /// Where it listens.
+    /// The address on which the node listens for clients.
     pub listen: SocketAddr,
-    /// Where it is.
+    /// The node's zone.
     pub zone: &'f str,
-    /// Nodes, and its number among them.
+    /// The number of nodes.
     pub nodes: usize,
-    /// See `nodes`.
-    pub me: usize,
+    /// The node's index among them.
+    pub node_index: usize,
 }
 
-/// Where a registry is, and what it speaks.
-pub enum Place {
+/// A registry's kind and how to reach it.
+pub enum RegistryBackend {
     /// etcd v3.
     Etcd(Cluster),
-    /// Consul's health of a service.
+    /// The health endpoint of Consul for one service.
     Consul(Service),
 }
 
-/// What a registry speaks.
+/// The kind of a registry, which determines its protocol.
 #[derive(Clone, Copy, Default, Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum Kind {
@@ -131,21 +134,22 @@
 }
 
 impl RegisterTable {
-    fn read(&self, me: &Myself, endpoints: usize) -> Result<Register, Wrong> {
+    /// Validates the table for a registry with this many endpoints.
+    fn to_config(&self, node: &NodeInfo, endpoints: usize) -> Result<RegistrationConfig, ConfigError> {
         const TABLE: &str = "sources.registry.register";
         let mut settings = registrar::Settings { endpoints, ..Default::default() };
         set_time(&mut settings.ttl, self.ttl_ms);
         set_time(&mut settings.drain, self.drain_ms);
-        settings.validate().map_err(|(key, why)| (TABLE, key, why))?;
-        let address = self.address.unwrap_or(me.listen);
+        settings.validate().map_err(|(key, reason)| (TABLE, key, reason))?;
+        let address = self.address.unwrap_or(node.listen);
         if address.ip().is_unspecified() || address.port() == 0 {
             return Err((TABLE, "address", "is none that others could use"));
         }
         let value = |phase| {
-            serde_json::json!({"address": address.to_string(), "zone": me.zone, "phase": phase}).to_string()
+            serde_json::json!({"address": address.to_string(), "zone": node.zone, "phase": phase}).to_string()
         };
-        let key = self.key.clone().unwrap_or_else(|| format!("/spurdrum/nodes/{}", me.name));
-        Ok(Register { key, values: [value("active"), value("leaving")], settings })
+        let key = self.key.clone().unwrap_or_else(|| format!("/spurdrum/nodes/{}", node.name));
+        Ok(RegistrationConfig { key, values: [value("active"), value("leaving")], settings })
     }
 }
 
@@ -166,9 +170,13 @@
 }
 
 impl RegistryTable {
-    /// What it says, for one of so many nodes.
-    pub fn read(&self, merge: Option<&MergeTable>, me: &Myself) -> Result<Registry, Wrong> {
-        let of = |(key, why)| (REGISTRY, key, why);
+    /// Validates the table, together with `[sources.merge]`, for this node.
+    pub fn to_config(
+        &self,
+        merge: Option<&MergeTable>,
+        node: &NodeInfo,
+    ) -> Result<RegistryConfig, ConfigError> {
+        let registry_error = |(key, reason)| (REGISTRY, key, reason);
         let mut schema = match self.kind {
             Kind::Etcd => Schema::default(),
             Kind::Consul => Schema::consul(),
@@ -178,7 +186,7 @@
         }
         schema.fields.extend(self.fields.clone().unwrap_or_default());
         schema.value = self.value.unwrap_or_default();
-        let schema = schema.compile().map_err(of)?;
+        let schema = schema.compile().map_err(registry_error)?;
         let is_etcd = matches!(self.kind, Kind::Etcd);
         if is_etcd && schema.prefix().is_empty() {
             return Err((REGISTRY, "key", "begins with a part: the whole registry would be read"));
@@ -214,35 +222,35 @@
                 return Err((REGISTRY, "ca_file", "goes with `server_name`, and `cert_file` with `key_file`"))
             }
         };
-        let mut following = follower::Settings {
-            nodes: me.nodes,
-            node_index: me.me,
+        let mut follower_settings = follower::Settings {
+            nodes: node.nodes,
+            node_index: node.node_index,
             allow_stale: self.stale,
             ..Default::default()
         };
-        following.endpoints = self.endpoints.len();
+        follower_settings.endpoints = self.endpoints.len();
         if !is_etcd {
-            following.interface = follower::Interface::BlockingQueries;
+            follower_settings.interface = follower::Interface::BlockingQueries;
         }
-        set_time(&mut following.min_wait, self.wait_least_ms);
-        set_time(&mut following.max_wait, self.wait_most_ms);
-        set(&mut following.page_size, self.page);
-        set(&mut following.max_keys, self.keys);
-        set(&mut following.max_value_bytes, self.value_bytes);
-        set(&mut following.max_change_bytes, self.change_bytes);
-        set_time(&mut following.probe_interval, self.probe_ms);
-        set(&mut following.probes_per_s, self.probes_per_s);
-        set_time(&mut following.overdue_after, self.patience_ms);
-        set_time(&mut following.silence_timeout, self.give_up_ms);
-        set_time(&mut following.revision_check_interval, self.confirm_ms);
-        set_time(&mut following.max_lag, self.lag_ms);
-        set_time(&mut following.stale_after, self.blind_after_ms);
-        set_time(&mut following.min_retry_delay, self.retry_least_ms);
-        set_time(&mut following.max_retry_delay, self.retry_most_ms);
-        set_time(&mut following.spread_per_node, self.spread_ms);
-        following.validate().map_err(of)?;
+        set_time(&mut follower_settings.min_wait, self.wait_least_ms);
+        set_time(&mut follower_settings.max_wait, self.wait_most_ms);
+        set(&mut follower_settings.page_size, self.page);
+        set(&mut follower_settings.max_keys, self.keys);
+        set(&mut follower_settings.max_value_bytes, self.value_bytes);
+        set(&mut follower_settings.max_change_bytes, self.change_bytes);
+        set_time(&mut follower_settings.probe_interval, self.probe_ms);
+        set(&mut follower_settings.probes_per_s, self.probes_per_s);
+        set_time(&mut follower_settings.overdue_after, self.patience_ms);
+        set_time(&mut follower_settings.silence_timeout, self.give_up_ms);
+        set_time(&mut follower_settings.revision_check_interval, self.confirm_ms);
+        set_time(&mut follower_settings.max_lag, self.lag_ms);
+        set_time(&mut follower_settings.stale_after, self.blind_after_ms);
+        set_time(&mut follower_settings.min_retry_delay, self.retry_least_ms);
+        set_time(&mut follower_settings.max_retry_delay, self.retry_most_ms);
+        set_time(&mut follower_settings.spread_per_node, self.spread_ms);
+        follower_settings.validate().map_err(registry_error)?;
         let tls = tls_files.as_ref().map(|_| Tls { server_name: self.server_name.clone(), ..Tls::default() });
-        let place = match &self.service {
+        let backend = match &self.service {
             None => {
                 let cluster = Cluster {
                     endpoints: self.endpoints.clone(),
@@ -250,12 +258,12 @@
                     credentials: self.user.clone().map(|user| (user, String::new())),
                     tls,
                 };
-                cluster.validate().map_err(of)?;
-                Place::Etcd(cluster)
+                cluster.validate().map_err(registry_error)?;
+                RegistryBackend::Etcd(cluster)
             }
             Some(name) => {
-                let sound = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-                if name.is_empty() || !name.chars().all(sound) {
+                let is_name_char = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
+                if name.is_empty() || !name.chars().all(is_name_char) {
                     return Err((REGISTRY, "service", "has a letter that no name of a service has"));
                 }
                 let scheme = if tls.is_some() { "https://" } else { "http://" };
@@ -266,20 +274,29 @@
                     "endpoints",
                     "has one that is not http://address:port, or https:// with `ca_file`",
                 ))?;
-                Place::Consul(Service { endpoints, name: name.clone(), token: None, tls })
+                RegistryBackend::Consul(Service { endpoints, name: name.clone(), token: None, tls })
             }
         };
-        let merging = merge.map(MergeTable::read).unwrap_or_default();
-        merging.validate().map_err(|(key, why)| ("sources.merge", key, why))?;
+        let merge_settings = merge.map(MergeTable::to_settings).unwrap_or_default();
+        merge_settings.validate().map_err(|(key, reason)| ("sources.merge", key, reason))?;
         let secret_file = self.password_file.clone().or_else(|| self.token_file.clone());
-        let register = self.register.as_ref().map(|table| table.read(me, self.endpoints.len()));
+        let register = self.register.as_ref().map(|table| table.to_config(node, self.endpoints.len()));
         let register = register.transpose()?;
-        Ok(Registry { place, register, secret_file, tls_files, following, schema, merging })
+        Ok(RegistryConfig {
+            backend,
+            register,
+            secret_file,
+            tls_files,
+            follower_settings,
+            schema,
+            merge_settings,
+        })
     }
 }
 
 impl MergeTable {
-    fn read(&self) -> reconciler::Settings {
+    /// Returns the reconciler's settings; absent keys keep their defaults.
+    fn to_settings(&self) -> reconciler::Settings {
         let mut settings = reconciler::Settings::default();
         set(&mut settings.combine, self.combine);
         set(&mut settings.suspect_below, self.floor);
@@ -295,16 +312,16 @@
     }
 }
 
-impl Registry {
-    /// Reads what stands in files of its own: password or token, certificates and keys.
+impl RegistryConfig {
+    /// Reads the settings that are in files of their own: the password or token, certificates and keys.
     pub fn read_files(&mut self) -> Result<(), String> {
         let read = |key: &str, path: &PathBuf| {
             std::fs::read(path)
                 .map_err(|error| format!("`{REGISTRY}.{key}`: {} cannot be read: {error}", path.display()))
         };
-        let tls = match &mut self.place {
-            Place::Etcd(cluster) => &mut cluster.tls,
-            Place::Consul(service) => &mut service.tls,
+        let tls = match &mut self.backend {
+            RegistryBackend::Etcd(cluster) => &mut cluster.tls,
+            RegistryBackend::Consul(service) => &mut service.tls,
         };
         if let (Some(files), Some(tls)) = (&self.tls_files, tls) {
             tls.ca = read("ca_file", &files.ca)?;
@@ -313,17 +330,18 @@
             }
         }
         let Some(path) = &self.secret_file else { return Ok(()) };
-        let key = if matches!(self.place, Place::Etcd(_)) { "password_file" } else { "token_file" };
+        let key =
+            if matches!(self.backend, RegistryBackend::Etcd(_)) { "password_file" } else { "token_file" };
         let text =
             String::from_utf8(read(key, path)?).map_err(|_| format!("`{REGISTRY}.{key}`: is no text"))?;
         let secret = text.trim_end_matches(['\r', '\n']).to_owned();
-        match &mut self.place {
-            Place::Etcd(cluster) => {
+        match &mut self.backend {
+            RegistryBackend::Etcd(cluster) => {
                 if let Some((_, password)) = &mut cluster.credentials {
                     *password = secret;
                 }
             }
-            Place::Consul(service) => service.token = Some(secret),
+            RegistryBackend::Consul(service) => service.token = Some(secret),
         }
         Ok(())
     }
--- a/crates/spurdrum/src/replace.rs
+++ b/crates/spurdrum/src/replace.rs
@@ -1,4 +1,5 @@
-//! Replacing the process: takes over from the process that runs, and hands over to the next one.
+//! Replacement of this process: takes over from the running process at the start, and hands over to an
+//! incoming one later.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -16,30 +17,33 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 
-/// The state that a process hands to the next one. Its field names are part of the handover format.
+/// The state that the outgoing process hands over. The serialized names of the fields are part of the
+/// handover format: a process of one version hands over to another version.
 #[derive(Serialize, Deserialize)]
-pub struct HandedState {
-    /// The list of servers, as received.
+pub struct HandedOverState {
+    /// The latest list of servers, as received.
     pub list: List,
-    /// Whether that list has not been confirmed since its process started.
+    /// Whether discovery has not confirmed that list since the outgoing process started.
     #[serde(default)]
     pub starting: bool,
     /// The ids of the servers in `learned`.
     ids: Vec<String>,
+    /// What the balancer has learned about servers, classes and tenants.
     learned: LearnedState,
-    /// The classes and tenants whose positions `learned` refers to.
+    /// The names of the classes and tenants, to which `learned` refers by index.
     classes: Vec<String>,
     tenants: Vec<String>,
 }
 
-impl HandedState {
-    /// Reads the state that came with a takeover; `None` if it cannot be read.
+impl HandedOverState {
+    /// Deserializes the state of a takeover. Returns `None` if that fails.
     pub fn from_takeover(takeover: &Takeover) -> Option<Self> {
-        // A process of another version may hand over a different state.
+        // Another version may hand over a state of a different form.
         Self::deserialize(&takeover.state).ok()
     }
 
-    /// Applies what was learned to this process's decisions.
+    /// Imports the learned state into this process's balancer. Entries that go by the index of a class or
+    /// tenant are left out if the names differ.
     pub fn apply(mut self, node: &Rc<Node<Upstream>>, names: &ConfigNames) {
         if self.classes != names.classes {
             self.learned.classes.clear();
@@ -51,13 +55,13 @@
     }
 }
 
-/// Where the state for the next process is taken from.
+/// The sources of the state that this process hands over.
 pub struct StateSource {
-    /// The node, with what its decisions have learned.
+    /// The node, whose learned state is exported.
     pub node: Rc<Node<Upstream>>,
-    /// The list of servers, as received.
+    /// The latest list of servers, as received.
     pub list: Rc<RefCell<List>>,
-    /// The classes and tenants in force.
+    /// The names of the current classes and tenants.
     pub names: SharedConfigNames,
 }
 
@@ -68,54 +72,55 @@
         let (classes, tenants) = (names.classes.clone(), names.tenants.clone());
         let list = self.list.borrow().clone();
         let starting = self.node.is_starting();
-        serde_json::to_value(HandedState { list, starting, ids, learned, classes, tenants })
+        serde_json::to_value(HandedOverState { list, starting, ids, learned, classes, tenants })
             .unwrap_or_default()
     }
 }
 
-/// Identifies this process's node to the other process.
+/// Returns the identity of this process's node, as the messages of a handover carry it.
 pub fn identity(name: &str, listen: SocketAddr) -> Identity {
     Identity { format: FORMAT, name: name.to_owned(), listen: listen.to_string(), accepts_requests: true }
 }
 
-/// Takes over from the process that serves this address, if there is one that grants it.
+/// Takes over from the process that serves this address. Returns `None` if there is none or if it declines.
 pub async fn take_over(name: &str, listen: SocketAddr) -> Option<Takeover> {
     let granted = Takeover::request(&path(listen)?, identity(name, listen)).await;
-    granted.inspect_err(|why| tracing::info!("this process takes over from none: {why}")).ok()
+    granted.inspect_err(|reason| tracing::info!("starting without a takeover: {reason}")).ok()
 }
 
-/// Follows the outgoing process until it has gone: its connections go to the front, and its share of the descriptors to
-/// this process.
+/// Follows the outgoing process until it has gone. Returns the channel of the connections that it hands over.
+/// This process may use the part of the file descriptor budget that the outgoing process no longer keeps.
 pub fn follow(takeover: Option<Takeover>, connections: &Rc<Connections>) -> HandedOverConnections {
-    let (pass, passed) = mpsc::unbounded_channel();
-    let Some(takeover) = takeover else { return passed };
-    let (all, connections) = (connections.descriptor_usage().1, Rc::clone(connections));
-    let mut share = takeover.share;
-    let keep = move |share: usize| {
-        connections.handle_event(Event::DescriptorShare { max: all.saturating_sub(share) });
+    let (connection_sender, connection_receiver) = mpsc::unbounded_channel();
+    let Some(takeover) = takeover else { return connection_receiver };
+    let (budget, connections) = (connections.descriptor_usage().1, Rc::clone(connections));
+    let mut outgoing_share = takeover.share;
+    let apply_share = move |outgoing_share: usize| {
+        connections.handle_event(Event::DescriptorShare { max: budget.saturating_sub(outgoing_share) });
     };
-    keep(share);
+    apply_share(outgoing_share);
     tokio::task::spawn_local(takeover.follow(move |event| match event {
-        TakeoverEvent::OutgoingShare(kept) => {
-            share = kept;
-            keep(share);
+        TakeoverEvent::OutgoingShare(share) => {
+            outgoing_share = share;
+            apply_share(outgoing_share);
         }
         TakeoverEvent::Connection(connection) => {
-            // The connection's descriptor moves to this process's share.
-            share = share.saturating_sub(1);
-            keep(share);
-            // Fails if this process is ending as well.
-            let _ = pass.send(connection);
+            // The connection's file descriptor moves from the outgoing process's share to this process's.
+            outgoing_share = outgoing_share.saturating_sub(1);
+            apply_share(outgoing_share);
+            // Fails if this process is shutting down as well.
+            let _ = connection_sender.send(connection);
         }
         TakeoverEvent::OutgoingGone => {
-            tracing::info!("the process that was here before has gone");
-            keep(0);
+            tracing::info!("the outgoing process has gone");
+            apply_share(0);
         }
     }));
-    passed
+    connection_receiver
 }
 
-/// Starts accepting takeover requests.
+/// Starts accepting takeover requests. Returns `None` if `$TMPDIR` is not set or the Unix socket cannot be
+/// bound.
 pub fn offer(
     name: &str,
     listen: SocketAddr,
@@ -126,24 +131,33 @@
     use std::os::fd::AsFd;
     let path = path(listen)?;
     let listener = listener.as_fd().try_clone_to_owned().map(Into::into);
-    let all = connections.descriptor_usage().1;
+    let total = connections.descriptor_usage().1;
     let budget =
-        SharedBudget { connections: Rc::clone(connections), all, kept: Cell::new(all), state_source };
+        SharedBudget { connections: Rc::clone(connections), total, share: Cell::new(total), state_source };
     let offer = listener.and_then(|listener| Offer::new(path, identity(name, listen), listener, budget));
-    offer.inspect_err(|error| tracing::warn!("this process cannot be replaced unnoticed: {error}")).ok()
+    offer
+        .inspect_err(|error| {
+            tracing::warn!(
+                "cannot accept takeover requests; replacing this process will interrupt clients: {error}"
+            )
+        })
+        .ok()
 }
 
-/// This process's share of the node's descriptor budget.
+/// The node's file descriptor budget, of which this process uses a share while an incoming process runs.
 struct SharedBudget {
     connections: Rc<Connections>,
-    all: usize,
-    kept: Cell<usize>,
+    /// The whole budget.
+    total: usize,
+    /// The share that this process may use now.
+    share: Cell<usize>,
     state_source: StateSource,
 }
 
 impl SharedBudget {
-    fn keep(&self, max: usize) -> usize {
-        self.kept.set(max);
+    /// Limits this process to `max` file descriptors. Returns `max`.
+    fn set_share(&self, max: usize) -> usize {
+        self.share.set(max);
         self.connections.handle_event(Event::DescriptorShare { max });
         max
     }
@@ -151,23 +165,23 @@
 
 impl BudgetOwner for SharedBudget {
     fn split(&self) -> (usize, serde_json::Value) {
-        // Half of the budget, or what is already in use.
+        // Half of the budget, or what is in use if that is more.
         let used = self.connections.descriptor_usage().0;
-        (self.keep(used.max(self.all / 2)), self.state_source.snapshot())
+        (self.set_share(used.max(self.total / 2)), self.state_source.snapshot())
     }
 
     fn shrink_to_use(&self) -> usize {
-        // Each open client connection may have a request on its way, which needs a connection to a server.
+        // Each open client connection may carry a request, which may need a connection to a server as well.
         let needed = self.connections.descriptor_usage().0 + self.connections.open_connections();
-        self.keep(needed.min(self.kept.get()))
+        self.set_share(needed.min(self.share.get()))
     }
 
     fn restore(&self) {
-        self.keep(self.all);
+        self.set_share(self.total);
     }
 }
 
-/// The incoming process, as seen by the front.
+/// The incoming process as the front uses it; forwards to the [`Offer`].
 pub struct Incoming(pub Rc<Offer>);
 
 impl IncomingProcess for Incoming {
--- a/crates/spurdrum/src/set.rs
+++ b/crates/spurdrum/src/set.rs
@@ -1,15 +1,15 @@
-//! What a file may say in place of a default.
+//! Helpers that override default settings with values from the settings file.
 
 use std::time::Duration;
 
-/// Sets what the file says; what it leaves out stays as it is.
-pub fn set<T: Copy>(to: &mut T, from: Option<T>) {
-    if let Some(from) = from {
-        *to = from;
+/// Sets `setting` to the file's value, if there is one.
+pub fn set<T: Copy>(setting: &mut T, value: Option<T>) {
+    if let Some(value) = value {
+        *setting = value;
     }
 }
 
-/// As [`set`], of milliseconds.
-pub fn set_time(to: &mut Duration, from: Option<u64>) {
-    set(to, from.map(Duration::from_millis));
+/// Like [`set`], for a duration that the file gives in milliseconds.
+pub fn set_time(setting: &mut Duration, millis: Option<u64>) {
+    set(setting, millis.map(Duration::from_millis));
 }
