--- a/crates/spurdrum/src/affinity.rs
+++ b/crates/spurdrum/src/affinity.rs
@@ -285,7 +285,7 @@
     fn not_written(&mut self, rows: Vec<Row>) {
         let write = |row: Row| match row.table {
             RUNS => Some(Write::Run(row.key, row.value.as_deref().and_then(record::run_from_bytes))),
-            _ => u32::try_from(row.key).ok().map(|at| Write::Place(at, None)),
+            _ => u32::try_from(row.key).ok().map(|index| Write::Place(index, None)),
         };
         self.affinity.borrow_mut().not_written(rows.into_iter().filter_map(write).collect());
     }
@@ -299,10 +299,10 @@
                     Some((id, started_at)) => drop(affinity.restore_run(now, key, &id, started_at)),
                     None => affinity.not_written(vec![Write::Run(key, None)]),
                 }
-            } else if let Ok(at) = u32::try_from(key) {
+            } else if let Ok(index) = u32::try_from(key) {
                 match Stored::from_bytes(&value) {
-                    Some(stored) => affinity.restore_place(now, at, &stored),
-                    None => affinity.not_written(vec![Write::Place(at, None)]),
+                    Some(stored) => affinity.restore_place(now, index, &stored),
+                    None => affinity.not_written(vec![Write::Place(index, None)]),
                 }
             }
         }
