--- a/crates/spurdrum-http/src/chunks.rs
+++ b/crates/spurdrum-http/src/chunks.rs
@@ -1,7 +1,8 @@
-//! Where a chunked body ends: hyper knows, but does not say, and the next head is looked at as it came.
+//! Finds the end of a chunked body. hyper knows it but does not expose it, and this crate inspects the raw
+//! bytes of the next head.
 
-/// Digits that a chunk's size may have: 15 fit any length.
-const DIGITS_MOST: u8 = 15;
+/// The most digits accepted in a chunk size: 15 hexadecimal digits are enough for any length.
+const MAX_SIZE_DIGITS: u8 = 15;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
@@ -16,11 +17,11 @@
         size: u64,
     },
     Data {
-        left: u64,
+        remaining: u64,
     },
     DataCr,
     DataLf,
-    /// Whether the line has nothing on it yet.
+    /// `empty`: the line has no characters so far.
     Trailer {
         empty: bool,
     },
@@ -28,39 +29,44 @@
         empty: bool,
     },
     Done,
-    Unsound,
+    Invalid,
 }
 
-/// Follows a chunked body as it comes, in any pieces (RFC 9112, 7.1).
+/// Tracks the framing of a chunked body (RFC 9112, section 7.1) that arrives in pieces of any size.
 #[derive(Clone, Copy, Debug)]
-pub struct Chunks(State);
+pub struct ChunkedBodyTracker(State);
 
-impl Default for Chunks {
+impl Default for ChunkedBodyTracker {
     fn default() -> Self {
         Self(State::Size { size: 0, digits: 0 })
     }
 }
 
-impl Chunks {
-    /// How many of these bytes belong to the body: all, until it is done.
-    pub fn take(&mut self, bytes: &[u8]) -> usize {
-        let mut at = 0;
-        while at < bytes.len() && self.0 != State::Done {
-            if let State::Data { left } = self.0 {
-                let part = left.min((bytes.len() - at) as u64);
-                at += part as usize;
-                self.0 = if part == left { State::DataCr } else { State::Data { left: left - part } };
+impl ChunkedBodyTracker {
+    /// Consumes the bytes that belong to the body and returns their number: all of `bytes`, unless the body
+    /// ends within them.
+    pub fn consume(&mut self, bytes: &[u8]) -> usize {
+        let mut consumed = 0;
+        while consumed < bytes.len() && self.0 != State::Done {
+            if let State::Data { remaining } = self.0 {
+                let taken = remaining.min((bytes.len() - consumed) as u64);
+                consumed += taken as usize;
+                self.0 = if taken == remaining {
+                    State::DataCr
+                } else {
+                    State::Data { remaining: remaining - taken }
+                };
             } else {
-                self.0 = Self::next(self.0, bytes[at]);
-                at += 1;
+                self.0 = Self::next(self.0, bytes[consumed]);
+                consumed += 1;
             }
         }
-        at
+        consumed
     }
 
     fn next(state: State, byte: u8) -> State {
         match (state, byte) {
-            (State::Size { size, digits }, _) if byte.is_ascii_hexdigit() && digits < DIGITS_MOST => {
+            (State::Size { size, digits }, _) if byte.is_ascii_hexdigit() && digits < MAX_SIZE_DIGITS => {
                 let digit = char::from(byte).to_digit(16).map_or(0, u64::from);
                 State::Size { size: size * 16 + digit, digits: digits + 1 }
             }
@@ -69,18 +75,18 @@
             (State::Extension { size }, b'\r') => State::SizeEnd { size },
             (State::Extension { size }, _) if byte != b'\n' => State::Extension { size },
             (State::SizeEnd { size: 0 }, b'\n') => State::Trailer { empty: true },
-            (State::SizeEnd { size }, b'\n') => State::Data { left: size },
+            (State::SizeEnd { size }, b'\n') => State::Data { remaining: size },
             (State::DataCr, b'\r') => State::DataLf,
             (State::DataLf, b'\n') => State::Size { size: 0, digits: 0 },
             (State::Trailer { empty }, b'\r') => State::TrailerEnd { empty },
             (State::Trailer { .. }, _) if byte != b'\n' => State::Trailer { empty: false },
             (State::TrailerEnd { empty: true }, b'\n') => State::Done,
             (State::TrailerEnd { empty: false }, b'\n') => State::Trailer { empty: true },
-            _ => State::Unsound,
+            _ => State::Invalid,
         }
     }
 
-    /// Whether all of it has come.
+    /// Returns whether the whole body has been received.
     pub fn is_done(&self) -> bool {
         self.0 == State::Done
     }
@@ -108,37 +114,38 @@
     proptest! {
         #![proptest_config(ProptestConfig { cases: 256, failure_persistence: None, ..ProptestConfig::default() })]
 
-        /// However it is cut into chunks, and the chunks into pieces: what belongs to the body is all of it and no more.
+        /// The tracker consumes exactly the encoded body, whatever the chunk sizes and however the bytes are
+        /// split on arrival.
         #[test]
-        fn a_body_ends_where_it_ends(
+        fn the_end_of_a_body_is_found(
             body in prop::collection::vec(any::<u8>(), 0..400),
             size in 1_usize..90,
             piece in 1_usize..40,
             extension in prop::sample::select(vec!["", ";a=b", " ", ";q=\"x y\""]),
             trailers in prop::sample::select(vec![&[][..], &["x-a: 1"], &["x-a: 1", "x-b: 2"]]),
-            behind in prop::collection::vec(any::<u8>(), 0..50),
+            next_request in prop::collection::vec(any::<u8>(), 0..50),
         ) {
-            let text = encode(&body, size, extension, trailers);
-            let all = [&text[..], &behind].concat();
-            let (mut chunks, mut taken) = (Chunks::default(), 0);
+            let encoded = encode(&body, size, extension, trailers);
+            let all = [&encoded[..], &next_request].concat();
+            let (mut tracker, mut consumed) = (ChunkedBodyTracker::default(), 0);
             for piece in all.chunks(piece) {
-                prop_assert_eq!(chunks.is_done(), taken == text.len());
-                taken += chunks.take(piece);
+                prop_assert_eq!(tracker.is_done(), consumed == encoded.len());
+                consumed += tracker.consume(piece);
             }
-            prop_assert_eq!(taken, text.len());
-            prop_assert!(chunks.is_done());
+            prop_assert_eq!(consumed, encoded.len());
+            prop_assert!(tracker.is_done());
         }
 
-        /// Nothing is done that was cut short, and no bytes end in a panic.
+        /// No input makes the tracker panic or consume more bytes than it was given.
         #[test]
-        fn any_bytes_are_survived(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
-            let mut chunks = Chunks::default();
-            prop_assert!(chunks.take(&bytes) <= bytes.len());
+        fn arbitrary_bytes_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+            let mut tracker = ChunkedBodyTracker::default();
+            prop_assert!(tracker.consume(&bytes) <= bytes.len());
         }
     }
 
     #[test]
-    fn what_others_might_read_otherwise_never_ends() {
+    fn ambiguous_framing_is_never_complete() {
         for text in [
             &b"4\nwork\r\n0\r\n\r\n"[..],
             b"4\r\nwork0\r\n\r\n",
@@ -149,9 +156,9 @@
             b"4\r\nworking\r\n0\r\n\r\n",
             b"0\r\nx-a: 1\n\r\n",
         ] {
-            let mut chunks = Chunks::default();
-            chunks.take(text);
-            assert!(!chunks.is_done(), "{}", String::from_utf8_lossy(text));
+            let mut tracker = ChunkedBodyTracker::default();
+            tracker.consume(text);
+            assert!(!tracker.is_done(), "{}", String::from_utf8_lossy(text));
         }
     }
 }
--- a/crates/spurdrum-http/src/client.rs
+++ b/crates/spurdrum-http/src/client.rs
@@ -1,4 +1,4 @@
-//! One client's socket: what comes and goes on it, and the answers that are written to it.
+//! The socket of a client: the bytes received on it, and the responses written to it.
 
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
@@ -17,145 +17,154 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, Instant};
 
-use crate::chunks::Chunks;
+use crate::chunks::ChunkedBodyTracker;
 use crate::socket;
 use crate::stream::{self, ResponseBody};
 
-/// Fields of a head, as hyper limits them.
-pub const FIELDS_MOST: usize = 100;
-
-/// So much is read behind a request that waits for its answer, to see whether its client is still there.
-const UNASKED_MOST: usize = 16 * 1024;
-/// In pieces of this size.
-const READ_AT_ONCE: usize = 4 * 1024;
-/// Where more has come than that, the event loop is asked this often whether the client has left.
-const LOOK: Duration = Duration::from_millis(25);
-/// The system may tell data to be older than it is by as much.
-const SYSTEM_TICK: Duration = Duration::from_millis(10);
-
-/// A client's socket, with what hyper has read of the head that is coming. hyper drops fields that contradict
-/// others before a request is seen, so the head is looked at as it came.
+/// The most header fields of a request, the same as hyper's limit.
+pub const MAX_HEADERS: usize = 100;
+
+/// The most bytes that are read behind a pending request to find out whether its client is still connected.
+const MAX_PREFETCHED: usize = 16 * 1024;
+/// The size of the pieces in which these bytes are read.
+const READ_CHUNK_BYTES: usize = 4 * 1024;
+/// If more than that has arrived, the event loop is asked at this interval whether the client has closed the
+/// connection.
+const DEPARTURE_CHECK_INTERVAL: Duration = Duration::from_millis(25);
+/// The system may report data as older than it is by this much.
+const KERNEL_TICK: Duration = Duration::from_millis(10);
+
+/// The socket of a client, and the bytes of the next head that hyper has read. hyper drops contradicting
+/// header fields before it passes a request on, so the head is inspected in its raw form.
 pub struct Socket {
     /// The socket itself.
     pub stream: TcpStream,
-    /// Its place among the connections.
-    pub seat: Rc<ConnectionPermit>,
-    /// What of the last body is still to come.
-    body: Cell<Left>,
-    ahead: RefCell<Vec<u8>>,
-    /// What has been read of the socket that hyper has not asked for yet.
-    unasked: RefCell<BytesMut>,
-    /// How long the last bytes that were read had lain in the socket.
-    unread_for: Cell<Duration>,
-    /// A request that is to be served by another process, as it is to read it.
-    given_back: RefCell<Option<Vec<u8>>>,
-    /// Whether a request has been taken whose answer is not there yet.
-    pub owes: Cell<bool>,
-    /// Whether an answer has been begun and not all written.
-    answering: Cell<bool>,
-    /// Whether hyper has all of the answer.
-    given: Cell<bool>,
+    /// The permit of the connection.
+    pub permit: Rc<ConnectionPermit>,
+    /// The part of the current body that has not been received yet.
+    remaining_body: Cell<RemainingBody>,
+    read_ahead: RefCell<Vec<u8>>,
+    /// Bytes that were read from the socket before hyper asked for them.
+    prefetched: RefCell<BytesMut>,
+    /// How long the bytes that were read last had been waiting in the socket.
+    time_in_socket: Cell<Duration>,
+    /// A request that another process is to serve, in the form in which that process reads it.
+    handed_over_request: RefCell<Option<Vec<u8>>>,
+    /// Whether a request has been accepted whose response is not available yet.
+    pub awaiting_response: Cell<bool>,
+    /// Whether a response has been started and is not fully written.
+    writing_response: Cell<bool>,
+    /// Whether hyper has been given the whole response.
+    hyper_has_response: Cell<bool>,
 }
 
-/// What of a body is still to come.
+/// The part of a body that has not been received yet.
 #[derive(Clone, Copy)]
-enum Left {
+enum RemainingBody {
     Length(u64),
-    Chunks(Chunks),
+    Chunked(ChunkedBodyTracker),
 }
 
-/// What a head says of its body.
+/// How the head of a request delimits its body.
 pub enum Framing {
-    /// So many bytes.
+    /// A body of this many bytes.
     Length(u64),
-    /// Chunks.
+    /// A chunked body.
     Chunked,
-    /// It contradicts itself.
-    Unsound,
+    /// The header fields contradict each other.
+    Invalid,
 }
 
 impl Socket {
-    /// Nothing has come yet.
-    pub fn new(stream: TcpStream, seat: Rc<ConnectionPermit>) -> Self {
+    /// Creates the socket of a connection from which nothing has been read.
+    pub fn new(stream: TcpStream, permit: Rc<ConnectionPermit>) -> Self {
         Self {
             stream,
-            seat,
-            body: Cell::new(Left::Length(0)),
-            ahead: RefCell::default(),
-            unasked: RefCell::default(),
-            unread_for: Cell::default(),
-            given_back: RefCell::default(),
-            owes: Cell::new(false),
-            answering: Cell::new(false),
-            given: Cell::new(false),
+            permit,
+            remaining_body: Cell::new(RemainingBody::Length(0)),
+            read_ahead: RefCell::default(),
+            prefetched: RefCell::default(),
+            time_in_socket: Cell::default(),
+            handed_over_request: RefCell::default(),
+            awaiting_response: Cell::new(false),
+            writing_response: Cell::new(false),
+            hyper_has_response: Cell::new(false),
         }
     }
 
-    /// These bytes have been read from it already.
-    pub fn with_read(self, read: Vec<u8>) -> Self {
-        Self { unasked: RefCell::new(BytesMut::from(&read[..])), ..self }
+    /// Adds bytes that have already been read from the connection.
+    pub fn with_already_read(self, already_read: Vec<u8>) -> Self {
+        Self { prefetched: RefCell::new(BytesMut::from(&already_read[..])), ..self }
     }
 
-    /// The present request is not answered here: these bytes say the same. Its connection is to be passed on.
-    pub fn give_back(&self, request: Vec<u8>) {
-        self.given_back.replace(Some(request));
-        self.seat.command_ready.notify_one();
+    /// Marks the current request as not answered here; `request` is its serialized form. The connection is to
+    /// be handed over.
+    pub fn set_handed_over_request(&self, request: Vec<u8>) {
+        self.handed_over_request.replace(Some(request));
+        self.permit.command_ready.notify_one();
     }
 
-    /// Whether the present request has been given back.
-    pub fn has_given_back(&self) -> bool {
-        self.given_back.borrow().is_some()
+    /// Returns whether the current request is to be served by another process.
+    pub fn has_handed_over_request(&self) -> bool {
+        self.handed_over_request.borrow().is_some()
     }
 
-    /// What another process is to read before the socket itself: a request that was given back, and what came behind it.
-    pub fn take_read(&self) -> Vec<u8> {
-        let mut read = self.given_back.take().unwrap_or_default();
-        read.append(&mut self.ahead.borrow_mut());
-        read.extend_from_slice(&self.unasked.take());
-        read
+    /// Takes the bytes that another process has to read before the socket itself: a request that was not
+    /// served here, and everything received after it.
+    pub fn take_unserved_bytes(&self) -> Vec<u8> {
+        let mut bytes = self.handed_over_request.take().unwrap_or_default();
+        bytes.append(&mut self.read_ahead.borrow_mut());
+        bytes.extend_from_slice(&self.prefetched.take());
+        bytes
     }
 
-    /// Whether bytes beyond the present request have been read.
-    pub fn has_ahead(&self) -> bool {
-        !self.ahead.borrow().is_empty() || !self.unasked.borrow().is_empty()
+    /// Returns whether bytes beyond the current request have been read.
+    pub fn has_read_ahead(&self) -> bool {
+        !self.read_ahead.borrow().is_empty() || !self.prefetched.borrow().is_empty()
     }
 
-    /// How long what came last had lain in the socket before it was read: its client's time ran meanwhile.
-    pub fn unread_for(&self) -> Duration {
-        self.unread_for.get()
+    /// Returns how long the last input had been waiting in the socket before it was read; the client's
+    /// deadline was running meanwhile.
+    pub fn time_in_socket(&self) -> Duration {
+        self.time_in_socket.get()
     }
 
-    /// Waits until the client has closed its side of the connection, or reset it, while it is owed an answer. hyper sees that
-    /// itself as long as it reads; once it holds a part of the next request it reads no more before the answer, and what the
-    /// socket holds is read here instead, for hyper to have later. For the task that drives hyper alone.
-    pub async fn departed(&self) {
+    /// Waits until the client closes its side of the connection, or resets it, while a response is pending.
+    /// hyper notices this itself as long as it reads; but once it holds a part of the next request, it stops
+    /// reading until the response is sent. Input is then read here instead and given to hyper later. May be
+    /// called only from the task that drives hyper.
+    pub async fn client_departed(&self) {
         loop {
-            poll_fn(|cx| self.poll_departed(cx)).await;
-            if self.unasked.borrow().len() < UNASKED_MOST {
+            poll_fn(|cx| self.poll_client_departed(cx)).await;
+            if self.prefetched.borrow().len() < MAX_PREFETCHED {
                 return;
             }
-            // Too much comes for all of it to be held: the event loop alone can tell of what is behind that.
+            // Too much input arrives to buffer all of it; only the event loop can tell whether the stream
+            // ends behind it.
             let ready = self.stream.ready(Interest::READABLE).await;
             if ready.map_or(true, |ready| ready.is_read_closed()) {
                 return;
             }
-            sleep(LOOK).await;
+            sleep(DEPARTURE_CHECK_INTERVAL).await;
         }
     }
 
-    /// Ready also where as much is held as may be.
-    fn poll_departed(&self, cx: &mut Context<'_>) -> Poll<()> {
-        while self.owes.get() && self.is_whole() && !self.ahead.borrow().is_empty() {
-            let mut unasked = self.unasked.borrow_mut();
-            if unasked.len() >= UNASKED_MOST {
+    /// Is also ready when as much has been buffered as is allowed.
+    fn poll_client_departed(&self, cx: &mut Context<'_>) -> Poll<()> {
+        while self.awaiting_response.get()
+            && self.is_request_complete()
+            && !self.read_ahead.borrow().is_empty()
+        {
+            let mut prefetched = self.prefetched.borrow_mut();
+            if prefetched.len() >= MAX_PREFETCHED {
                 return Poll::Ready(());
             }
             if ready!(self.stream.poll_read_ready(cx)).is_err() {
                 return Poll::Ready(());
             }
-            let room = UNASKED_MOST - unasked.len();
-            unasked.reserve(room.min(READ_AT_ONCE));
-            match self.stream.try_read_buf(&mut (&mut *unasked).limit(room)) {
+            let capacity = MAX_PREFETCHED - prefetched.len();
+            prefetched.reserve(capacity.min(READ_CHUNK_BYTES));
+            match self.stream.try_read_buf(&mut (&mut *prefetched).limit(capacity)) {
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 Ok(n) if n > 0 => {}
                 _ => return Poll::Ready(()),
@@ -164,75 +173,82 @@
         Poll::Pending
     }
 
-    /// Whether the client has closed its side, or reset the connection, and nothing is unread before that.
+    /// Returns whether the client has closed its side or reset the connection, with nothing left to read
+    /// before that.
     pub fn is_closed(&self) -> bool {
         socket::is_closed(&self.stream)
     }
 
-    /// Whether anything has come that is not part of the present request.
+    /// Returns whether anything has arrived that is not part of the current request.
     pub fn has_input(&self) -> bool {
-        self.has_ahead() || socket::has_input(&self.stream)
+        self.has_read_ahead() || socket::has_input(&self.stream)
     }
 
-    /// Takes the head of the request that hyper has just read off what came.
-    /// Guards against a second request hidden in what others would take for the body of this one.
+    /// Removes the head of the request that hyper has just read from the received bytes. Returns how the head
+    /// delimits its body. This prevents request smuggling: a second request hidden in what others would take
+    /// for the body of this one.
     pub fn take_head(&self) -> Framing {
-        let mut ahead = std::mem::take(&mut *self.ahead.borrow_mut());
-        let mut fields = [httparse::EMPTY_HEADER; FIELDS_MOST];
+        let mut read_ahead = std::mem::take(&mut *self.read_ahead.borrow_mut());
+        let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Request::new(&mut fields);
-        let Ok(httparse::Status::Complete(end)) = head.parse(&ahead) else { return Framing::Unsound };
-        let field = |name: &'static str| {
-            let named = head.headers.iter().filter(move |field| field.name.eq_ignore_ascii_case(name));
-            named.map(|field| std::str::from_utf8(field.value).unwrap_or_default().trim())
+        let Ok(httparse::Status::Complete(end)) = head.parse(&read_ahead) else { return Framing::Invalid };
+        let values_of = |name: &'static str| {
+            let matching = head.headers.iter().filter(move |header| header.name.eq_ignore_ascii_case(name));
+            matching.map(|header| std::str::from_utf8(header.value).unwrap_or_default().trim())
         };
-        let framing = match (field("content-length").count(), field("transfer-encoding").count()) {
+        let framing = match (values_of("content-length").count(), values_of("transfer-encoding").count()) {
             (0, 0) => Framing::Length(0),
             (1, 0) => {
-                let length = field("content-length").next().and_then(|text| text.parse().ok());
-                length.map_or(Framing::Unsound, Framing::Length)
+                let length = values_of("content-length").next().and_then(|text| text.parse().ok());
+                length.map_or(Framing::Invalid, Framing::Length)
             }
             (0, 1) => Framing::Chunked,
-            _ => Framing::Unsound,
+            _ => Framing::Invalid,
         };
-        let left = match framing {
-            Framing::Length(length) => Left::Length(length),
-            Framing::Chunked => Left::Chunks(Chunks::default()),
-            Framing::Unsound => return framing,
+        let remaining = match framing {
+            Framing::Length(length) => RemainingBody::Length(length),
+            Framing::Chunked => RemainingBody::Chunked(ChunkedBodyTracker::default()),
+            Framing::Invalid => return framing,
         };
-        ahead.drain(..end);
-        self.body.set(left);
-        self.split(&ahead);
+        read_ahead.drain(..end);
+        self.remaining_body.set(remaining);
+        self.split(&read_ahead);
         framing
     }
 
-    /// Puts what has come where it belongs: to the present body, or ahead of the next request.
+    /// Splits received bytes between the current body and the next request.
     fn split(&self, bytes: &[u8]) {
-        let mut left = self.body.get();
-        let body = match &mut left {
-            Left::Length(left) => {
-                let body = (bytes.len() as u64).min(*left);
-                *left -= body;
-                body as usize
+        let mut remaining = self.remaining_body.get();
+        let body_bytes = match &mut remaining {
+            RemainingBody::Length(remaining) => {
+                let body_bytes = (bytes.len() as u64).min(*remaining);
+                *remaining -= body_bytes;
+                body_bytes as usize
             }
-            Left::Chunks(chunks) => chunks.take(bytes),
+            RemainingBody::Chunked(tracker) => tracker.consume(bytes),
         };
-        self.body.set(left);
-        self.ahead.borrow_mut().extend_from_slice(&bytes[body..]);
+        self.remaining_body.set(remaining);
+        self.read_ahead.borrow_mut().extend_from_slice(&bytes[body_bytes..]);
     }
 
-    /// Whether all of the present request has come: what comes next is another's head.
-    pub fn is_whole(&self) -> bool {
-        match self.body.get() {
-            Left::Length(left) => left == 0,
-            Left::Chunks(chunks) => chunks.is_done(),
+    /// Returns whether the current request has been received completely: what follows is the head of the next
+    /// one.
+    pub fn is_request_complete(&self) -> bool {
+        match self.remaining_body.get() {
+            RemainingBody::Length(remaining) => remaining == 0,
+            RemainingBody::Chunked(tracker) => tracker.is_done(),
         }
     }
 
-    /// An answer is with hyper now. A long one's end is told to `tally`.
-    pub fn begin_answer(self: &Rc<Self>, body: ResponseBody, tally: Option<Tally>) -> Answering {
-        self.answering.set(true);
-        self.given.set(body.is_end_stream());
-        Answering { body, socket: Rc::clone(self), tally, waits: false }
+    /// Called when a response is passed to hyper. The end of a streamed response is reported to `recorder`.
+    pub fn begin_response(
+        self: &Rc<Self>,
+        body: ResponseBody,
+        recorder: Option<ResponseRecorder>,
+    ) -> TrackedResponseBody {
+        self.writing_response.set(true);
+        self.hyper_has_response.set(body.is_end_stream());
+        TrackedResponseBody { body, socket: Rc::clone(self), recorder, is_suspended: false }
     }
 }
 
@@ -241,92 +257,95 @@
         &self.stream
     }
 
-    fn take_kept(&self, buf: &mut ReadBuf<'_>) -> bool {
-        let mut unasked = self.unasked.borrow_mut();
-        let bytes = unasked.len().min(buf.remaining());
+    fn take_prefetched(&self, buf: &mut ReadBuf<'_>) -> bool {
+        let mut prefetched = self.prefetched.borrow_mut();
+        let bytes = prefetched.len().min(buf.remaining());
         if bytes > 0 {
-            // It was read as it came, or by another process that has told what is left of its client's time.
-            self.unread_for.set(Duration::ZERO);
+            // These bytes were read as soon as they arrived, or by another process that passed on the time
+            // its client still waits.
+            self.time_in_socket.set(Duration::ZERO);
         }
-        buf.put_slice(&unasked[..bytes]);
-        unasked.advance(bytes);
-        if unasked.is_empty() {
-            // Its memory goes with it.
-            *unasked = BytesMut::new();
+        buf.put_slice(&prefetched[..bytes]);
+        prefetched.advance(bytes);
+        if prefetched.is_empty() {
+            // Also releases the memory of the buffer.
+            *prefetched = BytesMut::new();
         }
         bytes > 0
     }
 
-    fn was_read(&self) {
-        // Where the system does not tell, it counts as read at once.
-        let unread_for = since_last_data(&self.stream).unwrap_or_default();
-        self.unread_for.set(unread_for.saturating_sub(SYSTEM_TICK));
+    fn received_from_socket(&self) {
+        // If the system cannot tell, the bytes count as read at once.
+        let time_in_socket = since_last_data(&self.stream).unwrap_or_default();
+        self.time_in_socket.set(time_in_socket.saturating_sub(KERNEL_TICK));
     }
 
-    fn came(&self, bytes: &[u8]) {
+    fn received(&self, bytes: &[u8]) {
         self.split(bytes);
-        self.seat.handle_event(Event::Received { id: self.seat.id, bytes: bytes.len() as u64 });
+        self.permit.handle_event(Event::Received { id: self.permit.id, bytes: bytes.len() as u64 });
     }
 
-    fn went(&self, bytes: usize) {
-        if self.answering.get() {
-            self.seat.handle_event(Event::ResponseProgress { id: self.seat.id, bytes: bytes as u64 });
+    fn written(&self, bytes: usize) {
+        if self.writing_response.get() {
+            self.permit.handle_event(Event::ResponseProgress { id: self.permit.id, bytes: bytes as u64 });
         }
     }
 
     fn flushed(&self) {
-        if self.answering.get() && self.given.get() {
-            self.answering.set(false);
-            self.seat.handle_event(Event::ResponseWritten { id: self.seat.id });
-            let ahead = self.ahead.borrow().len() as u64;
-            if ahead > 0 {
-                self.seat.handle_event(Event::Received { id: self.seat.id, bytes: ahead });
+        if self.writing_response.get() && self.hyper_has_response.get() {
+            self.writing_response.set(false);
+            self.permit.handle_event(Event::ResponseWritten { id: self.permit.id });
+            let read_ahead = self.read_ahead.borrow().len() as u64;
+            if read_ahead > 0 {
+                self.permit.handle_event(Event::Received { id: self.permit.id, bytes: read_ahead });
             }
         }
     }
 }
 
-/// A long answer that is on its way, as it is counted.
-pub struct Tally {
-    /// Where it is counted.
-    pub figures: Rc<NodeMetrics>,
-    /// Under this class.
+/// Records the outcome of a streamed response in the metrics when it ends.
+pub struct ResponseRecorder {
+    /// The metrics of the node.
+    pub metrics: Rc<NodeMetrics>,
+    /// The class under which the response is recorded.
     pub class: Option<String>,
-    /// It counts as open until then.
-    pub open: Option<InflightRequest>,
-    /// When its request's head had come.
-    pub came: Instant,
+    /// The request counts as in flight until this is dropped.
+    pub inflight: Option<InflightRequest>,
+    /// When the head of the request had been received.
+    pub head_received_at: Instant,
 }
 
-impl Tally {
-    fn end(self, fate: RequestResult) {
+impl ResponseRecorder {
+    fn finish(self, result: RequestResult) {
         if let Some(class) = &self.class {
-            self.figures.record_result(class, fate);
-            self.figures.record_latency(class, self.came);
+            self.metrics.record_result(class, result);
+            self.metrics.record_latency(class, self.head_received_at);
         }
-        drop(self.open);
+        drop(self.inflight);
     }
 }
 
-/// An answer's body, which tells when hyper has taken all of it.
-pub struct Answering {
+/// The body of a response, which notes when hyper has taken all of it.
+pub struct TrackedResponseBody {
     body: ResponseBody,
     socket: Rc<Socket>,
-    tally: Option<Tally>,
-    /// Whether its source has nothing.
-    waits: bool,
+    recorder: Option<ResponseRecorder>,
+    /// Whether the source of the body has no data at the moment.
+    is_suspended: bool,
 }
 
-impl Answering {
-    fn wait(&mut self, suspended: bool) {
-        if self.tally.is_some() && self.waits != suspended {
-            self.waits = suspended;
-            self.socket.seat.handle_event(Event::TransferSuspended { id: self.socket.seat.id, suspended });
+impl TrackedResponseBody {
+    fn set_suspended(&mut self, suspended: bool) {
+        if self.recorder.is_some() && self.is_suspended != suspended {
+            self.is_suspended = suspended;
+            self.socket
+                .permit
+                .handle_event(Event::TransferSuspended { id: self.socket.permit.id, suspended });
         }
     }
 }
 
-impl Body for Answering {
+impl Body for TrackedResponseBody {
     type Data = Bytes;
     type Error = stream::Error;
 
@@ -335,17 +354,17 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Self::Error>>> {
         let frame = Pin::new(&mut self.body).poll_frame(cx);
-        self.wait(frame.is_pending());
-        let fate = match &frame {
+        self.set_suspended(frame.is_pending());
+        let result = match &frame {
             Poll::Ready(None) => Some(RequestResult::Success),
             Poll::Ready(Some(Ok(_))) if self.body.is_end_stream() => Some(RequestResult::Success),
             Poll::Ready(Some(Err(_))) => Some(RequestResult::Failure),
             _ => None,
         };
-        if let (Some(fate), Some(tally)) = (fate, self.tally.take_if(|_| fate.is_some())) {
-            tally.end(fate);
+        if let (Some(result), Some(recorder)) = (result, self.recorder.take_if(|_| result.is_some())) {
+            recorder.finish(result);
         }
-        self.socket.given.set(self.body.is_end_stream());
+        self.socket.hyper_has_response.set(self.body.is_end_stream());
         frame
     }
 
@@ -358,11 +377,11 @@
     }
 }
 
-impl Drop for Answering {
+impl Drop for TrackedResponseBody {
     fn drop(&mut self) {
-        // Its client has left.
-        if let Some(tally) = self.tally.take() {
-            tally.end(RequestResult::Failure);
+        // The client has left.
+        if let Some(recorder) = self.recorder.take() {
+            recorder.finish(RequestResult::Failure);
         }
     }
 }
--- a/crates/spurdrum-http/src/connection.rs
+++ b/crates/spurdrum-http/src/connection.rs
@@ -1,4 +1,4 @@
-//! One client's connection: hyper drives it, and what the node decides on connections is carried out on it.
+//! A client connection: drives hyper and carries out what the node decides about connections.
 
 use std::convert::Infallible;
 use std::future::poll_fn;
@@ -21,91 +21,94 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, Instant};
 
-use crate::client::{Answering, Framing, Socket, Tally};
-use crate::context::{refusal_text, Front, IncomingProcess, DISCARD_MOST};
-use crate::request::{answer, fate, plain, Disposition, LONG_HOLDS};
+use crate::client::{Framing, ResponseRecorder, Socket, TrackedResponseBody};
+use crate::context::{refusal_bytes, Front, IncomingProcess, MAX_DISCARDED_BYTES};
+use crate::request::{request_result, respond_to_request, text_response, Disposition, STREAMED_MEMORY_BYTES};
 use crate::socket::Io;
 use crate::stream::ResponseBody;
-use crate::upstream::BUFFER;
+use crate::upstream::MAX_BUFFER_BYTES;
 
-/// What has come on a socket is with hyper after this time.
-const MOMENT: Duration = Duration::from_millis(5);
-/// A head may be this long; many may be half sent at once.
-const HEAD_MOST: usize = 16 * 1024;
+/// Input that has arrived on a socket has reached hyper after this time.
+const READ_GRACE: Duration = Duration::from_millis(5);
+/// The longest accepted request head; many heads may be incomplete at the same time.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
 
-const TOO_SLOW: &str =
+const HEAD_TIMEOUT_RESPONSE: &str =
     "HTTP/1.1 408 Request Timeout\r\nconnection: close\r\ncontent-length: 9\r\n\r\ntoo slow\n";
 
 /// How the serving of a connection ended.
 #[derive(Clone, Copy)]
 enum End {
-    /// The client or hyper has ended it.
-    Over,
-    /// The answer said that it is the last.
-    Last,
-    /// It is to be closed.
+    /// The client or hyper has closed it.
+    Closed,
+    /// The response announced that it was the last.
+    AfterLastResponse,
+    /// The connection is to be closed.
     Close,
-    /// It rests, or its request is to be served by another process, and that takes over.
-    Pass,
-    /// What is half sent is to be answered first.
+    /// The connection is idle, or its request is to be served by another process, and the incoming process
+    /// takes it over.
+    HandOver,
+    /// The incomplete request is to be answered before the connection closes.
     Expire(Reason),
-    /// Nothing more is owed.
+    /// The connection is to be closed without any response.
     Abort(Reason),
 }
 
-/// Serves a client's connection of which `read` has been read already, until it has ended or another process has it.
-pub(crate) async fn connection(
+/// Serves a client connection from which `read` has already been read, until it has ended or was handed over
+/// to another process.
+pub(crate) async fn serve_connection(
     front: Rc<Front>,
-    seat: Rc<ConnectionPermit>,
+    permit: Rc<ConnectionPermit>,
     stream: TcpStream,
     read: Vec<u8>,
 ) {
-    // Guards against answers that the system holds for clients that never read them.
-    let unread = front.node.connections.max_unread_time;
-    if stream.set_nodelay(true).is_err() || SockRef::from(&stream).set_tcp_user_timeout(Some(unread)).is_err()
+    // Without this limit the system would keep buffering responses for clients that never read them.
+    let max_unread_time = front.node.connections.max_unread_time;
+    if stream.set_nodelay(true).is_err()
+        || SockRef::from(&stream).set_tcp_user_timeout(Some(max_unread_time)).is_err()
     {
         return;
     }
-    let socket = Rc::new(Socket::new(stream, Rc::clone(&seat)).with_read(read));
-    let end = serve(&front, &seat, &socket).await;
-    let owes = socket.has_given_back();
-    let socket = match (end, &front.successor) {
-        (End::Pass, Some(successor)) => match pass(&**successor, socket) {
+    let socket = Rc::new(Socket::new(stream, Rc::clone(&permit)).with_already_read(read));
+    let end = serve(&front, &permit, &socket).await;
+    let has_unsent_request = socket.has_handed_over_request();
+    let socket = match (end, &front.incoming_process) {
+        (End::HandOver, Some(incoming_process)) => match hand_over_connection(&**incoming_process, socket) {
             Ok(()) => return,
             Err(socket) => socket,
         },
         _ => socket,
     };
-    let text = match end {
-        End::Over => return,
+    let final_bytes = match end {
+        End::Closed => return,
         End::Abort(reason) => {
             if reason == Reason::SlowRead {
-                // Guards against an answer that nobody reads but the system goes on holding.
+                // Otherwise the system would keep buffering a response that nobody reads.
                 let _ = SockRef::from(&socket.stream).set_linger(Some(Duration::ZERO));
             }
             return;
         }
-        // No server has been sent it.
-        End::Pass if owes => Some(refusal_text(front.node.connections.retry_after_ms())),
-        End::Last | End::Close | End::Pass => None,
-        End::Expire(Reason::SlowHead) => Some(TOO_SLOW.to_owned()),
-        End::Expire(_) => Some(refusal_text(front.node.connections.retry_after_ms())),
+        // The request has not been sent to any server.
+        End::HandOver if has_unsent_request => Some(refusal_bytes(front.node.connections.retry_after_ms())),
+        End::AfterLastResponse | End::Close | End::HandOver => None,
+        End::Expire(Reason::SlowHead) => Some(HEAD_TIMEOUT_RESPONSE.to_owned()),
+        End::Expire(_) => Some(refusal_bytes(front.node.connections.retry_after_ms())),
     };
-    if let Some(text) = text {
-        let _ = socket.stream.try_write(text.as_bytes());
+    if let Some(final_bytes) = final_bytes {
+        let _ = socket.stream.try_write(final_bytes.as_bytes());
     }
     if SockRef::from(&socket.stream).shutdown(Shutdown::Write).is_err() {
         return;
     }
-    seat.handle_event(Event::HalfClosed { id: seat.id });
-    // Guards against a reset that destroys the last answer on its way: what still comes is read, and thrown
-    // away, until the client has ended too. The decisions bound how long.
-    let mut read = [0; 4096];
-    let mut most = DISCARD_MOST;
+    permit.handle_event(Event::HalfClosed { id: permit.id });
+    // Closing now could reset the connection and destroy the last response on its way. Input is read and
+    // discarded until the client closes its side as well; connection admission limits for how long.
+    let mut buffer = [0; 4096];
+    let mut max_remaining = MAX_DISCARDED_BYTES;
     loop {
         tokio::select! {
-            () = seat.command_ready.notified() => {
-                if matches!(seat.take_command(), Some(ConnectionCommand::Abort(_))) {
+            () = permit.command_ready.notified() => {
+                if matches!(permit.take_command(), Some(ConnectionCommand::Abort(_))) {
                     return;
                 }
             }
@@ -113,8 +116,8 @@
                 if ready.is_err() {
                     return;
                 }
-                match socket.stream.try_read(&mut read) {
-                    Ok(n) if n > 0 && n < most => most -= n,
+                match socket.stream.try_read(&mut buffer) {
+                    Ok(n) if n > 0 && n < max_remaining => max_remaining -= n,
                     Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                     _ => return,
                 }
@@ -123,140 +126,152 @@
     }
 }
 
-/// Lets another process have a connection, with the request that was given back, if there is one.
-fn pass(successor: &dyn IncomingProcess, socket: Rc<Socket>) -> Result<(), Rc<Socket>> {
+/// Hands a connection over to the incoming process, together with the request that this process has read but
+/// not served, if any.
+fn hand_over_connection(
+    incoming_process: &dyn IncomingProcess,
+    socket: Rc<Socket>,
+) -> Result<(), Rc<Socket>> {
     let socket = Rc::try_unwrap(socket)?;
-    let read = socket.take_read();
-    let Socket { stream, seat, .. } = socket;
-    // It fails where the event loop has trouble with it: then it is over.
+    let read = socket.take_unserved_bytes();
+    let Socket { stream, permit, .. } = socket;
+    // Fails if the event loop cannot deregister the socket: the connection is then lost.
     let Ok(stream) = stream.into_std() else { return Ok(()) };
-    match successor.hand_over(HandedOverConnection { stream, read }) {
+    match incoming_process.hand_over(HandedOverConnection { stream, read }) {
         Ok(()) => Ok(()),
         Err(connection) => match TcpStream::from_std(connection.stream) {
-            Ok(stream) => Err(Rc::new(Socket::new(stream, seat))),
+            Ok(stream) => Err(Rc::new(Socket::new(stream, permit))),
             Err(_) => Ok(()),
         },
     }
 }
 
-/// Whether a connection rests between two requests, and nothing of the next one has been read.
-fn rests_unread(seat: &ConnectionPermit, socket: &Socket) -> bool {
-    matches!(seat.state(), Some(State::New | State::Silent | State::Idle)) && !socket.has_ahead()
+/// Returns whether a connection is idle between two requests and nothing of the next one has been read.
+fn is_idle_unread(permit: &ConnectionPermit, socket: &Socket) -> bool {
+    matches!(permit.state(), Some(State::New | State::Silent | State::Idle)) && !socket.has_read_ahead()
 }
 
-/// The answer to a request, as it goes out; whether it is the connection's last is decided with it.
+/// Returns the response to a request. Whether the connection closes after it is decided here as well.
 async fn respond(
     front: &Rc<Front>,
     socket: &Rc<Socket>,
     request: Request<Incoming>,
     framing: Framing,
-) -> Response<Answering> {
-    let came = Instant::now();
+) -> Response<TrackedResponseBody> {
+    let head_received_at = Instant::now();
     let class = request.headers().get("x-class").filter(|_| request.uri().path() == "/api").cloned();
     let class = class.as_ref().and_then(|class| class.to_str().ok());
     let mut disposition = Disposition::default();
     let mut response = match framing {
-        Framing::Unsound => {
-            disposition.closes = true;
-            plain(StatusCode::BAD_REQUEST, "the length is unclear\n")
+        Framing::Invalid => {
+            disposition.close_after = true;
+            text_response(StatusCode::BAD_REQUEST, "the length is unclear\n")
         }
-        Framing::Length(length) => answer(front, socket, request, Some(length), &mut disposition).await,
-        Framing::Chunked => answer(front, socket, request, None, &mut disposition).await,
+        Framing::Length(length) => {
+            respond_to_request(front, socket, request, Some(length), &mut disposition).await
+        }
+        Framing::Chunked => respond_to_request(front, socket, request, None, &mut disposition).await,
     };
-    disposition.closes |= !socket.is_whole();
-    let is_long = matches!(response.body(), ResponseBody::Through(_));
-    let tally = match is_long {
-        // Its end counts.
+    disposition.close_after |= !socket.is_request_complete();
+    let is_streamed = matches!(response.body(), ResponseBody::Streamed(_));
+    let recorder = match is_streamed {
+        // A streamed response is recorded when it ends.
         true => {
-            let (figures, class) = (Rc::clone(&front.node.metrics), class.map(str::to_owned));
-            Some(Tally { figures, class, open: disposition.open.take(), came })
+            let (metrics, class) = (Rc::clone(&front.node.metrics), class.map(str::to_owned));
+            Some(ResponseRecorder { metrics, class, inflight: disposition.inflight.take(), head_received_at })
         }
         false => {
-            // Who never finished its request has not asked.
-            if let Some(class) = class.filter(|_| disposition.open.is_some()) {
-                front.node.metrics.record_result(class, fate(response.status()));
-                front.node.metrics.record_latency(class, came);
+            // A client that never completed its request is not counted.
+            if let Some(class) = class.filter(|_| disposition.inflight.is_some()) {
+                front.node.metrics.record_result(class, request_result(response.status()));
+                front.node.metrics.record_latency(class, head_received_at);
             }
             None
         }
     };
-    let bytes = if is_long { LONG_HOLDS } else { response.body().size_hint().exact().unwrap_or(0) };
-    if is_last(socket, bytes, disposition.closes) {
+    let memory_bytes =
+        if is_streamed { STREAMED_MEMORY_BYTES } else { response.body().size_hint().exact().unwrap_or(0) };
+    if closes_after_response(socket, memory_bytes, disposition.close_after) {
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
-    if is_long {
-        socket.seat.handle_event(Event::Streaming { id: socket.seat.id });
+    if is_streamed {
+        socket.permit.handle_event(Event::Streaming { id: socket.permit.id });
     }
-    response.map(|body| socket.begin_answer(body, tally))
+    response.map(|body| socket.begin_response(body, recorder))
 }
 
-/// Tells the decisions of an answer of this length. Whether the connection ends with it, as it does where it `closes` in any case.
-fn is_last(socket: &Socket, bytes: u64, closes: bool) -> bool {
-    let seat = &socket.seat;
-    let ends = |pipelined| {
-        seat.handle_event(Event::ResponseReady { id: seat.id, bytes, pipelined })
+/// Reports the size of a response to connection admission. Returns whether the connection closes after the
+/// response, which it does in any case if `must_close` is set.
+fn closes_after_response(socket: &Socket, bytes: u64, must_close: bool) -> bool {
+    let permit = &socket.permit;
+    let decide = |pipelined| {
+        permit.handle_event(Event::ResponseReady { id: permit.id, bytes, pipelined })
             == Verdict::CloseAfterResponse
     };
-    let is_last = ends(!closes && socket.has_ahead());
-    // Guards against the loss of a request that has come behind this one: it is answered first.
-    if is_last && !closes && socket.has_input() {
-        return ends(true);
+    let closes = decide(!must_close && socket.has_read_ahead());
+    // Another request has already arrived behind this one: it is answered before the connection closes, as it
+    // would otherwise be lost.
+    if closes && !must_close && socket.has_input() {
+        return decide(true);
     }
-    is_last || closes
+    closes || must_close
 }
 
-/// Has hyper serve a connection, and carries out what is decided on it. How that ended.
-async fn serve(front: &Rc<Front>, seat: &Rc<ConnectionPermit>, socket: &Rc<Socket>) -> End {
+/// Lets hyper serve a connection, and carries out the commands of the node. Returns how that ended.
+async fn serve(front: &Rc<Front>, permit: &Rc<ConnectionPermit>, socket: &Rc<Socket>) -> End {
     let service = service_fn(|request: Request<Incoming>| {
-        // What came is looked at before hyper reads on.
+        // The raw bytes of the head are inspected before hyper reads on.
         let framing = socket.take_head();
         async move { Ok::<_, Infallible>(respond(front, socket, request, framing).await) }
     });
-    let served = http1::Builder::new()
-        .max_buf_size(BUFFER)
-        .max_header_size(HEAD_MOST)
+    let connection = http1::Builder::new()
+        .max_buf_size(MAX_BUFFER_BYTES)
+        .max_header_size(MAX_HEAD_BYTES)
         .serve_connection(TokioIo::new(Io(Rc::clone(socket))), service);
-    let mut served = pin!(served);
-    // Guards against a reset over the last answer, also where it is the client that wanted no more: what it sent all the same is
-    // unread. hyper ends well, too, where a client has closed a connection that rested.
-    let ended = |well| if well && !socket.is_closed() { End::Last } else { End::Over };
-    // Guards against a request that this process begins as it ends, though another one is there to serve it: what rests is passed
-    // on before hyper reads.
-    let can_pass = || socket.has_given_back() || front.is_succeeded() && rests_unread(seat, socket);
-    let may_be_passed = || poll_fn(|_| if can_pass() { Poll::Ready(()) } else { Poll::Pending });
+    let mut connection = pin!(connection);
+    // After the last response the connection is drained before it closes, even if the client asked for the
+    // close: anything it sent nevertheless is unread, and would cause a reset that destroys the response.
+    // hyper also reports success if the client has closed an idle connection; that one needs no draining.
+    let end_of =
+        |succeeded| if succeeded && !socket.is_closed() { End::AfterLastResponse } else { End::Closed };
+    // An idle connection is handed over before hyper reads from it; otherwise this process would begin a
+    // request during its shutdown although the incoming process could serve it.
+    let can_hand_over =
+        || socket.has_handed_over_request() || front.handover_confirmed() && is_idle_unread(permit, socket);
+    let handover_possible = || poll_fn(|_| if can_hand_over() { Poll::Ready(()) } else { Poll::Pending });
     loop {
         tokio::select! {
             biased;
-            () = may_be_passed() => return End::Pass,
-            // An error is the client's: it has left, or does not speak HTTP.
-            result = served.as_mut() => {
-                return ended(result.is_ok());
+            () = handover_possible() => return End::HandOver,
+            // An error is caused by the client: it has left, or does not speak HTTP.
+            result = connection.as_mut() => {
+                return end_of(result.is_ok());
             }
-            () = socket.departed() => return End::Over,
-            () = seat.command_ready.notified() => {}
+            () = socket.client_departed() => return End::Closed,
+            () = permit.command_ready.notified() => {}
         }
-        let Some(order) = seat.take_command() else { continue };
-        if let ConnectionCommand::Abort(reason) = order {
+        let Some(command) = permit.take_command() else { continue };
+        if let ConnectionCommand::Abort(reason) = command {
             return End::Abort(reason);
         }
-        // Guards against the loss of a request that has come just now: hyper reads it next.
-        if order != ConnectionCommand::HandOver && socket.has_input() {
+        // A request that has just arrived would be lost if the connection closed now: hyper reads it next.
+        if command != ConnectionCommand::HandOver && socket.has_input() {
             tokio::select! {
                 biased;
-                result = served.as_mut() => {
-                    return ended(result.is_ok());
+                result = connection.as_mut() => {
+                    return end_of(result.is_ok());
                 }
-                () = sleep(MOMENT) => {}
+                () = sleep(READ_GRACE) => {}
             }
         }
-        match (order, seat.state()) {
-            (ConnectionCommand::HandOver, _) if can_pass() => return End::Pass,
-            // One that came too late is answered as too late, whether or not more of it has come.
+        match (command, permit.state()) {
+            (ConnectionCommand::HandOver, _) if can_hand_over() => return End::HandOver,
+            // A request that came too late is answered as such, whether or not more of it has arrived.
             (ConnectionCommand::Expire(reason), Some(State::Head | State::Closing)) => {
                 return End::Expire(reason)
             }
             (ConnectionCommand::Close, Some(State::Closing)) => return End::Close,
-            // It has asked after all: that answer will say that it is the last.
+            // The client has sent a request after all; its response will announce that it is the last.
             _ => {}
         }
     }
--- a/crates/spurdrum-http/src/lib.rs
+++ b/crates/spurdrum-http/src/lib.rs
@@ -1,4 +1,5 @@
-//! HTTP/1.1 towards clients ([`front`]) and towards servers ([`Upstream`]), in the platform's dialect.
+//! The HTTP/1.1 protocol of a node: the front towards clients ([`front`]) and the transport towards servers
+//! ([`Upstream`]), with the header fields of the platform.
 
 mod chunks;
 mod client;
--- a/crates/spurdrum-http/src/request.rs
+++ b/crates/spurdrum-http/src/request.rs
@@ -1,4 +1,4 @@
-//! One request: what its head and body say, and the answer it gets.
+//! A single request: parsing its head, receiving its body, and obtaining its response.
 
 use std::cell::Cell;
 use std::future::pending;
@@ -17,19 +17,21 @@
 use tokio::time::Instant;
 
 use crate::client::Socket;
-use crate::context::{EndStage, Front, Node};
-use crate::handed::HandedRequest;
-use crate::stream::{joined, Deadline, Listener, ResponseBody, Source};
+use crate::context::{Front, Node, ShutdownStage};
+use crate::handed::HandedOverRequest;
+use crate::stream::{concatenate, BodyObserver, Deadline, RequestStream, ResponseBody};
 use crate::upstream::{ForwardRequest, RequestBody, ServedResponse, MAX_BUFFERED_BODY};
 
-/// Taken off a client's time: its request and the answer are under way for a part of that.
-const MARGIN: Duration = Duration::from_millis(10);
-/// The longest time that a client may say it will wait.
-const WAIT_MOST: Duration = Duration::from_secs(3600);
-/// What a request or an answer that passes through is counted with: the buffers of both sides, by `spurdrum-bench streams`.
-pub(crate) const LONG_HOLDS: u64 = 3 * MAX_BUFFERED_BODY as u64;
-/// Fields that a request has once at most.
-const FIELDS: [&str; 8] = [
+/// Subtracted from the client's deadline, as the request and the response are on the network for a part of
+/// it.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(10);
+/// The longest deadline that a client may specify.
+const MAX_CLIENT_DEADLINE: Duration = Duration::from_secs(3600);
+/// The memory with which a streamed request or response is accounted: the buffers of both sides, according to
+/// `spurdrum-bench streams`.
+pub(crate) const STREAMED_MEMORY_BYTES: u64 = 3 * MAX_BUFFERED_BODY as u64;
+/// Header fields that a request may have only once.
+const SINGLE_HEADERS: [&str; 8] = [
     "host",
     "x-request-id",
     "idempotency-key",
@@ -40,49 +42,52 @@
     "x-cost-hint",
 ];
 
-/// What becomes of a connection with the answer to its present request.
+/// What happens to a connection with the response to its current request.
 #[derive(Default)]
 pub(crate) struct Disposition {
-    /// The answer is its last: where the next request begins is not known.
-    pub(crate) closes: bool,
-    /// The request is counted as open until the answer has gone out; none: its client never finished it.
-    pub(crate) open: Option<InflightRequest>,
+    /// Whether the connection closes after the response because the start of the next request cannot be
+    /// determined.
+    pub(crate) close_after: bool,
+    /// Keeps the request counted as in flight until the response has been sent; `None` if the client never
+    /// completed the request.
+    pub(crate) inflight: Option<InflightRequest>,
 }
 
-/// The answer to a request whose head has come.
-pub(crate) async fn answer(
+/// Returns the response to a request whose head has been received.
+pub(crate) async fn respond_to_request(
     front: &Front,
     socket: &Socket,
     request: Request<Incoming>,
     length: Option<u64>,
     disposition: &mut Disposition,
 ) -> Response<ResponseBody> {
-    let seat = &socket.seat;
-    let body = length.map_or(MAX_BUFFERED_BODY as u64, |length| length.min(LONG_HOLDS));
-    let place = seat.handle_event(Event::HeadComplete { id: seat.id, body });
+    let permit = &socket.permit;
+    let body = length.map_or(MAX_BUFFERED_BODY as u64, |length| length.min(STREAMED_MEMORY_BYTES));
+    let verdict = permit.handle_event(Event::HeadComplete { id: permit.id, body });
     match request.uri().path() {
-        "/_health" if front.ending.get() => plain(StatusCode::SERVICE_UNAVAILABLE, "ending\n"),
+        "/_health" if front.shutting_down.get() => text_response(StatusCode::SERVICE_UNAVAILABLE, "ending\n"),
         "/_health" if front.node.is_starting() => {
-            plain(StatusCode::SERVICE_UNAVAILABLE, format!("starting\n{}\n", (front.status)()))
+            text_response(StatusCode::SERVICE_UNAVAILABLE, format!("starting\n{}\n", (front.status)()))
         }
-        "/_health" => plain(StatusCode::OK, format!("ready\n{}\n", (front.status)())),
-        _ if place == Verdict::Refuse || front.has_called_last() => {
-            *disposition = Disposition { closes: true, open: Some(front.node.metrics.start_request()) };
-            refusal(front.node.connections.retry_after_ms())
+        "/_health" => text_response(StatusCode::OK, format!("ready\n{}\n", (front.status)())),
+        _ if verdict == Verdict::Refuse || front.final_notice_sent() => {
+            *disposition =
+                Disposition { close_after: true, inflight: Some(front.node.metrics.start_request()) };
+            refusal_response(front.node.connections.retry_after_ms())
         }
-        "/api" => api(front, socket, request, length, disposition).await,
-        _ => plain(StatusCode::NOT_FOUND, "no such path\n"),
+        "/api" => serve_api(front, socket, request, length, disposition).await,
+        _ => text_response(StatusCode::NOT_FOUND, "no such path\n"),
     }
 }
 
-pub(crate) fn plain(status: StatusCode, text: impl Into<Bytes>) -> Response<ResponseBody> {
+pub(crate) fn text_response(status: StatusCode, text: impl Into<Bytes>) -> Response<ResponseBody> {
     let mut response = Response::new(Full::new(text.into()).into());
     *response.status_mut() = status;
     response
 }
 
-fn refusal(retry_after_ms: Option<f64>) -> Response<ResponseBody> {
-    let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "refused\n");
+fn refusal_response(retry_after_ms: Option<f64>) -> Response<ResponseBody> {
+    let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, "refused\n");
     if let Some(ms) = retry_after_ms {
         let seconds = format!("{:.3}", ms / 1000.0).parse().expect("digits");
         response.headers_mut().insert(RETRY_AFTER, seconds);
@@ -90,8 +95,8 @@
     response
 }
 
-/// What a final answer tells its client.
-pub(crate) fn fate(status: StatusCode) -> RequestResult {
+/// Returns the result that a final response means for its client.
+pub(crate) fn request_result(status: StatusCode) -> RequestResult {
     match status {
         StatusCode::OK => RequestResult::Success,
         StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => RequestResult::Busy,
@@ -99,99 +104,103 @@
     }
 }
 
-/// Tells the node that the client has left, unless it has been answered: hyper drops what it waits for then.
-struct Waiting<'a> {
+/// Informs the node that the client has left unless the request was answered; hyper drops the future of the
+/// response in that case.
+struct PendingGuard<'a> {
     node: Rc<Node>,
     id: RequestId,
-    owes: &'a Cell<bool>,
+    awaiting_response: &'a Cell<bool>,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for PendingGuard<'_> {
     fn drop(&mut self) {
-        self.owes.set(false);
+        self.awaiting_response.set(false);
         self.node.client_gone(self.id);
     }
 }
 
-/// Hears of a long body that is passing through.
-struct Coming {
-    seat: Rc<ConnectionPermit>,
+/// Observes a long body that is being streamed.
+struct UploadObserver {
+    permit: Rc<ConnectionPermit>,
     node: Rc<Node>,
     id: RequestId,
     deadline: Rc<Deadline>,
-    whole: Cell<bool>,
+    complete: Cell<bool>,
 }
 
-impl Listener for Rc<Coming> {
-    fn waits(&self, suspended: bool) {
-        self.seat.handle_event(Event::TransferSuspended { id: self.seat.id, suspended });
+impl BodyObserver for Rc<UploadObserver> {
+    fn set_suspended(&self, suspended: bool) {
+        self.permit.handle_event(Event::TransferSuspended { id: self.permit.id, suspended });
     }
 
-    fn spent(&self) {
+    fn prefix_discarded(&self) {
         self.node.body_consumed(self.id);
     }
 
-    fn whole(&self) {
+    fn complete(&self) {
         self.deadline.begin();
-        self.whole.set(true);
-        self.seat.reading_body.set(false);
-        self.seat.handle_event(Event::RequestComplete { id: self.seat.id });
+        self.complete.set(true);
+        self.permit.reading_body.set(false);
+        self.permit.handle_event(Event::RequestComplete { id: self.permit.id });
     }
 }
 
-async fn api(
+async fn serve_api(
     front: &Front,
     socket: &Socket,
     request: Request<Incoming>,
     length: Option<u64>,
     disposition: &mut Disposition,
 ) -> Response<ResponseBody> {
-    let (node, seat) = (&front.node, &socket.seat);
+    let (node, permit) = (&front.node, &socket.permit);
     let (head, body) = request.into_parts();
     let names = Rc::clone(&front.names.borrow());
-    let mut asked = read_head(front, &head.method, &head.headers);
-    let body = match take_body(node, seat, body, length).await {
+    let mut parsed = parse_head(front, &head.method, &head.headers);
+    let body = match receive_body(node, permit, body, length).await {
         Ok(body) => body,
         Err(response) => {
-            disposition.closes = true;
+            disposition.close_after = true;
             return response;
         }
     };
-    disposition.open = Some(node.metrics.start_request());
+    disposition.inflight = Some(node.metrics.start_request());
     if !Rc::ptr_eq(&names, &front.names.borrow()) {
-        // Other settings hold by now: a request has those under which it is taken.
-        asked = read_head(front, &head.method, &head.headers);
+        // The settings were reloaded meanwhile: a request follows those in force when it is accepted.
+        parsed = parse_head(front, &head.method, &head.headers);
     }
-    let asked = asked.and_then(|asked| match head.method == Method::GET && body.has_bytes() {
+    let parsed = parsed.and_then(|parsed| match head.method == Method::GET && body.has_bytes() {
         true => Err("GET has no body\n"),
-        false => Ok(asked),
+        false => Ok(parsed),
     });
-    let (wait, mut asked) = match asked {
-        Ok(asked) => asked,
-        Err(why) => {
-            disposition.closes |= body.is_long();
-            return plain(StatusCode::BAD_REQUEST, why);
+    let (client_wait, mut parsed) = match parsed {
+        Ok(parsed) => parsed,
+        Err(message) => {
+            disposition.close_after |= body.is_streamed();
+            return text_response(StatusCode::BAD_REQUEST, message);
         }
     };
-    let Some(wait) = time_for_answer(wait, &body, socket) else {
-        return refusal(node.connections.retry_after_ms());
+    let Some(client_wait) = response_budget(client_wait, &body, socket) else {
+        return refusal_response(node.connections.retry_after_ms());
     };
-    // How long a long body takes to come is not known, and not the servers' affair.
-    asked.budget_ms = if body.is_long() { WAIT_MOST } else { wait }.as_secs_f64() * 1000.0;
-    let keyed = front
+    // How long a streamed body takes to arrive is unknown, and no concern of the servers.
+    parsed.budget_ms =
+        if body.is_streamed() { MAX_CLIENT_DEADLINE } else { client_wait }.as_secs_f64() * 1000.0;
+    let key_and_partial = front
         .keys
         .as_ref()
-        .map(|keys| keys.of((&head.headers, &head.uri), (asked.class, asked.tenant), seat.peer));
-    let (ask, naming) = keyed.unwrap_or_default();
-    let Some((uri, authority)) = short_form(head.uri) else {
-        return plain(StatusCode::BAD_REQUEST, "a bad target\n");
+        .map(|keys| keys.key_of((&head.headers, &head.uri), (parsed.class, parsed.tenant), permit.peer));
+    let (affinity_key, partial_key) = key_and_partial.unwrap_or_default();
+    let Some((uri, authority)) = origin_form_uri(head.uri) else {
+        return text_response(StatusCode::BAD_REQUEST, "a bad target\n");
     };
     let headers = forwarded_headers(front, &head.headers, authority);
-    let (body, source, deadline) = match body {
-        ReceivedBody::Whole(bytes) => (RequestBody::Whole(bytes), None, Deadline::at(Instant::now() + wait)),
-        ReceivedBody::Long(came, rest) => {
-            let source = Rc::new(Source::new(rest, length, came, MAX_BUFFERED_BODY));
-            (RequestBody::Through(Rc::clone(&source)), Some(source), Deadline::after(wait))
+    let (body, stream, deadline) = match body {
+        ReceivedBody::Buffered(bytes) => {
+            (RequestBody::Buffered(bytes), None, Deadline::at(Instant::now() + client_wait))
+        }
+        ReceivedBody::Streamed(received, rest) => {
+            let stream = Rc::new(RequestStream::new(rest, length, received, MAX_BUFFERED_BODY));
+            (RequestBody::Streamed(Rc::clone(&stream)), Some(stream), Deadline::after(client_wait))
         }
     };
     let deadline = Rc::new(deadline);
@@ -201,75 +210,81 @@
         headers,
         body,
         deadline: Rc::clone(&deadline),
-        ask,
-        naming,
+        affinity_key,
+        partial_key,
     };
-    let handed = HandedRequest::new(head.version, &head.headers, &asked);
-    let (answer, answered) = oneshot::channel();
-    let id = match node.accept(forward, asked, answer) {
+    let handed_over = HandedOverRequest::new(head.version, &head.headers, &parsed);
+    let (answer_sender, answer_receiver) = oneshot::channel();
+    let id = match node.accept(forward, parsed, answer_sender) {
         Ok(id) => id,
-        // The settings' bound, not a decision: how long it lasts is not known.
-        Err(NotAccepted::Full) => return refusal(node.settings().max_retry_after_ms),
-        Err(NotAccepted::DuplicateId) => return plain(StatusCode::CONFLICT, "X-Request-Id is in use\n"),
+        // A bound from the settings rather than a decision, as it is not known how long the node will be
+        // full.
+        Err(NotAccepted::Full) => return refusal_response(node.settings().max_retry_after_ms),
+        Err(NotAccepted::DuplicateId) => {
+            return text_response(StatusCode::CONFLICT, "X-Request-Id is in use\n")
+        }
     };
-    socket.owes.set(true);
-    let _waiting = Waiting { node: Rc::clone(node), id, owes: &socket.owes };
-    let coming = source.map(|source| {
-        let (seat, node, whole) = (Rc::clone(seat), Rc::clone(node), Cell::new(false));
-        let coming = Rc::new(Coming { seat, node, id, deadline: Rc::clone(&deadline), whole });
-        source.listen(Rc::clone(&coming));
-        coming
+    socket.awaiting_response.set(true);
+    let _pending_guard =
+        PendingGuard { node: Rc::clone(node), id, awaiting_response: &socket.awaiting_response };
+    let upload = stream.map(|stream| {
+        let (permit, node, complete) = (Rc::clone(permit), Rc::clone(node), Cell::new(false));
+        let upload = Rc::new(UploadObserver { permit, node, id, deadline: Rc::clone(&deadline), complete });
+        stream.set_observer(Rc::clone(&upload));
+        upload
     });
-    let taken = Taken { front, socket, id, handed, deadline, coming };
-    taken.final_answer(answered, disposition).await
+    let accepted = AcceptedRequest { front, socket, id, handed_over, deadline, upload };
+    accepted.wait_for_answer(answer_receiver, disposition).await
 }
 
-/// Reads a request's body, or the beginning of a long one; from then on the request is owed its answer. The error is the answer where
-/// that does not come.
-async fn take_body(
+/// Receives a request's body, or the beginning of a long one; from then on the client is owed a response.
+/// Returns the response as an error if the body does not arrive.
+async fn receive_body(
     node: &Node,
-    seat: &ConnectionPermit,
+    permit: &ConnectionPermit,
     body: Incoming,
     length: Option<u64>,
 ) -> Result<ReceivedBody, Response<ResponseBody>> {
-    seat.reading_body.set(true);
+    permit.reading_body.set(true);
     let body = tokio::select! {
         biased;
-        body = read_body(body, length) => body.map_err(|status| plain(status, "the body is broken\n")),
-        reason = seat.body_expired() => Err(expired(node, reason)),
+        body = read_body(body, length) =>
+            body.map_err(|status| text_response(status, "the body is broken\n")),
+        reason = permit.body_expired() => Err(expired_body_response(node, reason)),
     };
-    if matches!(body, Ok(ReceivedBody::Long(..))) {
-        seat.handle_event(Event::Streaming { id: seat.id });
+    if matches!(body, Ok(ReceivedBody::Streamed(..))) {
+        permit.handle_event(Event::Streaming { id: permit.id });
         return body;
     }
-    seat.reading_body.set(false);
+    permit.reading_body.set(false);
     if body.is_ok() {
-        // It may have had its time just as it was whole: that counts.
-        seat.take_command();
-        seat.handle_event(Event::RequestComplete { id: seat.id });
+        // The body may have expired at the moment it became complete: it counts as complete.
+        permit.take_command();
+        permit.handle_event(Event::RequestComplete { id: permit.id });
     }
     body
 }
 
-/// The time in which an answer has to be there, for a client that waits this long from when it sent its request. `None` where that is
-/// over already.
-fn time_for_answer(wait: Duration, body: &ReceivedBody, socket: &Socket) -> Option<Duration> {
-    // The time of a long body begins when all of it has come.
-    let unread_for = if body.is_long() { Duration::ZERO } else { socket.unread_for() };
-    // Guards against an attempt for a client whose time was over before its request was read.
-    let left = wait.checked_sub(unread_for).filter(|left| !left.is_zero())?;
-    Some(left.saturating_sub(MARGIN).max(left / 2))
+/// Returns the time within which the response has to be available, for a client that waits for `client_wait`
+/// from when it sent its request. Returns `None` if that time is already over.
+fn response_budget(client_wait: Duration, body: &ReceivedBody, socket: &Socket) -> Option<Duration> {
+    // The time of a streamed request starts when its whole body has been received.
+    let time_in_socket = if body.is_streamed() { Duration::ZERO } else { socket.time_in_socket() };
+    // Without this, an attempt would be made for a client whose deadline passed before its request was read.
+    let remaining = client_wait.checked_sub(time_in_socket).filter(|remaining| !remaining.is_zero())?;
+    Some(remaining.saturating_sub(RESPONSE_MARGIN).max(remaining / 2))
 }
 
-/// A target as servers get it, and the host that a whole URL names. `None` where it has no such form.
-fn short_form(uri: Uri) -> Option<(Uri, Option<HeaderValue>)> {
+/// Returns a request target in origin form, as servers get it, and the host that an absolute URL names.
+/// Returns `None` if the target has no origin form.
+fn origin_form_uri(uri: Uri) -> Option<(Uri, Option<HeaderValue>)> {
     let mut parts = uri.into_parts();
     let authority = parts.authority.take().and_then(|host| HeaderValue::from_str(host.as_str()).ok());
     parts.scheme = None;
     Some((Uri::from_parts(parts).ok()?, authority))
 }
 
-/// The fields that go on to servers.
+/// Returns the header fields that are forwarded to servers.
 fn forwarded_headers(front: &Front, headers: &HeaderMap, authority: Option<HeaderValue>) -> HeaderMap {
     let mut forwarded = HeaderMap::new();
     for name in ["host", "x-request-id", "idempotency-key", "content-type", "x-class", "x-tenant"] {
@@ -277,7 +292,7 @@
             forwarded.insert(name, value.clone());
         }
     }
-    for name in front.keys.iter().flat_map(|keys| keys.fields()) {
+    for name in front.keys.iter().flat_map(|keys| keys.request_headers()) {
         if let Some(value) = headers.get(name) {
             forwarded.insert(name, value.clone());
         }
@@ -289,116 +304,123 @@
     forwarded
 }
 
-/// A request that the node has taken and owes its answer.
-struct Taken<'a> {
+/// A request that the node has accepted and has to answer.
+struct AcceptedRequest<'a> {
     front: &'a Front,
     socket: &'a Socket,
     id: RequestId,
-    /// What another process is told of it, where it could serve it.
-    handed: Option<HandedRequest>,
+    /// What the incoming process needs to know to serve the request, if it can be handed over.
+    handed_over: Option<HandedOverRequest>,
     deadline: Rc<Deadline>,
-    /// A long body, which may still be coming.
-    coming: Option<Rc<Coming>>,
+    /// A streamed body, which may still be arriving.
+    upload: Option<Rc<UploadObserver>>,
 }
 
-impl Taken<'_> {
-    /// Waits for the decisions' answer, for as long as the client waits and the process goes on.
-    async fn final_answer(
+impl AcceptedRequest<'_> {
+    /// Waits for the node's answer, for as long as the client waits and the process is running.
+    async fn wait_for_answer(
         self,
-        answered: oneshot::Receiver<Answer<ServedResponse>>,
+        answer_receiver: oneshot::Receiver<Answer<ServedResponse>>,
         disposition: &mut Disposition,
     ) -> Response<ResponseBody> {
-        let (front, seat) = (self.front, &self.socket.seat);
+        let (front, permit) = (self.front, &self.socket.permit);
         let answer = tokio::select! {
             biased;
-            answer = answered => answer.unwrap_or(Answer::Failed),
-            forward = self.withdrawn() => {
-                disposition.closes |= self.comes();
+            answer = answer_receiver => answer.unwrap_or(Answer::Failed),
+            forward = self.wait_until_withdrawn() => {
+                disposition.close_after |= self.is_uploading();
                 return self.hand_over(&forward).await;
             }
-            reason = seat.body_expired(), if self.comes() => {
-                seat.reading_body.set(false);
-                *disposition = Disposition { closes: true, open: None };
-                return expired(&front.node, reason);
+            reason = permit.body_expired(), if self.is_uploading() => {
+                permit.reading_body.set(false);
+                *disposition = Disposition { close_after: true, inflight: None };
+                return expired_body_response(&front.node, reason);
             }
-            // Guards against a process that ends before the client's time does: the client may wait longer than the settings say.
-            () = front.reached(EndStage::LastCall) => {
-                return plain(StatusCode::GATEWAY_TIMEOUT, "the node is ending\n")
+            // A client may wait longer than the settings say: it has to get a response before the process
+            // exits.
+            () = front.wait_for_stage(ShutdownStage::FinalNotice) => {
+                return text_response(StatusCode::GATEWAY_TIMEOUT, "the node is ending\n")
             }
-            // Guards against decisions that leave a request without an answer.
-            () = self.deadline.passed(MARGIN / 2) => {
-                return plain(StatusCode::GATEWAY_TIMEOUT, "no answer in time\n")
+            // A request must get a response even if the node never decides on one.
+            () = self.deadline.passed(RESPONSE_MARGIN / 2) => {
+                return text_response(StatusCode::GATEWAY_TIMEOUT, "no answer in time\n")
             }
         };
-        seat.reading_body.set(false);
-        // What is still to come of the request would be taken for another.
-        disposition.closes |= self.comes();
-        response(front, answer)
+        permit.reading_body.set(false);
+        // The rest of the request would be taken for another one.
+        disposition.close_after |= self.is_uploading();
+        client_response(front, answer)
     }
 
-    /// Whether a part of its body is still to come.
-    fn comes(&self) -> bool {
-        self.coming.as_ref().is_some_and(|coming| !coming.whole.get())
+    /// Returns whether a part of the body has not been received yet.
+    fn is_uploading(&self) -> bool {
+        self.upload.as_ref().is_some_and(|upload| !upload.complete.get())
     }
 
-    /// Waits until the process ends and begins nothing more, where no server has been sent the request by then.
-    /// Guards against an attempt that begins when there is no time left for its answer.
-    async fn withdrawn(&self) -> Rc<ForwardRequest> {
-        self.front.reached(EndStage::NothingBegins).await;
+    /// Waits until the process begins no more attempts during its shutdown, and returns the request if it has
+    /// not been sent to any server by then. An attempt that began later would have no time left for its
+    /// response.
+    async fn wait_until_withdrawn(&self) -> Rc<ForwardRequest> {
+        self.front.wait_for_stage(ShutdownStage::NoNewAttempts).await;
         match self.front.node.withdraw(self.id) {
             Some(forward) => forward,
             None => pending().await,
         }
     }
 
-    /// Gives a request that no server has been sent to the process that takes over, with its connection, and does not return then.
-    /// Where none takes it, the answer is a refusal.
+    /// Hands a request that was not sent to any server over to the incoming process, together with its
+    /// connection; in this case the function does not return. If no process accepts the request, returns a
+    /// refusal.
     async fn hand_over(&self, forward: &ForwardRequest) -> Response<ResponseBody> {
-        let handed = self.handed.filter(|_| self.front.passes_requests());
-        let Some(request) = handed.and_then(|handed| handed.encode(forward)) else {
-            return refusal(self.front.node.connections.retry_after_ms());
+        let handed_over = self.handed_over.filter(|_| self.front.can_hand_over_requests());
+        let Some(request) = handed_over.and_then(|handed_over| handed_over.encode(forward)) else {
+            return refusal_response(self.front.node.connections.retry_after_ms());
         };
-        self.socket.give_back(request);
-        // The connection is passed on before there is an answer here.
+        self.socket.set_handed_over_request(request);
+        // The connection is handed over before a response is available here.
         pending().await
     }
 }
 
-/// What a final answer says to its client.
-fn response(front: &Front, answer: Answer<ServedResponse>) -> Response<ResponseBody> {
+/// Returns the response for a final answer of the node.
+fn client_response(front: &Front, answer: Answer<ServedResponse>) -> Response<ResponseBody> {
     match answer {
         Answer::Served(served) => {
             let mut response = Response::new(served.body);
-            let name = front.keys.as_ref().and_then(|keys| keys.answer());
-            if let Some((name, value)) = name.zip(served.given) {
+            let name = front.keys.as_ref().and_then(|keys| keys.response_header());
+            if let Some((name, value)) = name.zip(served.affinity_header) {
                 response.headers_mut().insert(name, value);
             }
             response
         }
-        Answer::Refused(retry_after_ms) => refusal(retry_after_ms),
-        Answer::Failed => plain(StatusCode::BAD_GATEWAY, "failed\n"),
+        Answer::Refused(retry_after_ms) => refusal_response(retry_after_ms),
+        Answer::Failed => text_response(StatusCode::BAD_GATEWAY, "failed\n"),
     }
 }
 
-/// The answer where a body had its time.
-fn expired(node: &Node, reason: Reason) -> Response<ResponseBody> {
+/// Returns the response for a body that did not arrive in time.
+fn expired_body_response(node: &Node, reason: Reason) -> Response<ResponseBody> {
     match reason {
-        // It makes room for others, or the node ends: that is no fault of its client.
-        Reason::Shed | Reason::Starved | Reason::Ending => refusal(node.connections.retry_after_ms()),
-        _ => plain(StatusCode::REQUEST_TIMEOUT, "the body does not come\n"),
+        // The connection was closed to make room for others, or because the node is shutting down: this is
+        // not the client's fault.
+        Reason::Shed | Reason::Starved | Reason::Ending => {
+            refusal_response(node.connections.retry_after_ms())
+        }
+        _ => text_response(StatusCode::REQUEST_TIMEOUT, "the body does not come\n"),
     }
 }
 
-/// How long the client waits and what it asks for, or what is wrong with that.
-fn read_head(
+/// Returns how long the client waits and what it requests, or the error message for its response.
+fn parse_head(
     front: &Front,
     method: &Method,
     headers: &HeaderMap,
 ) -> Result<(Duration, spurdrum_policy::Request), &'static str> {
-    // Guards against one meaning here and another at a server.
-    let doubled = |name: &&str| headers.get_all(*name).iter().nth(1).is_some();
-    let doubled_key = front.keys.iter().any(|keys| keys.fields().any(|name| doubled(&name.as_str())));
-    if doubled_key || FIELDS.iter().any(doubled) {
+    // A repeated field could mean one thing here and another at a server.
+    let is_repeated = |name: &&str| headers.get_all(*name).iter().nth(1).is_some();
+    let key_header_repeated =
+        front.keys.iter().any(|keys| keys.request_headers().any(|name| is_repeated(&name.as_str())));
+    if key_header_repeated || SINGLE_HEADERS.iter().any(is_repeated) {
         return Err("a field comes twice\n");
     }
     let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
@@ -408,26 +430,30 @@
     }
     let settings = front.node.settings();
     // Without its key a keyed request could take effect twice.
-    let key = text("idempotency-key").is_some_and(|key| !key.is_empty());
-    let fits = |class: &usize| match settings.classes[*class].effect {
+    let has_key = text("idempotency-key").is_some_and(|key| !key.is_empty());
+    let matches_method = |class: &usize| match settings.classes[*class].effect {
         Effect::Safe => method == Method::GET,
-        Effect::Keyed { .. } => method == Method::POST && key,
+        Effect::Keyed { .. } => method == Method::POST && has_key,
         Effect::Unsafe => method == Method::POST,
     };
-    // While a class changes its effect there are two of its name, the new one first.
-    let named = text("x-class").map(|name| names.classes.iter().enumerate().filter(move |(_, n)| *n == name));
-    let mut named = named.into_iter().flatten().map(|(class, _)| class).peekable();
-    named.peek().ok_or("X-Class is missing or unknown\n")?;
-    let class = named.find(fits).ok_or("the method or Idempotency-Key does not fit X-Class\n")?;
+    // While the effect of a class is being changed there are two classes of its name, the new one first.
+    let matching_classes =
+        text("x-class").map(|name| names.classes.iter().enumerate().filter(move |(_, n)| *n == name));
+    let mut matching_classes = matching_classes.into_iter().flatten().map(|(class, _)| class).peekable();
+    matching_classes.peek().ok_or("X-Class is missing or unknown\n")?;
+    let class = matching_classes
+        .find(matches_method)
+        .ok_or("the method or Idempotency-Key does not fit X-Class\n")?;
     let tenant = match text("x-tenant") {
         _ if names.tenants.is_empty() => Some(0),
         name => name.and_then(|name| names.tenants.iter().position(|n| n == name)),
     };
     let tenant = tenant.ok_or("X-Tenant is missing or unknown\n")?;
-    let wait = text("x-deadline").and_then(|text| text.parse().ok());
-    let wait = wait.and_then(|seconds| Duration::try_from_secs_f64(seconds).ok());
-    let wait = wait.filter(|wait| !wait.is_zero() && *wait <= WAIT_MOST);
-    let wait = wait.ok_or("X-Deadline is missing or no time above 0\n")?;
+    let client_wait = text("x-deadline").and_then(|text| text.parse().ok());
+    let client_wait = client_wait.and_then(|seconds| Duration::try_from_secs_f64(seconds).ok());
+    let client_wait =
+        client_wait.filter(|client_wait| !client_wait.is_zero() && *client_wait <= MAX_CLIENT_DEADLINE);
+    let client_wait = client_wait.ok_or("X-Deadline is missing or no time above 0\n")?;
     let cost_us = text("x-cost-hint").and_then(|text| text.parse::<f64>().ok());
     let request = spurdrum_policy::Request {
         tenant,
@@ -435,42 +461,44 @@
         client_retry: text("x-retry") == Some("1"),
         ..spurdrum_policy::Request::new(RequestId(0), class, 0.0)
     };
-    Ok((wait, request))
+    Ok((client_wait, request))
 }
 
 /// A body, or the beginning of a long one.
 enum ReceivedBody {
-    Whole(Bytes),
-    Long(Vec<Bytes>, Incoming),
+    Buffered(Bytes),
+    Streamed(Vec<Bytes>, Incoming),
 }
 
 impl ReceivedBody {
-    /// Whether it is too long to be held.
-    fn is_long(&self) -> bool {
-        matches!(self, Self::Long(..))
+    /// Returns whether the body is too long to be buffered.
+    fn is_streamed(&self) -> bool {
+        matches!(self, Self::Streamed(..))
     }
 
-    /// Whether there is a body at all.
+    /// Returns whether there is a body at all.
     fn has_bytes(&self) -> bool {
         match self {
-            Self::Whole(bytes) => !bytes.is_empty(),
-            Self::Long(..) => true,
+            Self::Buffered(bytes) => !bytes.is_empty(),
+            Self::Streamed(..) => true,
         }
     }
 }
 
-/// Reads a body that is short enough to be held.
+/// Reads a body completely if it is short enough to be buffered, and otherwise its beginning.
 async fn read_body(mut body: Incoming, length: Option<u64>) -> Result<ReceivedBody, StatusCode> {
-    let mut came: Vec<Bytes> = Vec::new();
-    let mut bytes = 0;
-    while length.is_none_or(|length| length <= MAX_BUFFERED_BODY as u64) && bytes <= MAX_BUFFERED_BODY {
+    let mut received: Vec<Bytes> = Vec::new();
+    let mut received_bytes = 0;
+    while length.is_none_or(|length| length <= MAX_BUFFERED_BODY as u64)
+        && received_bytes <= MAX_BUFFERED_BODY
+    {
         let Some(frame) = body.frame().await else {
-            return Ok(ReceivedBody::Whole(joined(came)));
+            return Ok(ReceivedBody::Buffered(concatenate(received)));
         };
         if let Ok(data) = frame.map_err(|_| StatusCode::BAD_REQUEST)?.into_data() {
-            bytes += data.len();
-            came.push(data);
+            received_bytes += data.len();
+            received.push(data);
         }
     }
-    Ok(ReceivedBody::Long(came, body))
+    Ok(ReceivedBody::Streamed(received, body))
 }
--- a/crates/spurdrum-http/src/shutdown/tests.rs
+++ b/crates/spurdrum-http/src/shutdown/tests.rs
@@ -1,56 +1,57 @@
 use super::*;
 
-const LONGEST: Duration = Duration::from_secs(2);
+const LONGEST_DEADLINE: Duration = Duration::from_secs(2);
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-fn remaining(handover_status: HandoverStatus) -> Remaining {
-    Remaining { handover_status, idle: false, handed_over: false }
+fn remaining(handover_status: HandoverStatus) -> RemainingWork {
+    RemainingWork { handover_status, idle: false, handed_over: false }
 }
 
-/// All steps up to `now`, of a process that looks as often as it means to.
-fn steps(shutdown: &mut Shutdown, now: Instant, remaining: Remaining) -> Vec<Step> {
+/// Returns all steps up to `now` of a process that checks as often as it intends to.
+fn steps(shutdown: &mut Shutdown, now: Instant, remaining: RemainingWork) -> Vec<Step> {
     let mut steps = Vec::new();
-    while shutdown.looked_at < now && !steps.contains(&Step::End) {
-        let next = shutdown.next_look(shutdown.looked_at).min(now);
-        shutdown.look(next, remaining, &mut steps);
+    while shutdown.checked_at < now && !steps.contains(&Step::End) {
+        let next_check = shutdown.next_check(shutdown.checked_at).min(now);
+        shutdown.check(next_check, remaining, &mut steps);
     }
     if steps.is_empty() {
-        shutdown.look(now, remaining, &mut steps);
+        shutdown.check(now, remaining, &mut steps);
     }
     steps
 }
 
-/// The steps of a process that stood still since its last look.
-fn steps_after_pause(shutdown: &mut Shutdown, now: Instant, remaining: Remaining) -> Vec<Step> {
+/// Returns the steps of a process that was paused since its last check.
+fn steps_after_pause(shutdown: &mut Shutdown, now: Instant, remaining: RemainingWork) -> Vec<Step> {
     let mut steps = Vec::new();
-    shutdown.look(now, remaining, &mut steps);
+    shutdown.check(now, remaining, &mut steps);
     steps
 }
 
-/// Guards against a handover that is decided once, at the signal, when its confirmation lies unread in the socket.
+/// The decision to hand over must not be final at the signal: the confirmation may still be unread in the
+/// socket.
 #[test]
-fn a_confirmation_that_is_read_after_the_signal_still_hands_over() {
+fn a_confirmation_read_after_the_signal_still_starts_the_handover() {
     let start = Instant::now();
-    let mut shutdown = Shutdown::new(start, LONGEST);
+    let mut shutdown = Shutdown::new(start, LONGEST_DEADLINE);
     assert_eq!(steps(&mut shutdown, start, remaining(HandoverStatus::Offered)), []);
-    assert!(shutdown.accepts(), "it serves as before until then");
+    assert!(shutdown.accepts(), "the process serves as before until then");
     let after = steps(&mut shutdown, start + ms(1), remaining(HandoverStatus::Confirmed));
     assert_eq!(after, [Step::HandOver]);
     assert!(!shutdown.accepts());
-    let done = Remaining { handover_status: HandoverStatus::Confirmed, idle: true, handed_over: true };
+    let done = RemainingWork { handover_status: HandoverStatus::Confirmed, idle: true, handed_over: true };
     assert_eq!(steps(&mut shutdown, start + ms(20), done), [Step::End]);
 }
 
 #[test]
-fn a_confirmation_that_does_not_come_is_not_waited_for_and_counts_all_the_same_when_it_does() {
+fn a_late_confirmation_is_honoured_after_the_wait_for_it_has_ended() {
     let start = Instant::now();
-    let mut shutdown = Shutdown::new(start, LONGEST);
+    let mut shutdown = Shutdown::new(start, LONGEST_DEADLINE);
     let offered = remaining(HandoverStatus::Offered);
-    assert_eq!(steps(&mut shutdown, start + CONFIRMATION_MOST - ms(1), offered), []);
-    assert_eq!(steps(&mut shutdown, start + CONFIRMATION_MOST, offered), [Step::Close]);
+    assert_eq!(steps(&mut shutdown, start + MAX_CONFIRMATION_WAIT - ms(1), offered), []);
+    assert_eq!(steps(&mut shutdown, start + MAX_CONFIRMATION_WAIT, offered), [Step::Close]);
     assert_eq!(steps(&mut shutdown, start + ms(300), offered), []);
     assert!(shutdown.accepts());
     let late = steps(&mut shutdown, start + ms(400), remaining(HandoverStatus::Confirmed));
@@ -59,55 +60,57 @@
 }
 
 #[test]
-fn where_the_other_process_dies_this_one_closes_by_itself() {
+fn if_the_incoming_process_dies_this_one_closes_its_connections() {
     let start = Instant::now();
     for before in [HandoverStatus::Offered, HandoverStatus::Confirmed] {
-        let mut shutdown = Shutdown::new(start, LONGEST);
+        let mut shutdown = Shutdown::new(start, LONGEST_DEADLINE);
         steps(&mut shutdown, start, remaining(before));
         assert_eq!(steps(&mut shutdown, start + ms(50), remaining(HandoverStatus::None)), [Step::Close]);
         assert!(shutdown.accepts());
-        let idle = Remaining { idle: true, ..remaining(HandoverStatus::None) };
-        assert_eq!(steps(&mut shutdown, start + STILL_COMING - ms(1), idle), []);
-        assert_eq!(steps(&mut shutdown, start + STILL_COMING, idle), [Step::CloseIdle, Step::End]);
+        let idle = RemainingWork { idle: true, ..remaining(HandoverStatus::None) };
+        assert_eq!(steps(&mut shutdown, start + ARRIVAL_PERIOD - ms(1), idle), []);
+        assert_eq!(steps(&mut shutdown, start + ARRIVAL_PERIOD, idle), [Step::CloseIdle, Step::End]);
     }
 }
 
 #[test]
-fn connections_that_still_come_keep_it_from_closing_those_that_rest() {
+fn new_connections_delay_the_closing_of_idle_ones() {
     let start = Instant::now();
-    let mut shutdown = Shutdown::new(start, LONGEST);
+    let mut shutdown = Shutdown::new(start, LONGEST_DEADLINE);
     steps(&mut shutdown, start, remaining(HandoverStatus::None));
     shutdown.accepted(start + ms(400));
-    let idle = Remaining { idle: true, ..remaining(HandoverStatus::None) };
-    assert_eq!(steps(&mut shutdown, start + ms(400) + QUIET - ms(1), idle), []);
-    assert_eq!(steps(&mut shutdown, start + ms(400) + QUIET, idle), [Step::CloseIdle, Step::End]);
+    let idle = RemainingWork { idle: true, ..remaining(HandoverStatus::None) };
+    assert_eq!(steps(&mut shutdown, start + ms(400) + QUIET_PERIOD - ms(1), idle), []);
+    assert_eq!(steps(&mut shutdown, start + ms(400) + QUIET_PERIOD, idle), [Step::CloseIdle, Step::End]);
 }
 
-/// Guards against a process that hands over, ends at its time and leaves what still waits with no answer.
+/// Without the final notice, a process that hands over would exit and leave pending requests without any
+/// response.
 #[test]
-fn whatever_is_left_gets_its_last_answer_before_the_end() {
+fn pending_requests_get_a_final_response_before_the_exit() {
     let start = Instant::now();
     for handover_status in [HandoverStatus::None, HandoverStatus::Offered, HandoverStatus::Confirmed] {
-        let mut shutdown = Shutdown::new(start, LONGEST);
+        let mut shutdown = Shutdown::new(start, LONGEST_DEADLINE);
         steps(&mut shutdown, start, remaining(handover_status));
-        let end = start + LONGEST + END;
-        let called = steps(&mut shutdown, end - LAST_CALL, remaining(handover_status));
-        assert!(called.contains(&Step::LastCall), "{handover_status:?}: {called:?}");
-        assert!(!called.contains(&Step::End), "{handover_status:?}: {called:?}");
+        let end = start + LONGEST_DEADLINE + SHUTDOWN_GRACE;
+        let notified = steps(&mut shutdown, end - FINAL_NOTICE_PERIOD, remaining(handover_status));
+        assert!(notified.contains(&Step::FinalNotice), "{handover_status:?}: {notified:?}");
+        assert!(!notified.contains(&Step::End), "{handover_status:?}: {notified:?}");
         let again = steps(&mut shutdown, end - ms(1), remaining(handover_status));
         assert!(
-            !again.contains(&Step::LastCall) && !again.contains(&Step::End),
+            !again.contains(&Step::FinalNotice) && !again.contains(&Step::End),
             "{handover_status:?}: {again:?}"
         );
         assert_eq!(steps(&mut shutdown, end, remaining(handover_status)), [Step::End]);
     }
 }
 
-/// Guards against a confirmation that is not waited for because this process stood still.
+/// If the pause counted as waiting time, the process would give up on a confirmation that it has not had time
+/// to read.
 #[test]
-fn a_pause_of_this_process_is_no_part_of_the_wait_for_a_confirmation() {
+fn a_pause_does_not_count_as_waiting_for_a_confirmation() {
     let start = Instant::now();
-    let mut shutdown = Shutdown::new(start, LONGEST);
+    let mut shutdown = Shutdown::new(start, LONGEST_DEADLINE);
     let offered = remaining(HandoverStatus::Offered);
     assert_eq!(steps(&mut shutdown, start + ms(50), offered), []);
     assert_eq!(steps_after_pause(&mut shutdown, start + ms(1050), offered), []);
@@ -116,124 +119,150 @@
     assert_eq!(after.first(), Some(&Step::Close));
 }
 
-/// Guards against a second pause that counts as slowness of others, because the first one has been seen.
+/// If only the first pause were left out, a second one would be mistaken for slowness of the incoming
+/// process.
 #[test]
-fn each_pause_of_this_process_counts_and_not_only_the_first() {
+fn every_pause_is_left_out_and_not_only_the_first() {
     let start = Instant::now();
-    let mut shutdown = Shutdown::new(start, LONGEST);
+    let mut shutdown = Shutdown::new(start, LONGEST_DEADLINE);
     let offered = remaining(HandoverStatus::Offered);
     let mut now = start;
     for _ in 0..3 {
         now += ms(50);
         assert_eq!(steps(&mut shutdown, now, offered), []);
         now += ms(400);
-        assert_eq!(steps_after_pause(&mut shutdown, now, offered), [], "it still waits for the confirmation");
+        assert_eq!(
+            steps_after_pause(&mut shutdown, now, offered),
+            [],
+            "the process still waits for the confirmation"
+        );
     }
     assert_eq!(steps(&mut shutdown, now + ms(10), remaining(HandoverStatus::Confirmed)), [Step::HandOver]);
 }
 
-/// Guards against a pause of this process that it takes for a time in which nobody connects: who did would be reset.
+/// If a pause counted as quiet time, the process would exit and reset connections that clients opened
+/// meanwhile.
 #[test]
-fn a_pause_of_this_process_is_no_quiet_time() {
+fn a_pause_does_not_count_as_quiet_period() {
     let start = Instant::now();
-    let mut shutdown = Shutdown::new(start, LONGEST);
-    let idle = Remaining { idle: true, ..remaining(HandoverStatus::None) };
+    let mut shutdown = Shutdown::new(start, LONGEST_DEADLINE);
+    let idle = RemainingWork { idle: true, ..remaining(HandoverStatus::None) };
     assert_eq!(steps(&mut shutdown, start + ms(50), idle), [Step::Close]);
     assert_eq!(steps_after_pause(&mut shutdown, start + ms(1050), idle), []);
-    let quiet = start + ms(1050) - ms(50) + QUIET;
+    let quiet = start + ms(1050) - ms(50) + QUIET_PERIOD;
     assert_eq!(steps(&mut shutdown, quiet - ms(1), idle), []);
     assert_eq!(steps(&mut shutdown, quiet, idle), [Step::CloseIdle, Step::End]);
 }
 
-/// Guards against an end without last answers, and before what has come meanwhile is read.
+/// A process that resumes after its exit time must neither exit without final responses nor before it has
+/// read what arrived during the pause.
 #[test]
-fn a_process_that_stood_still_past_its_deadline_gives_last_answers_before_it_ends() {
+fn a_process_paused_past_its_exit_time_sends_final_responses_before_it_exits() {
     let start = Instant::now();
-    let ending = |shutdown: &mut Shutdown, now, handover_status| {
+    let relevant_steps = |shutdown: &mut Shutdown, now, handover_status| {
         let steps = steps(shutdown, now, remaining(handover_status));
         steps.into_iter().filter(|step| *step != Step::CloseIdle).collect::<Vec<_>>()
     };
     for handover_status in [HandoverStatus::None, HandoverStatus::Confirmed] {
-        let mut shutdown = Shutdown::new(start, LONGEST);
+        let mut shutdown = Shutdown::new(start, LONGEST_DEADLINE);
         steps(&mut shutdown, start, remaining(handover_status));
-        let resumed = start + LONGEST + END + ms(500);
-        let begins_nothing = [Step::BeginNothing];
-        assert_eq!(steps_after_pause(&mut shutdown, resumed, remaining(handover_status)), begins_nothing);
-        let end = resumed + RESUMED_LEAST;
-        assert_eq!(ending(&mut shutdown, end - LAST_CALL - ms(1), handover_status), []);
-        assert_eq!(ending(&mut shutdown, end - LAST_CALL, handover_status), [Step::LastCall]);
-        assert_eq!(ending(&mut shutdown, end - ms(1), handover_status), []);
-        assert_eq!(ending(&mut shutdown, end, handover_status), [Step::End]);
+        let resumed = start + LONGEST_DEADLINE + SHUTDOWN_GRACE + ms(500);
+        let stop_new_attempts = [Step::StopNewAttempts];
+        assert_eq!(steps_after_pause(&mut shutdown, resumed, remaining(handover_status)), stop_new_attempts);
+        let end = resumed + MIN_TIME_AFTER_PAUSE;
+        assert_eq!(relevant_steps(&mut shutdown, end - FINAL_NOTICE_PERIOD - ms(1), handover_status), []);
+        assert_eq!(
+            relevant_steps(&mut shutdown, end - FINAL_NOTICE_PERIOD, handover_status),
+            [Step::FinalNotice]
+        );
+        assert_eq!(relevant_steps(&mut shutdown, end - ms(1), handover_status), []);
+        assert_eq!(relevant_steps(&mut shutdown, end, handover_status), [Step::End]);
     }
 }
 
-/// Guards against an attempt that begins right before the last call, where another process has time for it.
+/// An attempt that begins right before the final notice cannot be answered in time, while the incoming
+/// process has time for the request.
 #[test]
-fn past_the_longest_deadline_nothing_begins_where_another_process_takes_over() {
+fn no_attempt_begins_after_the_longest_deadline_if_another_process_takes_over() {
     let start = Instant::now();
-    let first_told = |handover_status| {
-        let mut shutdown = Shutdown::new(start, LONGEST);
+    let stopped_after = |handover_status| {
+        let mut shutdown = Shutdown::new(start, LONGEST_DEADLINE);
         let mut now = start;
-        while !steps(&mut shutdown, now, remaining(handover_status)).contains(&Step::BeginNothing) {
-            assert!(now < start + LONGEST + END, "{handover_status:?}: it never is told");
+        while !steps(&mut shutdown, now, remaining(handover_status)).contains(&Step::StopNewAttempts) {
+            assert!(
+                now < start + LONGEST_DEADLINE + SHUTDOWN_GRACE,
+                "{handover_status:?}: attempts are never stopped"
+            );
             now += ms(10);
         }
         now - start
     };
-    assert_eq!(first_told(HandoverStatus::Confirmed), LONGEST);
-    assert_eq!(first_told(HandoverStatus::None), LONGEST + END - LAST_CALL, "nobody else has time for it");
+    assert_eq!(stopped_after(HandoverStatus::Confirmed), LONGEST_DEADLINE);
+    assert_eq!(
+        stopped_after(HandoverStatus::None),
+        LONGEST_DEADLINE + SHUTDOWN_GRACE - FINAL_NOTICE_PERIOD,
+        "no other process has time for the request"
+    );
 }
 
-/// Guards against a request that is refused though another process is there: its confirmation lies unread as this one goes on.
+/// Requests must not be refused while the incoming process exists and its confirmation is still unread when
+/// this process resumes.
 #[test]
-fn past_its_end_a_process_waits_for_the_confirmation_before_it_gives_up_what_has_not_begun() {
+fn past_its_exit_time_a_process_waits_for_the_confirmation_before_it_stops_attempts() {
     let start = Instant::now();
-    let mut shutdown = Shutdown::new(start, LONGEST);
+    let mut shutdown = Shutdown::new(start, LONGEST_DEADLINE);
     let offered = remaining(HandoverStatus::Offered);
     assert_eq!(steps(&mut shutdown, start + ms(50), offered), []);
-    let resumed = start + LONGEST + END + ms(500);
+    let resumed = start + LONGEST_DEADLINE + SHUTDOWN_GRACE + ms(500);
     assert_eq!(steps_after_pause(&mut shutdown, resumed, offered), []);
     let after = steps(&mut shutdown, resumed + ms(5), remaining(HandoverStatus::Confirmed));
-    assert_eq!(after, [Step::HandOver, Step::BeginNothing]);
+    assert_eq!(after, [Step::HandOver, Step::StopNewAttempts]);
     let again = steps(&mut shutdown, resumed + ms(15), remaining(HandoverStatus::Confirmed));
-    assert_eq!(again, [], "it is told once");
+    assert_eq!(again, [], "attempts are stopped only once");
 }
 
-/// Guards against last answers before what came during a pause is read, where the process had been slow just before it.
+/// Final responses must not be sent before the input that arrived during a pause has been read, even if the
+/// check before the pause was late as well.
 #[test]
-fn a_pause_past_the_deadline_counts_right_after_a_late_look_too() {
+fn a_pause_past_the_exit_time_counts_even_after_a_late_check() {
     let start = Instant::now();
-    let mut shutdown = Shutdown::new(start, LONGEST);
+    let mut shutdown = Shutdown::new(start, LONGEST_DEADLINE);
     let confirmed = remaining(HandoverStatus::Confirmed);
     assert_eq!(steps(&mut shutdown, start + ms(50), confirmed), [Step::HandOver]);
     assert_eq!(steps_after_pause(&mut shutdown, start + ms(200), confirmed), []);
-    let resumed = start + LONGEST + END + ms(100);
-    assert_eq!(steps_after_pause(&mut shutdown, resumed, confirmed), [Step::BeginNothing]);
-    assert_eq!(steps(&mut shutdown, resumed + RESUMED_LEAST - LAST_CALL, confirmed), [Step::LastCall]);
+    let resumed = start + LONGEST_DEADLINE + SHUTDOWN_GRACE + ms(100);
+    assert_eq!(steps_after_pause(&mut shutdown, resumed, confirmed), [Step::StopNewAttempts]);
+    assert_eq!(
+        steps(&mut shutdown, resumed + MIN_TIME_AFTER_PAUSE - FINAL_NOTICE_PERIOD, confirmed),
+        [Step::FinalNotice]
+    );
 }
 
-/// Guards against a process that is slow, takes that for pauses over and over and never gives its last answers: SIGKILL may come
-/// 0.7 s after the longest deadline.
+/// A slow process that takes each delay for a pause would never send its final responses, and SIGKILL may
+/// come 0.7 s after the longest deadline.
 #[test]
-fn a_process_that_is_slow_gives_its_last_answers_in_time_and_ends() {
+fn a_slow_process_sends_its_final_responses_in_time_and_exits() {
     let start = Instant::now();
     let mut random = 7_u64;
     for round in 0..2_000 {
-        let mut shutdown = Shutdown::new(start, LONGEST);
-        let (mut now, mut called) = (start, None);
-        let longest_gap = 10 + round % 140;
-        let ended = loop {
+        let mut shutdown = Shutdown::new(start, LONGEST_DEADLINE);
+        let (mut now, mut notified_at) = (start, None);
+        let max_gap = 10 + round % 140;
+        let ended_at = loop {
             random = random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-            now += ms(1 + (random >> 33) % longest_gap);
-            let came = steps_after_pause(&mut shutdown, now, remaining(HandoverStatus::Confirmed));
-            if came.contains(&Step::End) {
+            now += ms(1 + (random >> 33) % max_gap);
+            let steps = steps_after_pause(&mut shutdown, now, remaining(HandoverStatus::Confirmed));
+            if steps.contains(&Step::End) {
                 break now;
             }
-            called = called.or(came.contains(&Step::LastCall).then_some(now));
+            notified_at = notified_at.or(steps.contains(&Step::FinalNotice).then_some(now));
         };
-        let called = called.expect("a last call before the end");
-        let latest = start + LONGEST + END - LAST_CALL + ms(2 * longest_gap);
-        assert!(called <= latest, "gaps of up to {longest_gap}: {:?}", called - start);
-        assert!(ended >= called + LAST_CALL && ended <= called + LAST_CALL + ms(20 + 2 * longest_gap));
+        let notified_at = notified_at.expect("a final notice before the exit");
+        let latest = start + LONGEST_DEADLINE + SHUTDOWN_GRACE - FINAL_NOTICE_PERIOD + ms(2 * max_gap);
+        assert!(notified_at <= latest, "gaps of up to {max_gap}: {:?}", notified_at - start);
+        assert!(
+            ended_at >= notified_at + FINAL_NOTICE_PERIOD
+                && ended_at <= notified_at + FINAL_NOTICE_PERIOD + ms(20 + 2 * max_gap)
+        );
     }
 }
--- a/crates/spurdrum-http/src/socket.rs
+++ b/crates/spurdrum-http/src/socket.rs
@@ -1,4 +1,4 @@
-//! Sockets as hyper drives them, while their owners still hold them.
+//! Adapts a socket to hyper's I/O traits while its owner keeps access to it.
 
 use std::io;
 use std::net::Shutdown;
@@ -10,36 +10,37 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// What owns a socket.
+/// The owner of a socket that hyper reads and writes.
 pub trait Socket {
-    /// The socket itself.
+    /// Returns the socket itself.
     fn stream(&self) -> &TcpStream;
 
-    /// Moves into `buf` what was read of the socket before hyper asked for it. Whether there was any.
-    fn take_kept(&self, _buf: &mut ReadBuf<'_>) -> bool {
+    /// Moves bytes into `buf` that were read from the socket before hyper asked for them. Returns whether
+    /// there were any.
+    fn take_prefetched(&self, _buf: &mut ReadBuf<'_>) -> bool {
         false
     }
 
-    /// Bytes have just been read from the socket itself.
-    fn was_read(&self) {}
+    /// Called after bytes have been read from the socket itself.
+    fn received_from_socket(&self) {}
 
-    /// These bytes have come and go to hyper next.
-    fn came(&self, _bytes: &[u8]) {}
+    /// Called with the bytes that are given to hyper next.
+    fn received(&self, _bytes: &[u8]) {}
 
-    /// So many bytes have been written.
-    fn went(&self, _bytes: usize) {}
+    /// Called after this many bytes have been written.
+    fn written(&self, _bytes: usize) {}
 
-    /// Everything that hyper had has been written.
+    /// Called when everything that hyper had to write has been written.
     fn flushed(&self) {}
 }
 
-/// Whether something has come that nobody has read: bytes, an end or an error. The socket itself is looked at:
-/// the event loop may not yet have heard of it.
+/// Returns whether the socket holds unread input: bytes, an end of stream or an error. This peeks at the
+/// socket itself, as the event loop may not have been notified yet.
 pub fn has_input(stream: &TcpStream) -> bool {
     !peek(stream).is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
 }
 
-/// Whether the next thing to be read is an end or an error.
+/// Returns whether the next read will yield an end of stream or an error.
 pub fn is_closed(stream: &TcpStream) -> bool {
     match peek(stream) {
         Ok(bytes) => bytes == 0,
@@ -51,15 +52,15 @@
     SockRef::from(stream).peek(&mut [std::mem::MaybeUninit::uninit()])
 }
 
-/// hyper's side of a socket.
+/// The I/O object that is given to hyper.
 pub struct Io<S>(pub Rc<S>);
 
 impl<S: Socket> AsyncRead for Io<S> {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let stream = self.0.stream();
         let filled = buf.filled().len();
-        if self.0.take_kept(buf) {
-            self.0.came(&buf.filled()[filled..]);
+        if self.0.take_prefetched(buf) {
+            self.0.received(&buf.filled()[filled..]);
             return Poll::Ready(Ok(()));
         }
         loop {
@@ -69,8 +70,8 @@
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 Err(error) => return Poll::Ready(Err(error)),
                 Ok(n) => {
-                    self.0.was_read();
-                    self.0.came(&unfilled[..n]);
+                    self.0.received_from_socket();
+                    self.0.received(&unfilled[..n]);
                     buf.advance(n);
                     return Poll::Ready(Ok(()));
                 }
@@ -100,7 +101,7 @@
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 result => {
                     if let Ok(bytes) = result {
-                        self.0.went(bytes);
+                        self.0.written(bytes);
                     }
                     return Poll::Ready(result);
                 }
--- a/crates/spurdrum-http/src/stream.rs
+++ b/crates/spurdrum-http/src/stream.rs
@@ -1,5 +1,5 @@
-//! Bodies that pass through: of a request on its way to a server, of an answer on its way to a client. A frame is read only
-//! when the other side has room for it, so what is held does not grow with the length.
+//! Streamed bodies: of a request on its way to a server, and of a response on its way to a client. A frame is
+//! read only when the other side has room for it, so that the memory in use does not grow with the length.
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -17,144 +17,146 @@
 use tokio::sync::{oneshot, Notify};
 use tokio::time::{sleep, sleep_until, Instant, Sleep};
 
-/// A server that gives or takes nothing for so long has broken off.
-pub const STALLED: Duration = Duration::from_secs(5);
+/// A server that neither sends nor accepts data for this long is considered failed.
+pub const STALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Why a body breaks off.
+/// The reason why a body was aborted.
 pub type Error = Box<dyn std::error::Error + Send + Sync>;
 
-/// When a node stops waiting: known only once the last byte of the request has come.
+/// When the node stops waiting. This is known only once the last byte of the request has been received.
 pub struct Deadline {
     wait: Duration,
     at: Cell<Option<Instant>>,
-    set: Notify,
+    was_set: Notify,
 }
 
 impl Deadline {
-    /// The request has come.
+    /// Creates the deadline of a request that has been received completely.
     pub fn at(at: Instant) -> Self {
-        Self { wait: Duration::ZERO, at: Cell::new(Some(at)), set: Notify::new() }
+        Self { wait: Duration::ZERO, at: Cell::new(Some(at)), was_set: Notify::new() }
     }
 
-    /// The request is still coming; there will be so long after its last byte.
+    /// Creates the deadline of a request that is still arriving: it passes after `wait` from the last byte.
     pub fn after(wait: Duration) -> Self {
-        Self { wait, at: Cell::new(None), set: Notify::new() }
+        Self { wait, at: Cell::new(None), was_set: Notify::new() }
     }
 
-    /// The last byte has come.
+    /// Called when the last byte has been received.
     pub fn begin(&self) {
         if self.at.get().is_none() {
             self.at.set(Some(Instant::now() + self.wait));
-            self.set.notify_waiters();
+            self.was_set.notify_waiters();
         }
     }
 
-    /// Time that is left, or that there will be.
-    pub fn left(&self) -> Duration {
+    /// Returns the time that is left, or that there will be once the request has been received.
+    pub fn remaining(&self) -> Duration {
         self.at.get().map_or(self.wait, |at| at.saturating_duration_since(Instant::now()))
     }
 
-    /// Waits until so long after it.
+    /// Waits until `margin` after the deadline.
     pub async fn passed(&self, margin: Duration) {
         loop {
-            let set = self.set.notified();
+            let was_set = self.was_set.notified();
             match self.at.get() {
                 Some(at) => return sleep_until(at + margin).await,
-                None => set.await,
+                None => was_set.await,
             }
         }
     }
 }
 
-/// Hears of a client's body while it passes through.
-pub trait Listener {
-    /// The body is read no more for now, as there is no room for it; or it is read again.
-    fn waits(&self, waits: bool);
+/// Observes a client's body while it is being streamed.
+pub trait BodyObserver {
+    /// Called when the body is not being read for lack of room at the server, and when reading resumes.
+    fn set_suspended(&self, suspended: bool);
 
-    /// So much is gone that it cannot be sent again.
-    fn spent(&self);
+    /// Called when the beginning of the body has been discarded, so that it cannot be sent again.
+    fn prefix_discarded(&self);
 
-    /// All of it has come.
-    fn whole(&self);
+    /// Called when the whole body has been received.
+    fn complete(&self);
 }
 
-/// A client's body that is too long to be held.
-pub struct Source {
+/// A client's body that is too long to be buffered.
+pub struct RequestStream {
     body: RefCell<Incoming>,
     length: Option<u64>,
-    /// What has come, while it can be sent again from here.
-    held: RefCell<Vec<Bytes>>,
-    held_most: usize,
-    spent: Cell<bool>,
-    whole: Cell<bool>,
-    broken: Cell<bool>,
-    waits: Cell<bool>,
-    listener: RefCell<Option<Box<dyn Listener>>>,
+    /// The beginning of the body, kept for as long as all that was received fits, so that a retry can send it
+    /// again.
+    replay_buffer: RefCell<Vec<Bytes>>,
+    max_replay_bytes: usize,
+    prefix_discarded: Cell<bool>,
+    complete: Cell<bool>,
+    client_failed: Cell<bool>,
+    is_suspended: Cell<bool>,
+    observer: RefCell<Option<Box<dyn BodyObserver>>>,
 }
 
-impl Source {
-    /// This has come of it already, and the rest is to come. Of its beginning, so much may be held.
-    pub fn new(body: Incoming, length: Option<u64>, came: Vec<Bytes>, held_most: usize) -> Self {
+impl RequestStream {
+    /// Creates the stream of a body of which `received` has already been received. At most `max_replay_bytes`
+    /// of its beginning are kept for retries.
+    pub fn new(body: Incoming, length: Option<u64>, received: Vec<Bytes>, max_replay_bytes: usize) -> Self {
         Self {
             body: RefCell::new(body),
             length,
-            held: RefCell::new(came),
-            held_most,
-            spent: Cell::new(false),
-            whole: Cell::new(false),
-            broken: Cell::new(false),
-            waits: Cell::new(false),
-            listener: RefCell::default(),
+            replay_buffer: RefCell::new(received),
+            max_replay_bytes,
+            prefix_discarded: Cell::new(false),
+            complete: Cell::new(false),
+            client_failed: Cell::new(false),
+            is_suspended: Cell::new(false),
+            observer: RefCell::default(),
         }
     }
 
-    /// Who hears of it.
-    pub fn listen(&self, listener: impl Listener + 'static) {
-        self.listener.replace(Some(Box::new(listener)));
+    /// Sets the observer of the body.
+    pub fn set_observer(&self, observer: impl BodyObserver + 'static) {
+        self.observer.replace(Some(Box::new(observer)));
     }
 
-    /// Whether it cannot be sent again.
-    pub fn is_spent(&self) -> bool {
-        self.spent.get()
+    /// Returns whether the body can no longer be sent again.
+    pub fn is_prefix_discarded(&self) -> bool {
+        self.prefix_discarded.get()
     }
 
-    /// Whether its client broke off.
-    pub fn is_broken(&self) -> bool {
-        self.broken.get()
+    /// Returns whether the client aborted the body.
+    pub fn has_client_failed(&self) -> bool {
+        self.client_failed.get()
     }
 
-    /// Whether there is no room for more of it.
-    pub fn waits(&self) -> bool {
-        self.waits.get()
+    /// Returns whether the body is not being read because the server has no room for more.
+    pub fn is_suspended(&self) -> bool {
+        self.is_suspended.get()
     }
 
-    fn tell(&self, what: impl FnOnce(&dyn Listener)) {
-        if let Some(listener) = &*self.listener.borrow() {
-            what(&**listener);
+    fn notify(&self, callback: impl FnOnce(&dyn BodyObserver)) {
+        if let Some(observer) = &*self.observer.borrow() {
+            callback(&**observer);
         }
     }
 
     fn poll(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Error>>> {
         loop {
-            if self.broken.get() {
-                return Poll::Ready(Some(Err("its client broke off".into())));
+            if self.client_failed.get() {
+                return Poll::Ready(Some(Err("the client aborted the request body".into())));
             }
             let frame = ready!(Pin::new(&mut *self.body.borrow_mut()).poll_frame(cx));
             match frame {
                 None => {
-                    self.come();
+                    self.mark_complete();
                     return Poll::Ready(None);
                 }
                 Some(Err(error)) => {
-                    self.broken.set(true);
+                    self.client_failed.set(true);
                     return Poll::Ready(Some(Err(error.into())));
                 }
-                // Trailers end with the hop: nobody on either side is told of any.
+                // Trailers end at each hop: they are not passed on in either direction.
                 Some(Ok(frame)) => {
                     if let Ok(data) = frame.into_data() {
-                        // Where the length is known nobody asks for more after the last byte.
+                        // If the length is known, nobody polls again after the last byte.
                         if self.body.borrow().is_end_stream() {
-                            self.come();
+                            self.mark_complete();
                         }
                         return Poll::Ready(Some(Ok(data)));
                     }
@@ -163,69 +165,69 @@
         }
     }
 
-    fn come(&self) {
-        if !self.whole.replace(true) {
-            self.tell(|listener| listener.whole());
+    fn mark_complete(&self) {
+        if !self.complete.replace(true) {
+            self.notify(|observer| observer.complete());
         }
     }
 
-    fn hold(&self, data: &Bytes) {
-        if self.spent.get() {
+    fn buffer_for_replay(&self, data: &Bytes) {
+        if self.prefix_discarded.get() {
             return;
         }
-        let mut held = self.held.borrow_mut();
-        if held.iter().map(Bytes::len).sum::<usize>() + data.len() <= self.held_most {
-            held.push(data.clone());
+        let mut replay_buffer = self.replay_buffer.borrow_mut();
+        if replay_buffer.iter().map(Bytes::len).sum::<usize>() + data.len() <= self.max_replay_bytes {
+            replay_buffer.push(data.clone());
         } else {
-            held.clear();
-            drop(held);
-            self.spent.set(true);
-            self.tell(|listener| listener.spent());
+            replay_buffer.clear();
+            drop(replay_buffer);
+            self.prefix_discarded.set(true);
+            self.notify(|observer| observer.prefix_discarded());
         }
     }
 }
 
-/// What has come of a body, in one piece.
-pub fn joined(mut came: Vec<Bytes>) -> Bytes {
-    match came.len() {
-        1 => came.swap_remove(0),
-        _ => came.concat().into(),
+/// Joins the received parts of a body.
+pub fn concatenate(mut received: Vec<Bytes>) -> Bytes {
+    match received.len() {
+        1 => received.swap_remove(0),
+        _ => received.concat().into(),
     }
 }
 
-/// A body that passes through.
-pub trait Through: Unpin {
-    /// Its next frame.
+/// A body that is streamed.
+pub trait BodyStream: Unpin {
+    /// Returns the next frame.
     fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Error>>>;
 
-    /// Whether there is no more of it.
+    /// Returns whether the body has ended.
     fn has_ended(&self) -> bool;
 
-    /// Its length, where that is known.
+    /// Returns the length, if it is known.
     fn length(&self) -> Option<u64>;
 }
 
-/// A body that is at hand, or passes through.
+/// A body that is buffered or streamed.
 pub enum StreamableBody<T> {
-    /// All of it is at hand.
-    Whole(Full<Bytes>),
-    /// It passes through.
-    Through(T),
+    /// The whole body is buffered.
+    Buffered(Full<Bytes>),
+    /// The body is streamed.
+    Streamed(T),
 }
 
-/// The body of one attempt.
-pub type Outgoing = StreamableBody<Upload>;
+/// The request body of one attempt.
+pub type AttemptBody = StreamableBody<Upload>;
 
-/// The body of an answer.
+/// The body of a response.
 pub type ResponseBody = StreamableBody<Download>;
 
 impl<T> From<Full<Bytes>> for StreamableBody<T> {
     fn from(body: Full<Bytes>) -> Self {
-        Self::Whole(body)
+        Self::Buffered(body)
     }
 }
 
-impl<T: Through> Body for StreamableBody<T> {
+impl<T: BodyStream> Body for StreamableBody<T> {
     type Data = Bytes;
     type Error = Error;
 
@@ -234,89 +236,96 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Self::Error>>> {
         match self.get_mut() {
-            Self::Whole(body) => Pin::new(body).poll_frame(cx).map_err(|never| match never {}),
-            Self::Through(body) => body.poll(cx),
+            Self::Buffered(body) => Pin::new(body).poll_frame(cx).map_err(|never| match never {}),
+            Self::Streamed(body) => body.poll(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Whole(body) => body.is_end_stream(),
-            Self::Through(body) => body.has_ended(),
+            Self::Buffered(body) => body.is_end_stream(),
+            Self::Streamed(body) => body.has_ended(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(body) => body.size_hint(),
-            Self::Through(body) => body.length().map_or_else(SizeHint::default, SizeHint::with_exact),
+            Self::Buffered(body) => body.size_hint(),
+            Self::Streamed(body) => body.length().map_or_else(SizeHint::default, SizeHint::with_exact),
         }
     }
 }
 
 /// A client's body on its way to a server.
 pub struct Upload {
-    source: Rc<Source>,
-    /// Next of what is held already.
-    next: usize,
-    /// All has been given to hyper.
-    given: Rc<dyn Fn()>,
-    ended: bool,
-    waits: bool,
+    stream: Rc<RequestStream>,
+    /// The index of the next part in the replay buffer.
+    next_index: usize,
+    /// Called when the whole body has been given to hyper.
+    on_complete: Rc<dyn Fn()>,
+    is_finished: bool,
+    is_suspended: bool,
 }
 
 impl Upload {
-    /// From the beginning; `None` where that is gone. `given` is called when hyper has all of it.
-    pub fn new(source: &Rc<Source>, given: Rc<dyn Fn()>) -> Option<Self> {
-        let source = Rc::clone(source);
-        (!source.is_spent()).then_some(Self { source, next: 0, given, ended: false, waits: false })
+    /// Creates an upload that starts at the beginning of the body; returns `None` if the beginning was
+    /// discarded. `on_complete` is called when hyper has the whole body.
+    pub fn new(stream: &Rc<RequestStream>, on_complete: Rc<dyn Fn()>) -> Option<Self> {
+        let stream = Rc::clone(stream);
+        (!stream.is_prefix_discarded()).then_some(Self {
+            stream,
+            next_index: 0,
+            on_complete,
+            is_finished: false,
+            is_suspended: false,
+        })
     }
 
-    fn end(&mut self) {
-        if !self.ended {
-            self.ended = true;
-            (self.given)();
+    fn finish(&mut self) {
+        if !self.is_finished {
+            self.is_finished = true;
+            (self.on_complete)();
         }
     }
 
-    fn wait(&mut self, waits: bool) {
-        if self.waits != waits {
-            self.waits = waits;
-            self.source.waits.set(waits);
-            self.source.tell(|listener| listener.waits(waits));
+    fn set_suspended(&mut self, suspended: bool) {
+        if self.is_suspended != suspended {
+            self.is_suspended = suspended;
+            self.stream.is_suspended.set(suspended);
+            self.stream.notify(|observer| observer.set_suspended(suspended));
         }
     }
 }
 
-impl Through for Upload {
+impl BodyStream for Upload {
     fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Error>>> {
-        let held = self.source.held.borrow().get(self.next).cloned();
-        if let Some(data) = held {
-            self.next += 1;
-            if self.source.whole.get() && self.next == self.source.held.borrow().len() {
-                self.end();
+        let buffered = self.stream.replay_buffer.borrow().get(self.next_index).cloned();
+        if let Some(data) = buffered {
+            self.next_index += 1;
+            if self.stream.complete.get() && self.next_index == self.stream.replay_buffer.borrow().len() {
+                self.finish();
             }
             return Poll::Ready(Some(Ok(Frame::data(data))));
         }
-        if self.source.whole.get() {
-            self.end();
+        if self.stream.complete.get() {
+            self.finish();
             return Poll::Ready(None);
         }
-        self.wait(false);
-        match ready!(self.source.poll(cx)) {
+        self.set_suspended(false);
+        match ready!(self.stream.poll(cx)) {
             None => {
-                self.end();
+                self.finish();
                 Poll::Ready(None)
             }
             Some(Err(error)) => Poll::Ready(Some(Err(error))),
             Some(Ok(data)) => {
-                self.source.hold(&data);
-                self.next += 1;
-                if self.source.whole.get() {
-                    self.end();
+                self.stream.buffer_for_replay(&data);
+                self.next_index += 1;
+                if self.stream.complete.get() {
+                    self.finish();
                 } else {
-                    // Until more is wanted the client is not to blame.
-                    self.wait(true);
+                    // Until hyper asks for more, the delay is not the client's fault.
+                    self.set_suspended(true);
                 }
                 Poll::Ready(Some(Ok(Frame::data(data))))
             }
@@ -324,83 +333,92 @@
     }
 
     fn has_ended(&self) -> bool {
-        self.ended
+        self.is_finished
     }
 
     fn length(&self) -> Option<u64> {
-        self.source.length
+        self.stream.length
     }
 }
 
 /// A server's body on its way to a client.
 pub struct Download {
     body: Incoming,
-    /// What had come before it was passed on.
-    came: std::vec::IntoIter<Bytes>,
+    /// The parts that were received before streaming began.
+    received: std::vec::IntoIter<Bytes>,
     length: Option<u64>,
-    /// What becomes of the connection when all has come.
-    done: Option<Box<dyn FnOnce()>>,
-    end: Option<oneshot::Sender<Ending>>,
-    stall: Pin<Box<Sleep>>,
+    /// Called when the whole body has been received; decides what happens to the connection.
+    on_complete: Option<Box<dyn FnOnce()>>,
+    end_sender: Option<oneshot::Sender<Ending>>,
+    stall_timer: Pin<Box<Sleep>>,
 }
 
 impl Download {
-    /// `done` is called when all has come; how it ended is told through `end`, at the latest when it is dropped.
+    /// Creates a download. `on_complete` is called when the whole body has been received. `end_sender`
+    /// receives how the body ended, at the latest when the download is dropped.
     pub fn new(
         body: Incoming,
-        came: Vec<Bytes>,
+        received: Vec<Bytes>,
         length: Option<u64>,
-        done: impl FnOnce() + 'static,
-        end: oneshot::Sender<Ending>,
+        on_complete: impl FnOnce() + 'static,
+        end_sender: oneshot::Sender<Ending>,
     ) -> Self {
-        let (came, stall) = (came.into_iter(), Box::pin(sleep(STALLED)));
-        Self { body, came, length, done: Some(Box::new(done)), end: Some(end), stall }
+        let (received, stall_timer) = (received.into_iter(), Box::pin(sleep(STALL_TIMEOUT)));
+        Self {
+            body,
+            received,
+            length,
+            on_complete: Some(Box::new(on_complete)),
+            end_sender: Some(end_sender),
+            stall_timer,
+        }
     }
 
-    fn end(&mut self, ending: Ending) {
-        if let Some(end) = self.end.take() {
-            // What it holds of the server's connection goes first: nothing of the attempt is out after its end.
-            match (self.done.take(), ending) {
-                (Some(done), Ending::Served) => done(),
-                (done, _) => drop(done),
+    fn finish(&mut self, ending: Ending) {
+        if let Some(end_sender) = self.end_sender.take() {
+            // The connection to the server is released first: nothing of the attempt is in flight after its
+            // end.
+            match (self.on_complete.take(), ending) {
+                (Some(on_complete), Ending::Served) => on_complete(),
+                (on_complete, _) => drop(on_complete),
             }
-            let _ = end.send(ending);
+            let _ = end_sender.send(ending);
         }
     }
 }
 
-impl Through for Download {
+impl BodyStream for Download {
     fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Error>>> {
-        if let Some(data) = self.came.next() {
-            if self.came.len() == 0 && self.body.is_end_stream() {
-                self.end(Ending::Served);
+        if let Some(data) = self.received.next() {
+            if self.received.len() == 0 && self.body.is_end_stream() {
+                self.finish(Ending::Served);
             }
             return Poll::Ready(Some(Ok(Frame::data(data))));
         }
         loop {
             match Pin::new(&mut self.body).poll_frame(cx) {
                 Poll::Pending => {
-                    ready!(self.stall.as_mut().poll(cx));
-                    if let Some(again) = catch_up_deadline(self.stall.deadline()) {
-                        self.stall.as_mut().reset(again);
+                    ready!(self.stall_timer.as_mut().poll(cx));
+                    if let Some(new_deadline) = catch_up_deadline(self.stall_timer.deadline()) {
+                        self.stall_timer.as_mut().reset(new_deadline);
                         continue;
                     }
-                    self.end(Ending::Reset);
+                    self.finish(Ending::Reset);
                     return Poll::Ready(Some(Err(io::Error::from(io::ErrorKind::TimedOut).into())));
                 }
                 Poll::Ready(None) => {
-                    self.end(Ending::Served);
+                    self.finish(Ending::Served);
                     return Poll::Ready(None);
                 }
                 Poll::Ready(Some(Err(error))) => {
-                    self.end(Ending::Reset);
+                    self.finish(Ending::Reset);
                     return Poll::Ready(Some(Err(error.into())));
                 }
                 Poll::Ready(Some(Ok(frame))) => {
-                    self.stall.as_mut().reset(Instant::now() + STALLED);
+                    self.stall_timer.as_mut().reset(Instant::now() + STALL_TIMEOUT);
                     if let Ok(data) = frame.into_data() {
                         if self.body.is_end_stream() {
-                            self.end(Ending::Served);
+                            self.finish(Ending::Served);
                         }
                         return Poll::Ready(Some(Ok(Frame::data(data))));
                     }
@@ -410,7 +428,7 @@
     }
 
     fn has_ended(&self) -> bool {
-        self.end.is_none()
+        self.end_sender.is_none()
     }
 
     fn length(&self) -> Option<u64> {
@@ -420,6 +438,6 @@
 
 impl Drop for Download {
     fn drop(&mut self) {
-        self.end(Ending::Cancelled);
+        self.finish(Ending::Cancelled);
     }
 }
--- a/crates/spurdrum-http/src/upstream.rs
+++ b/crates/spurdrum-http/src/upstream.rs
@@ -30,60 +30,68 @@
 
 use crate::keys::{AffinityKeys, PartialKey};
 use crate::socket::{self, has_input, Io};
-use crate::stream::{joined, Deadline, Download, Outgoing, ResponseBody, Source, Upload, STALLED};
+use crate::stream::{
+    concatenate, AttemptBody, Deadline, Download, RequestStream, ResponseBody, Upload, STALL_TIMEOUT,
+};
 
-/// An answer of unknown length is held back for so long at most, so that a break may still be mended: most that are short
-/// have come by then, and what is long is timed by its first byte.
-const HOLD_MOST: Duration = Duration::from_millis(25);
-/// Bodies are held up to this length; longer ones pass through.
+/// The longest time for which a response of unknown length is buffered, so that the attempt can be retried if
+/// the response breaks off. Most short responses are complete by then; the latency of a long one is measured
+/// at its first byte, which must not be delayed for longer.
+const MAX_BUFFERING_TIME: Duration = Duration::from_millis(25);
+/// Bodies are buffered up to this length; longer ones are streamed.
 pub const MAX_BUFFERED_BODY: usize = 64 * 1024;
-/// What hyper reads ahead, or has not written, of one side of a connection.
-pub(crate) const BUFFER: usize = 32 * 1024;
-/// Part of the idle limit for which a connection is kept: a server that closes it meanwhile resets a request.
-const IDLE_PART: f64 = 0.9;
-/// A connection is used again this long after an answer at the earliest. What a server sends right behind an
-/// answer, as a second copy of it, has shown by then; the next request must not get it.
-const REST: Duration = Duration::from_millis(5);
-/// Part of a request's time that a connection to a server may take to come up: another may be had after it.
-const DIAL_PART: f64 = 0.25;
-/// The end of an attempt is taken to reach its server within the shortest time in which a connection to it came up, and in between
-/// these: a clock has its grain, and one that came up late says little.
-const END_ARRIVES: (Duration, Duration) = (Duration::from_millis(1), Duration::from_millis(100));
-/// The head of an answer may be this long.
-const HEAD_MOST: usize = 16 * 1024;
-
-/// What of a client's request goes on to a server.
+/// The most bytes that hyper buffers in each direction of a connection, read ahead or not yet written.
+pub(crate) const MAX_BUFFER_BYTES: usize = 32 * 1024;
+/// The fraction of the servers' idle timeout for which a connection is kept. A server that closes the
+/// connection just as a request is sent would reset the request.
+const IDLE_FRACTION: f64 = 0.9;
+/// The least time between a response and the next use of its connection. Anything that a server sends right
+/// behind a response, such as a second copy of it, has arrived by then and cannot be taken for the response
+/// to the next request.
+const REUSE_DELAY: Duration = Duration::from_millis(5);
+/// The fraction of a request's remaining time that connecting to a server may take, so that another server
+/// can be tried afterwards.
+const CONNECT_BUDGET_FRACTION: f64 = 0.25;
+/// The bounds of the time within which a server is assumed to notice the end of an attempt. The estimate is
+/// the shortest time in which a connection to the server was established. The lower bound allows for the
+/// resolution of the clock. The upper bound applies if even that connection was established slowly: such a
+/// time says little about the round trip.
+const CLOSE_DELAY_RANGE: (Duration, Duration) = (Duration::from_millis(1), Duration::from_millis(100));
+/// The longest accepted head of a response.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+
+/// The parts of a client's request that are forwarded to a server.
 pub struct ForwardRequest {
-    /// Unchanged.
+    /// The method, unchanged.
     pub method: Method,
-    /// Unchanged.
+    /// The target, in origin form.
     pub uri: Uri,
-    /// Those that go on unchanged.
+    /// The header fields that are forwarded unchanged.
     pub headers: HeaderMap,
-    /// Unchanged.
+    /// The body, unchanged.
     pub body: RequestBody,
     /// When the node stops waiting.
     pub deadline: Rc<Deadline>,
-    /// Its key.
-    pub ask: Option<Ask>,
-    /// What a key is made of that its answer gives.
-    pub naming: Option<PartialKey>,
+    /// The affinity key of the request.
+    pub affinity_key: Option<Ask>,
+    /// The known parts of the key that the response may assign.
+    pub partial_key: Option<PartialKey>,
 }
 
-/// A request's body.
+/// The body of a request.
 pub enum RequestBody {
-    /// All of it.
-    Whole(Bytes),
-    /// It passes through.
-    Through(Rc<Source>),
+    /// The whole body.
+    Buffered(Bytes),
+    /// The body is streamed.
+    Streamed(Rc<RequestStream>),
 }
 
-/// What a client gets of a server's answer.
+/// The parts of a server's response that are passed on to the client.
 pub struct ServedResponse {
     /// The body.
     pub body: ResponseBody,
-    /// The value of the field by which servers give out keys.
-    pub given: Option<HeaderValue>,
+    /// The value of the header by which servers assign affinity keys.
+    pub affinity_header: Option<HeaderValue>,
 }
 
 impl TransportRequest for ForwardRequest {
@@ -94,21 +102,22 @@
     }
 
     fn affinity(&self) -> Option<Ask> {
-        self.ask
+        self.affinity_key
     }
 }
 
-type Ended = Reply<ServedResponse>;
+type AttemptReply = Reply<ServedResponse>;
 
 struct Socket {
     stream: TcpStream,
-    _slot: ServerConnectionPermit,
-    /// An attempt is being written, and hyper has all of it; and when the last one had been written.
+    _permit: ServerConnectionPermit,
+    /// `writing`: an attempt is being written, and hyper has been given all of it. `written_at`: when the
+    /// last attempt had been written completely.
     writing: Cell<bool>,
     written_at: Cell<Option<Instant>>,
-    /// When a byte went last.
-    moved: Cell<Instant>,
-    figures: Rc<NodeMetrics>,
+    /// When bytes were last written.
+    last_write_at: Cell<Instant>,
+    metrics: Rc<NodeMetrics>,
 }
 
 impl socket::Socket for Socket {
@@ -116,156 +125,160 @@
         &self.stream
     }
 
-    fn went(&self, _bytes: usize) {
-        self.moved.set(Instant::now());
+    fn written(&self, _bytes: usize) {
+        self.last_write_at.set(Instant::now());
     }
 
     fn flushed(&self) {
         if self.writing.take() {
             self.written_at.set(Some(Instant::now()));
-            self.figures.record_attempt();
+            self.metrics.record_attempt();
         }
     }
 }
 
 struct Connection {
-    sender: SendRequest<Outgoing>,
+    sender: SendRequest<AttemptBody>,
     socket: Rc<Socket>,
     address: SocketAddr,
     idle_since: Instant,
 }
 
 impl Connection {
-    /// Whether the server has neither closed nor spoken unasked.
-    fn is_sound(&self) -> bool {
+    /// Returns whether the server has neither closed the connection nor sent anything unasked.
+    fn is_usable(&self) -> bool {
         !self.sender.is_closed() && !has_input(&self.socket.stream)
     }
 }
 
 impl Drop for Connection {
-    /// Ends it for the server now: hyper's task lets go of the socket only when it next runs, and an attempt
-    /// that was given up must be over before the next begins.
+    /// Closes the connection towards the server now. hyper's task releases the socket only when it next runs,
+    /// and an abandoned attempt must have ended before the next one begins.
     fn drop(&mut self) {
-        // It fails where the connection is closed already.
+        // Fails if the connection is already closed.
         let _ = SockRef::from(&self.socket.stream).shutdown(Shutdown::Both);
     }
 }
 
-/// A server of the list. Attempts and probes hold it for as long as they are out, also past its time there.
+/// A server of the list. Attempts and probes that are in flight keep it alive, even after it was removed from
+/// the list.
 struct Server {
     address: Cell<SocketAddr>,
-    /// Whether the list lets it have new requests.
+    /// Whether the list allows new requests to the server.
     ready: Cell<bool>,
-    /// The shortest time in which a connection to it came up: a round trip.
-    round_trip: Cell<Duration>,
-    /// Connections that stand idle; the one used last is at the back.
-    idle: RefCell<VecDeque<Connection>>,
+    /// The shortest time in which a connection was established, i.e. a round trip.
+    min_connect_time: Cell<Duration>,
+    /// The idle connections; the one used last is at the back.
+    idle_connections: RefCell<VecDeque<Connection>>,
 }
 
 impl Server {
-    /// A kept connection that its server does not soon close: the last used of those that have rested.
-    fn idle(&self, keep: Duration) -> Option<Connection> {
-        self.close_idle(keep);
-        let mut idle = self.idle.borrow_mut();
-        let rested = idle.iter().rposition(|c| c.idle_since.elapsed() >= REST);
-        let at = rested.or_else(|| idle.len().checked_sub(1))?;
-        idle.remove(at)
+    /// Takes an idle connection that the server will not close soon: the one used last among those that are
+    /// past `REUSE_DELAY`, or else the one used last.
+    fn take_idle(&self, max_idle: Duration) -> Option<Connection> {
+        self.close_idle(max_idle);
+        let mut idle = self.idle_connections.borrow_mut();
+        let past_reuse_delay = idle.iter().rposition(|c| c.idle_since.elapsed() >= REUSE_DELAY);
+        let index = past_reuse_delay.or_else(|| idle.len().checked_sub(1))?;
+        idle.remove(index)
     }
 
-    /// Closes what has stood idle for too long.
-    fn close_idle(&self, keep: Duration) {
-        let mut idle = self.idle.borrow_mut();
-        let young = idle.iter().position(|c| c.idle_since.elapsed() < keep).unwrap_or(idle.len());
-        idle.drain(..young);
+    /// Closes connections that have been idle for `max_idle`.
+    fn close_idle(&self, max_idle: Duration) {
+        let mut idle = self.idle_connections.borrow_mut();
+        let first_kept = idle.iter().position(|c| c.idle_since.elapsed() < max_idle).unwrap_or(idle.len());
+        idle.drain(..first_kept);
     }
 
-    /// Notes how long a connection took to come up.
-    fn came_up(&self, took: Duration) {
-        self.round_trip.set(self.round_trip.get().min(took));
+    /// Records how long it took to establish a connection.
+    fn record_connect_time(&self, connect_time: Duration) {
+        self.min_connect_time.set(self.min_connect_time.get().min(connect_time));
     }
 
-    /// In what time the end of an attempt reaches it.
-    fn end_arrives(&self) -> Duration {
-        self.round_trip.get().clamp(END_ARRIVES.0, END_ARRIVES.1)
+    /// Returns how long the server is assumed to take to notice the end of an attempt.
+    fn close_delay(&self) -> Duration {
+        self.min_connect_time.get().clamp(CLOSE_DELAY_RANGE.0, CLOSE_DELAY_RANGE.1)
     }
 
-    fn keep(&self, mut connection: Connection) {
+    fn return_connection(&self, mut connection: Connection) {
         let usable = !connection.sender.is_closed() && self.address.get() == connection.address;
         if self.ready.get() && usable {
             connection.idle_since = Instant::now();
-            self.idle.borrow_mut().push_back(connection);
+            self.idle_connections.borrow_mut().push_back(connection);
         }
     }
 }
 
-/// The servers that are listed.
+/// The transport to the listed servers.
 pub struct Upstream {
     servers: RefCell<HashMap<ServerId, Rc<Server>>>,
     connections: Rc<Connections>,
-    figures: Rc<NodeMetrics>,
-    keep: Cell<Duration>,
-    dial_timeout: Cell<Duration>,
-    /// How keys are made, where that is on.
+    metrics: Rc<NodeMetrics>,
+    max_idle: Cell<Duration>,
+    connect_timeout: Cell<Duration>,
+    /// How affinity keys are formed, if affinity is enabled.
     keys: Option<Rc<AffinityKeys>>,
 }
 
 impl Upstream {
-    /// No server is known yet. Servers close connections that stand idle for `conn_idle`; one that is not made within
-    /// `dial_timeout` has failed.
+    /// Creates a transport without servers. Servers close connections that are idle for
+    /// `server_idle_timeout`; connecting fails after `connect_timeout`.
     pub fn new(
         connections: Rc<Connections>,
-        figures: Rc<NodeMetrics>,
-        conn_idle: Duration,
-        dial_timeout: Duration,
+        metrics: Rc<NodeMetrics>,
+        server_idle_timeout: Duration,
+        connect_timeout: Duration,
     ) -> Self {
-        let (servers, keep) = (RefCell::default(), Cell::new(conn_idle.mul_f64(IDLE_PART)));
-        let dial_timeout = Cell::new(dial_timeout);
-        Self { servers, connections, figures, keep, dial_timeout, keys: None }
+        let (servers, max_idle) = (RefCell::default(), Cell::new(server_idle_timeout.mul_f64(IDLE_FRACTION)));
+        let connect_timeout = Cell::new(connect_timeout);
+        Self { servers, connections, metrics, max_idle, connect_timeout, keys: None }
     }
 
-    /// Other times hold from now on.
-    pub fn set_timeouts(&self, conn_idle: Duration, dial_timeout: Duration) {
-        self.keep.set(conn_idle.mul_f64(IDLE_PART));
-        self.dial_timeout.set(dial_timeout);
+    /// Applies new timeouts from the settings.
+    pub fn set_timeouts(&self, server_idle_timeout: Duration, connect_timeout: Duration) {
+        self.max_idle.set(server_idle_timeout.mul_f64(IDLE_FRACTION));
+        self.connect_timeout.set(connect_timeout);
     }
 
-    /// Servers may give out keys in their answers.
+    /// Lets servers assign affinity keys by their responses.
     #[must_use]
     pub fn with_keys(self, keys: Option<Rc<AffinityKeys>>) -> Self {
         Self { keys, ..self }
     }
 
-    /// A place for one more socket, for which the one that stood idle longest is closed if need be.
-    fn slot(&self) -> Option<ServerConnectionPermit> {
+    /// Acquires the permit for another socket, if necessary by closing the connection that has been idle
+    /// longest.
+    fn acquire_permit(&self) -> Option<ServerConnectionPermit> {
         ServerConnectionPermit::acquire(&self.connections).or_else(|| {
             self.close_longest_idle().then(|| ServerConnectionPermit::acquire(&self.connections)).flatten()
         })
     }
 
-    async fn connect(&self, server: &Server, dial_timeout: Duration) -> Result<Connection, Ending> {
-        // Without a place the attempt ends unsent, and that is not the server's fault.
-        let slot = self.slot().ok_or(Ending::NotSent)?;
+    async fn connect(&self, server: &Server, connect_timeout: Duration) -> Result<Connection, Ending> {
+        // Without a permit the attempt ends unsent, which is not the server's fault.
+        let permit = self.acquire_permit().ok_or(Ending::NotSent)?;
         let address = server.address.get();
-        let begun = Instant::now();
-        // Guards against a connection that came up while this process stood still, and counts as one that did not.
-        let stream = match pause_adjusted_timeout(dial_timeout, TcpStream::connect(address)).await {
+        let started_at = Instant::now();
+        // Pauses of this process are left out; otherwise a connection that was established during a pause
+        // would count as failed.
+        let stream = match pause_adjusted_timeout(connect_timeout, TcpStream::connect(address)).await {
             Some(Ok(stream)) => stream,
             Some(Err(error)) if is_resource_exhausted(&error) => {
-                // The node's own want, not the server's fault.
-                drop(slot);
+                // The node lacks descriptors, which is not the server's fault.
+                drop(permit);
                 self.connections.handle_event(ConnectionEvent::ResourcesExhausted);
                 return Err(Ending::NotSent);
             }
             Some(Err(_)) | None => return Err(Ending::Unreachable),
         };
-        server.came_up(begun.elapsed());
+        server.record_connect_time(started_at.elapsed());
         stream.set_nodelay(true).map_err(|_| Ending::Unreachable)?;
-        let (writing, figures) = (Cell::new(false), Rc::clone(&self.figures));
-        let (written_at, moved) = (Cell::new(None), Cell::new(Instant::now()));
-        let socket = Rc::new(Socket { stream, _slot: slot, writing, written_at, moved, figures });
+        let (writing, metrics) = (Cell::new(false), Rc::clone(&self.metrics));
+        let (written_at, last_write_at) = (Cell::new(None), Cell::new(Instant::now()));
+        let socket = Rc::new(Socket { stream, _permit: permit, writing, written_at, last_write_at, metrics });
         let handshake = http1::Builder::new()
-            .max_buf_size(BUFFER)
-            .max_header_size(HEAD_MOST)
+            .max_buf_size(MAX_BUFFER_BYTES)
+            .max_header_size(MAX_HEAD_BYTES)
             .handshake(TokioIo::new(Io(Rc::clone(&socket))))
             .await;
         let (sender, connection) = handshake.map_err(|_| Ending::Unreachable)?;
@@ -274,124 +287,134 @@
     }
 }
 
-/// How far an attempt has come, as what makes it and what may end it share that.
+/// The progress of an attempt, shared by the code that makes it and the code that may end it.
 #[derive(Default)]
 struct Progress {
-    /// All of the request may have gone out.
+    /// Whether the whole request may have been sent.
     sent: Rc<Cell<bool>>,
-    /// While the server may work on it: in what time it would hear that the attempt has ended.
-    unheard: Cell<Option<Duration>>,
+    /// Set while the server may be working on the request: how long it takes to notice that the attempt has
+    /// ended.
+    close_delay: Cell<Option<Duration>>,
 }
 
 impl Progress {
-    /// In what time the server hears of an attempt's end that is not its own, where another attempt may follow.
-    fn unheard_end(&self, ending: Ending) -> Option<Duration> {
-        let given_up = matches!(ending, Ending::Reset | Ending::Cancelled);
-        self.unheard.get().filter(|_| given_up && self.sent.get())
+    /// Returns how long the server takes to notice the end of an attempt that it did not end itself, if
+    /// another attempt may follow.
+    fn unnoticed_close_delay(&self, ending: Ending) -> Option<Duration> {
+        let is_abandoned = matches!(ending, Ending::Reset | Ending::Cancelled);
+        self.close_delay.get().filter(|_| is_abandoned && self.sent.get())
     }
 }
 
-/// Whether the other side has reset the connection: it knows of the end.
+/// Returns whether the server has reset the connection, and so knows that the attempt has ended.
 fn is_reset(error: &hyper::Error) -> bool {
-    let source = std::error::Error::source(error).and_then(|source| source.downcast_ref::<io::Error>());
-    let ends = [io::ErrorKind::ConnectionReset, io::ErrorKind::BrokenPipe, io::ErrorKind::ConnectionAborted];
-    source.is_some_and(|error| ends.contains(&error.kind()))
+    let cause = std::error::Error::source(error).and_then(|cause| cause.downcast_ref::<io::Error>());
+    let reset_kinds =
+        [io::ErrorKind::ConnectionReset, io::ErrorKind::BrokenPipe, io::ErrorKind::ConnectionAborted];
+    cause.is_some_and(|error| reset_kinds.contains(&error.kind()))
 }
 
 impl Upstream {
-    /// Sends a request, or a probe where there is none, and reads the answer. `progress` tells how far that has come.
+    /// Sends a request, or a probe if there is no attempt, and reads the response. `progress` is updated on
+    /// the way.
     async fn exchange(
         &self,
         server: ServerId,
         attempt: Option<(&ForwardRequest, &Cancellation)>,
         progress: &Progress,
-    ) -> Ended {
+    ) -> AttemptReply {
         let sent = &progress.sent;
         let forward = attempt.map(|(forward, _)| forward);
-        // It may have gone since the decision.
+        // The server may have been removed since the decision.
         let Some(server) = self.servers.borrow().get(&server).cloned() else {
             return Reply::without_body(Ending::NotSent);
         };
         loop {
-            let (mut connection, kept) = match server.idle(self.keep.get()) {
+            let (mut connection, reused) = match server.take_idle(self.max_idle.get()) {
                 Some(connection) => (connection, true),
-                None => match self.connect(&server, self.dial_most(forward)).await {
+                None => match self.connect(&server, self.connect_timeout_for(forward)).await {
                     Ok(connection) => (connection, false),
                     Err(ending) => return Reply::without_body(ending),
                 },
             };
-            if kept {
-                sleep_until(connection.idle_since + REST).await;
+            if reused {
+                sleep_until(connection.idle_since + REUSE_DELAY).await;
             }
-            // Guards against a send to a server that drains, where the news of that came during a pause and lies unread.
+            // The notice that the server is draining may have arrived during a pause of this process and
+            // still be unread. Without this wait a request would be sent to a draining server.
             self.connections.clock().caught_up().await;
-            if connection.sender.ready().await.is_err() || kept && !connection.is_sound() {
-                if kept {
+            if connection.sender.ready().await.is_err() || reused && !connection.is_usable() {
+                if reused {
                     continue;
                 }
                 return Reply::without_body(Ending::Unreachable);
             }
-            // Time has passed since the decision: a server that drains by now gets nothing new, and nothing begins for a client
-            // that has left.
+            // Time has passed since the decision: a server that is draining by now gets nothing new, and no
+            // attempt begins for a client that has left.
             if attempt.is_some_and(|(_, cancellation)| !server.ready.get() || !cancellation.try_begin()) {
                 return Reply::without_body(Ending::NotSent);
             }
             let request = match forward {
-                None => Some(probe_request(connection.address)),
-                Some(forward) => forward_request(forward, &connection.socket, sent),
+                None => Some(build_probe(connection.address)),
+                Some(forward) => build_request(forward, &connection.socket, sent),
             };
-            // It came to its end meanwhile, or more of it is gone than is held.
+            // The request has ended meanwhile, or the beginning of its body was discarded.
             let Some(request) = request else { return Reply::without_body(Ending::NotSent) };
-            progress.unheard.set(Some(server.end_arrives()));
-            let through = forward.and_then(ForwardRequest::through);
+            progress.close_delay.set(Some(server.close_delay()));
+            let streamed_body = forward.and_then(ForwardRequest::streamed_body);
             let sending = connection.sender.try_send_request(request);
             let response = tokio::select! {
                 response = sending => response,
-                () = stalled(&connection.socket, through) => return Reply::without_body(Ending::Unreachable),
+                () = wait_for_stall(&connection.socket, streamed_body) =>
+                    return Reply::without_body(Ending::Unreachable),
             };
             let response = match response {
                 Ok(response) => response,
                 Err(mut error) => {
-                    // What hyper gives back was never written; anything else may have been.
+                    // A request that hyper returns was never written; any other may have been.
                     let returned = error.take_message().is_some();
                     if returned {
                         sent.set(false);
                     }
                     if returned || is_reset(error.error()) {
-                        progress.unheard.set(None);
+                        progress.close_delay.set(None);
                     }
-                    return match (sent.get(), kept && returned) {
+                    return match (sent.get(), reused && returned) {
                         (true, _) => Reply::without_body(Ending::Reset),
                         (false, true) => continue,
-                        // Its client's end is not the server's fault.
-                        (false, false) if through.is_some_and(|source| source.is_broken()) => {
+                        // The client aborted its body, which is not the server's fault.
+                        (false, false) if streamed_body.is_some_and(|body| body.has_client_failed()) => {
                             Reply::without_body(Ending::NotSent)
                         }
                         (false, false) => Reply::without_body(Ending::Unreachable),
                     };
                 }
             };
-            let given = self.keys.as_ref().and_then(|keys| response.headers().get(keys.answer()?).cloned());
-            let took =
-                through.map(|_| connection.socket.written_at.get().map_or(Duration::ZERO, |at| at.elapsed()));
-            let mut reply = read(response, connection, &server, forward).await;
+            let affinity_header =
+                self.keys.as_ref().and_then(|keys| response.headers().get(keys.response_header()?).cloned());
+            let server_time = streamed_body
+                .map(|_| connection.socket.written_at.get().map_or(Duration::ZERO, |at| at.elapsed()));
+            let mut reply = read_response(response, connection, &server, forward).await;
             if reply.ending != Ending::Reset {
-                progress.unheard.set(None);
+                progress.close_delay.set(None);
             }
-            reply.server_time = took;
-            let naming = forward.and_then(|forward| forward.naming.as_ref());
-            if let (Some(given), Some(naming), Some(body)) = (given, naming, &mut reply.body) {
-                reply.affinity = self.keys.as_ref().and_then(|keys| keys.given(naming, &given));
-                body.given = Some(given);
+            reply.server_time = server_time;
+            let partial_key = forward.and_then(|forward| forward.partial_key.as_ref());
+            if let (Some(affinity_header), Some(partial_key), Some(body)) =
+                (affinity_header, partial_key, &mut reply.body)
+            {
+                reply.affinity =
+                    self.keys.as_ref().and_then(|keys| keys.key_from_response(partial_key, &affinity_header));
+                body.affinity_header = Some(affinity_header);
             }
             return reply;
         }
     }
 
-    fn dial_most(&self, forward: Option<&ForwardRequest>) -> Duration {
-        let left = forward.map(|f| f.deadline.left().mul_f64(DIAL_PART));
-        let most = self.dial_timeout.get();
-        left.map_or(most, |left| left.min(most))
+    fn connect_timeout_for(&self, forward: Option<&ForwardRequest>) -> Duration {
+        let share = forward.map(|f| f.deadline.remaining().mul_f64(CONNECT_BUDGET_FRACTION));
+        let limit = self.connect_timeout.get();
+        share.map_or(limit, |share| share.min(limit))
     }
 }
 
@@ -401,35 +424,36 @@
 
     fn set_server(&self, server: ServerId, address: SocketAddr, ready: bool) {
         let mut servers = self.servers.borrow_mut();
-        let known = servers.entry(server).or_insert_with(|| {
+        let entry = servers.entry(server).or_insert_with(|| {
             let (address, ready) = (Cell::new(address), Cell::new(ready));
-            let round_trip = Cell::new(Duration::MAX);
-            Rc::new(Server { address, ready, round_trip, idle: RefCell::default() })
+            let min_connect_time = Cell::new(Duration::MAX);
+            Rc::new(Server { address, ready, min_connect_time, idle_connections: RefCell::default() })
         });
-        let moved = known.address.replace(address) != address;
-        known.ready.set(ready);
-        if moved || !ready {
-            known.idle.borrow_mut().clear();
+        let address_changed = entry.address.replace(address) != address;
+        entry.ready.set(ready);
+        if address_changed || !ready {
+            entry.idle_connections.borrow_mut().clear();
         }
     }
 
     fn remove_server(&self, server: ServerId) {
-        if let Some(gone) = self.servers.borrow_mut().remove(&server) {
-            gone.ready.set(false);
-            gone.idle.borrow_mut().clear();
+        if let Some(removed) = self.servers.borrow_mut().remove(&server) {
+            removed.ready.set(false);
+            removed.idle_connections.borrow_mut().clear();
         }
     }
 
     fn close_idle(&self) {
-        self.servers.borrow().values().for_each(|server| server.close_idle(self.keep.get()));
+        self.servers.borrow().values().for_each(|server| server.close_idle(self.max_idle.get()));
     }
 
     fn close_longest_idle(&self) -> bool {
         let servers = self.servers.borrow();
-        let since = |server: &&Rc<Server>| server.idle.borrow().front().map(|c| c.idle_since);
-        let idle = servers.values().filter(|server| since(server).is_some());
-        let Some(oldest) = idle.min_by_key(since) else { return false };
-        let closed = oldest.idle.borrow_mut().pop_front();
+        let idle_since =
+            |server: &&Rc<Server>| server.idle_connections.borrow().front().map(|c| c.idle_since);
+        let with_idle = servers.values().filter(|server| idle_since(server).is_some());
+        let Some(oldest) = with_idle.min_by_key(idle_since) else { return false };
+        let closed = oldest.idle_connections.borrow_mut().pop_front();
         closed.is_some()
     }
 
@@ -438,33 +462,34 @@
         server: ServerId,
         forward: &ForwardRequest,
         cancellation: &Cancellation,
-    ) -> Ended {
+    ) -> AttemptReply {
         let progress = Progress::default();
         let sent = Rc::clone(&progress.sent);
         let unless_sent = |ending| Reply::without_body(if sent.get() { ending } else { Ending::NotSent });
-        // The exchange holds the connection; it is dropped, and that closed, before this returns.
+        // The exchange owns the connection: it is dropped, which closes the connection, before this returns.
         let reply = tokio::select! {
             biased;
             reply = self.exchange(server, Some((forward, cancellation)), &progress) => reply,
             () = cancellation.cancelled(&sent) => unless_sent(Ending::Cancelled),
             () = forward.deadline.passed(Duration::ZERO) => unless_sent(Ending::TimedOut),
         };
-        if let Some(arrives) = progress.unheard_end(reply.ending) {
-            // Guards against a retry that reaches its server while this one, which has not heard of the end, works on the request.
+        if let Some(close_delay) = progress.unnoticed_close_delay(reply.ending) {
+            // Without this wait, a retry could reach its server while this one, which has not noticed the end
+            // of the attempt, is still working on the request.
             tokio::select! {
-                () = sleep(arrives) => {}
+                () = sleep(close_delay) => {}
                 () = forward.deadline.passed(Duration::ZERO) => {}
             }
         }
         reply
     }
 
-    async fn probe(&self, server: ServerId) -> Ended {
+    async fn probe(&self, server: ServerId) -> AttemptReply {
         let progress = Progress::default();
         let exchange = self.exchange(server, None, &progress);
-        let reply = pause_adjusted_timeout(self.dial_timeout.get(), exchange).await;
+        let reply = pause_adjusted_timeout(self.connect_timeout.get(), exchange).await;
         let mut reply = reply.unwrap_or_else(|| Reply::without_body(Ending::TimedOut));
-        if let Some(ServedResponse { body: ResponseBody::Whole(body), .. }) = reply.body.take() {
+        if let Some(ServedResponse { body: ResponseBody::Buffered(body), .. }) = reply.body.take() {
             let text = body.collect().await.map_or_else(|never| match never {}, |body| body.to_bytes());
             reply.report = std::str::from_utf8(&text).ok().and_then(parse_load_report).or(reply.report);
         }
@@ -473,75 +498,78 @@
 }
 
 impl ForwardRequest {
-    /// Its body, where that passes through.
-    fn through(&self) -> Option<&Rc<Source>> {
+    /// Returns the body, if it is streamed.
+    fn streamed_body(&self) -> Option<&Rc<RequestStream>> {
         match &self.body {
-            RequestBody::Whole(_) => None,
-            RequestBody::Through(source) => Some(source),
+            RequestBody::Buffered(_) => None,
+            RequestBody::Streamed(stream) => Some(stream),
         }
     }
 }
 
-/// The request of one attempt. `None` where its body cannot be sent again.
-fn forward_request(
+/// Builds the HTTP request of one attempt. Returns `None` if the body cannot be sent again.
+fn build_request(
     forward: &ForwardRequest,
     socket: &Rc<Socket>,
     sent: &Rc<Cell<bool>>,
-) -> Option<Request<Outgoing>> {
+) -> Option<Request<AttemptBody>> {
     let body = match &forward.body {
-        // A body that is at hand goes to hyper with its head: what is flushed next is all of it.
-        RequestBody::Whole(bytes) => {
+        // A buffered body is given to hyper together with the head, so the next flush covers all of it.
+        RequestBody::Buffered(bytes) => {
             sent.set(true);
             socket.writing.set(true);
-            Outgoing::Whole(Full::new(bytes.clone()))
+            AttemptBody::Buffered(Full::new(bytes.clone()))
         }
-        RequestBody::Through(source) => {
+        RequestBody::Streamed(stream) => {
             let (socket, sent) = (Rc::clone(socket), Rc::clone(sent));
-            let given = move || {
+            let on_complete = move || {
                 sent.set(true);
                 socket.writing.set(true);
             };
-            Outgoing::Through(Upload::new(source, Rc::new(given))?)
+            AttemptBody::Streamed(Upload::new(stream, Rc::new(on_complete))?)
         }
     };
     let mut request = Request::new(body);
     *request.method_mut() = forward.method.clone();
     *request.uri_mut() = forward.uri.clone();
     *request.headers_mut() = forward.headers.clone();
-    let left = format!("{:.3}", forward.deadline.left().as_secs_f64()).parse().expect("digits");
-    request.headers_mut().insert("x-deadline", left);
+    let remaining = format!("{:.3}", forward.deadline.remaining().as_secs_f64()).parse().expect("digits");
+    request.headers_mut().insert("x-deadline", remaining);
     Some(request)
 }
 
-fn probe_request(address: SocketAddr) -> Request<Outgoing> {
+fn build_probe(address: SocketAddr) -> Request<AttemptBody> {
     let request = Request::get("/_load").header("host", address.to_string());
-    request.body(Outgoing::Whole(Full::default())).expect("a sound request")
+    request.body(AttemptBody::Buffered(Full::default())).expect("a valid request")
 }
 
-/// Waits until a server has taken nothing for too long of a body that passes through, though there is more.
-async fn stalled(socket: &Socket, through: Option<&Rc<Source>>) {
-    let Some(source) = through else { return pending().await };
+/// Waits until a server has accepted nothing of a streamed body for `STALL_TIMEOUT` although there is more to
+/// send.
+async fn wait_for_stall(socket: &Socket, streamed_body: Option<&Rc<RequestStream>>) {
+    let Some(stream) = streamed_body else { return pending().await };
     loop {
-        sleep_and_catch_up(STALLED / 4).await;
-        if source.waits() && socket.moved.get().elapsed() >= STALLED {
+        sleep_and_catch_up(STALL_TIMEOUT / 4).await;
+        if stream.is_suspended() && socket.last_write_at.get().elapsed() >= STALL_TIMEOUT {
             return;
         }
     }
 }
 
-/// Reads an answer to its end, where it is not long: only then is it known what it is worth, and whether the connection
-/// can be kept. Where the server wants it closed, hyper closes it. What is long belongs to its client as it comes.
-async fn read(
+/// Reads a response to its end, unless it is long: only then is its outcome known, and whether the connection
+/// can be kept. If the server wants the connection closed, hyper closes it. A long response is passed on to
+/// its client as it arrives.
+async fn read_response(
     response: Response<Incoming>,
     connection: Connection,
     server: &Rc<Server>,
     forward: Option<&ForwardRequest>,
-) -> Ended {
+) -> AttemptReply {
     let (head, mut body) = response.into_parts();
-    let text = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok());
-    let report = text("x-load").and_then(parse_load_report);
-    let not_run = text("x-not-run") == Some("1");
-    let started_at = text("x-up-since").and_then(|text| text.parse().ok()).filter(|at: &f64| at.is_finite());
+    let header_text = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok());
+    let report = header_text("x-load").and_then(parse_load_report);
+    let not_run = header_text("x-not-run") == Some("1");
+    let started_at =
+        header_text("x-up-since").and_then(|text| text.parse().ok()).filter(|at: &f64| at.is_finite());
     let reply = |ending| Reply { report, started_at, ..Reply::without_body(ending) };
     let served = head.status == StatusCode::OK;
     let ending = match head.status {
@@ -549,22 +577,24 @@
         StatusCode::OK => Ending::Served,
         _ => Ending::Error,
     };
-    if !has_end(&head, &body) {
+    if !has_detectable_end(&head, &body) {
         return reply(if ending == Ending::Full { ending } else { Ending::Reset });
     }
     let length = body.size_hint().exact();
-    // What comes in pieces of unknown number is held for a part of the time that is left.
-    let hold = forward
+    // A response of unknown length is buffered for a part of the remaining time.
+    let buffer_until = forward
         .filter(|_| served)
-        .map(|forward| Instant::now() + (forward.deadline.left() / 4).min(HOLD_MOST));
-    let held_most = hold.filter(|_| length.is_none());
-    let (mut came, mut bytes) = (Vec::new(), 0);
-    let whole = loop {
-        if length.is_some_and(|length| length > MAX_BUFFERED_BODY as u64) || bytes > MAX_BUFFERED_BODY {
+        .map(|forward| Instant::now() + (forward.deadline.remaining() / 4).min(MAX_BUFFERING_TIME));
+    let buffering_deadline = buffer_until.filter(|_| length.is_none());
+    let (mut received, mut received_bytes) = (Vec::new(), 0);
+    let complete = loop {
+        if length.is_some_and(|length| length > MAX_BUFFERED_BODY as u64)
+            || received_bytes > MAX_BUFFERED_BODY
+        {
             break false;
         }
-        let frame = match held_most {
-            Some(until) => match timeout_at(until, body.frame()).await {
+        let frame = match buffering_deadline {
+            Some(deadline) => match timeout_at(deadline, body.frame()).await {
                 Ok(frame) => frame,
                 Err(_) => break false,
             },
@@ -575,48 +605,52 @@
             Some(Err(_)) => return reply(if ending == Ending::Full { ending } else { Ending::Reset }),
             Some(Ok(frame)) => {
                 if let Ok(data) = frame.into_data() {
-                    bytes += data.len();
-                    came.push(data);
+                    received_bytes += data.len();
+                    received.push(data);
                 }
             }
         }
     };
-    if whole {
-        server.keep(connection);
-        let body = served.then(|| ServedResponse { body: Full::new(joined(came)).into(), given: None });
+    if complete {
+        server.return_connection(connection);
+        let body = served
+            .then(|| ServedResponse { body: Full::new(concatenate(received)).into(), affinity_header: None });
         return Reply { body, ..reply(ending) };
     }
     if !served || forward.is_none() {
-        // Nobody is shown it: what is left of it goes with its connection.
+        // Nobody receives this body: the rest of it is discarded together with its connection.
         return reply(ending);
     }
-    let (end, rest) = oneshot::channel();
-    let home = Rc::clone(server);
-    let download = Download::new(body, came, length, move || home.keep(connection), end);
-    let body = ServedResponse { body: ResponseBody::Through(download), given: None };
-    Reply { body: Some(body), body_end: Some(rest), ..reply(Ending::Served) }
+    let (end_sender, body_end) = oneshot::channel();
+    let origin = Rc::clone(server);
+    let download =
+        Download::new(body, received, length, move || origin.return_connection(connection), end_sender);
+    let body = ServedResponse { body: ResponseBody::Streamed(download), affinity_header: None };
+    Reply { body: Some(body), body_end: Some(body_end), ..reply(Ending::Served) }
 }
 
-fn says_close(head: &response::Parts) -> bool {
+fn announces_close(head: &response::Parts) -> bool {
     let options = head.headers.get_all(CONNECTION).into_iter().filter_map(|value| value.to_str().ok());
     options.flat_map(|value| value.split(',')).any(|option| option.trim().eq_ignore_ascii_case("close"))
 }
 
-/// Whether an answer that has come to its end can be told from one that was cut off, and its end can be awaited.
-fn has_end(head: &response::Parts, body: &Incoming) -> bool {
+/// Returns whether the end of a response can be awaited, and told from a truncated response.
+fn has_detectable_end(head: &response::Parts, body: &Incoming) -> bool {
     let chunked = |value: &HeaderValue| value.as_bytes().eq_ignore_ascii_case(b"chunked");
     match (body.size_hint().exact(), head.headers.get(TRANSFER_ENCODING)) {
         _ if head.status == StatusCode::SWITCHING_PROTOCOLS => false,
         (Some(_), None) => true,
         (None, Some(value)) => chunked(value) && !head.headers.contains_key(CONTENT_LENGTH),
-        // Its server says that the end of the connection is that of the answer. Guards against a break that looks like it.
-        (None, None) => says_close(head) && !head.headers.contains_key(CONTENT_LENGTH),
+        // The server announces that the response ends with the connection. Without the announcement a broken
+        // connection would look the same.
+        (None, None) => announces_close(head) && !head.headers.contains_key(CONTENT_LENGTH),
         _ => false,
     }
 }
 
-/// Reads a load report such as `active=7,waiting=2`; one that is malformed tells nothing.
-/// Guards against counts that never hear a report: servers use the settings' names, but others are about.
+/// Parses a load report such as `active=7,waiting=2`; returns `None` if it is malformed. Servers use the
+/// names of the settings, but other names are in use as well: without them the counts of some servers would
+/// never receive a report.
 pub fn parse_load_report(text: &str) -> Option<LoadReport> {
     let mut report = LoadReport::default();
     for pair in text.trim().split(',') {
--- a/crates/spurdrum/tests/node/replace.rs
+++ b/crates/spurdrum/tests/node/replace.rs
@@ -321,7 +321,7 @@
     let _new = old.beside(&config, ops);
     ready(ops);
     old.terminate();
-    assert!(old.logged_with("the end: ").contains("handed over"));
+    assert!(old.logged_with("shutdown: ").contains("handed over"));
     for (client, whole) in &mut clients {
         client.send(&whole[20..]);
     }
@@ -346,7 +346,7 @@
     let open = server.request();
     let (_incoming, _listener) = Incoming::offered(old.address);
     old.terminate();
-    assert!(old.logged_with("the end: ").contains("no other process takes over"));
+    assert!(old.logged_with("shutdown: ").contains("no other process takes over"));
     serve(&server, &mut old.client());
     open.answer(OK, "", b"late");
     let answer = client.answer();
@@ -363,12 +363,12 @@
     client.send(&request("pay", 20.0));
     let open = server.request();
     old.terminate();
-    assert!(old.logged_with("the end: ").contains("handed over"));
+    assert!(old.logged_with("shutdown: ").contains("handed over"));
     let (config, last_ops) = (config(&members(&[&server])), own_address());
     let last = middle.beside(&config, last_ops);
     ready(last_ops);
     middle.terminate();
-    assert!(middle.logged_with("the end: ").contains("handed over"));
+    assert!(middle.logged_with("shutdown: ").contains("handed over"));
     let since = Instant::now();
     while since.elapsed() < Duration::from_millis(100) {
         assert_eq!(call(ops, "readyz"), "NO ending\n");
--- a/crates/spurdrum/tests/node/stalled.rs
+++ b/crates/spurdrum/tests/node/stalled.rs
@@ -466,7 +466,7 @@
     let _new = old.beside(&config, ops);
     ready(ops);
     old.terminate();
-    old.logged_with("the end: connections are handed over");
+    old.logged_with("shutdown: connections are handed over");
     serve(&mut clients.resting, &clients.server, &mut clients.ran, "who rested");
     old.stand_still();
     clients.open.take().expect("open").answer(OK, "", b"late");
