--- a/crates/spurdrum-affinity/src/affinity.rs
+++ b/crates/spurdrum-affinity/src/affinity.rs
@@ -5,11 +5,11 @@
 
 use spurdrum_policy::{Availability, ServerId};
 
-use crate::record::{Stored, Write};
-use crate::servers::{Listed, Run, Servers};
-use crate::settings::{First, Settings};
+use crate::record::{PendingWrite, StoredBinding};
+use crate::servers::{ListedServer, Run, Servers};
+use crate::settings::{InitialPlacement, Settings};
 use crate::table::{Binding, Entered, Found, Table};
-use crate::Ask;
+use crate::AffinityKey;
 
 /// Runs that are over and still to be taken out of the store, at the most. What is missed there is harmless: the list tells
 /// what has become of it.
@@ -21,19 +21,19 @@
 
 /// What has become of keys, since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct Counters {
     /// Requests with a key.
-    pub asked: u64,
+    pub requests: u64,
     /// Of them, those whose key was bound to a server that takes requests.
-    pub bound: u64,
+    pub bound_requests: u64,
     /// Served by the server that their key was bound to.
-    pub kept: u64,
+    pub served_by_bound: u64,
     /// Served elsewhere, their key's server being there.
-    pub away: u64,
+    pub served_elsewhere: u64,
     /// Keys bound anew.
-    pub entered: u64,
+    pub inserted: u64,
     /// Keys bound to another server: theirs was gone, or they were served elsewhere time and again.
-    pub moved: u64,
+    pub rebound: u64,
     /// Bindings dropped because their server drained, was started anew, or did not return.
     pub dropped: u64,
     /// Bindings dropped because of their age.
@@ -46,13 +46,24 @@
     pub restored: u64,
 }
 
-impl fmt::Display for Counts {
+impl fmt::Display for Counters {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { asked, bound, kept, away, entered, moved, dropped, expired, evicted, refused, restored } =
-            self;
+        let Self {
+            requests,
+            bound_requests,
+            served_by_bound,
+            served_elsewhere,
+            inserted,
+            rebound,
+            dropped,
+            expired,
+            evicted,
+            refused,
+            restored,
+        } = self;
         write!(
             f,
-            "asked {asked}, bound {bound}, kept {kept}, away {away}; entered {entered}, moved {moved}, dropped {dropped}, \
+            "asked {requests}, bound {bound_requests}, kept {served_by_bound}, away {served_elsewhere}; entered {inserted}, moved {rebound}, dropped {dropped}, \
              expired {expired}, evicted {evicted}, refused {refused}, restored {restored}"
         )
     }
@@ -69,7 +80,7 @@
     returns_by: f64,
     /// Written runs that are over.
     over: VecDeque<u64>,
-    counts: Counts,
+    counters: Counters,
 }
 
 impl Affinity {
@@ -80,69 +91,69 @@
     /// The first setting that makes no sense, and why.
     pub fn new(settings: Settings, now: f64) -> Result<Self, (&'static str, &'static str)> {
         settings.validate()?;
-        let mut servers = Servers::new(settings.first == First::Ring);
+        let mut servers = Servers::new(settings.initial_placement == InitialPlacement::Ring);
         // Guards against one number for two runs: an earlier life's are known only once they have been read.
         servers.used_up_to(now.max(0.0) as u64 * 1_000);
-        let table = Table::new(settings.entries);
+        let table = Table::new(settings.max_bindings);
         let (absent, returns_by, over) = (Vec::new(), f64::INFINITY, VecDeque::new());
-        Ok(Self { settings, table, servers, absent, returns_by, over, counts: Counts::default() })
+        Ok(Self { settings, table, servers, absent, returns_by, over, counters: Counters::default() })
     }
 
     // ---- Requests
 
     /// The server that a request had better have.
-    pub fn prefers(&mut self, now: f64, ask: Ask) -> Option<ServerId> {
+    pub fn preferred_server(&mut self, now: f64, ask: AffinityKey) -> Option<ServerId> {
         self.tick(now);
-        self.counts.asked += 1;
-        match self.table.ask(now, ask.key, self.settings.idle_ms, self.settings.most_ms) {
+        self.counters.requests += 1;
+        match self.table.ask(now, ask.hash, self.settings.idle_timeout_ms, self.settings.max_age_ms) {
             Found::At(at) => {
-                self.table.mark_if_older(at, self.settings.idle_ms * USE_PART);
+                self.table.mark_if_older(at, self.settings.idle_timeout_ms * USE_PART);
                 let server = self.servers.ready(self.table.binding(at).server);
-                self.counts.bound += u64::from(server.is_some());
+                self.counters.bound_requests += u64::from(server.is_some());
                 return server;
             }
-            Found::Expired => self.counts.expired += 1,
+            Found::Expired => self.counters.expired += 1,
             Found::Nothing => {}
         }
-        match self.settings.first {
-            First::Lowest => None,
-            First::Ring => {
-                let at = self.servers.by_ring(now, self.settings.cold_ms, ask.spread)?;
+        match self.settings.initial_placement {
+            InitialPlacement::LowestCount => None,
+            InitialPlacement::Ring => {
+                let at = self.servers.by_ring(now, self.settings.slow_start_ms, ask.ring_hash)?;
                 self.servers.ready(at)
             }
         }
     }
 
     /// A server has served a request.
-    pub fn served(&mut self, now: f64, ask: Ask, server: ServerId) {
+    pub fn record_served(&mut self, now: f64, ask: AffinityKey, server: ServerId) {
         // One that drains or is gone by now gets no key.
         let Some(to) = self.servers.of_server(server) else { return };
-        let Some(at) = self.table.place(ask.key) else {
-            let (key, owner) = (ask.key, ask.owner);
+        let Some(at) = self.table.place(ask.hash) else {
+            let (key, owner) = (ask.hash, ask.owner);
             let binding = Binding { key, owner, server: to, used_at: now, bound_at: now, away: 0 };
-            let entered = self.table.enter(self.settings.idle_ms, binding);
-            self.counts.evicted += u64::from(entered == Entered::Evicted);
+            let entered = self.table.enter(self.settings.idle_timeout_ms, binding);
+            self.counters.evicted += u64::from(entered == Entered::Evicted);
             if entered == Entered::Refused {
-                self.counts.refused += 1;
+                self.counters.refused += 1;
             } else {
-                self.counts.entered += 1;
+                self.counters.inserted += 1;
             }
             return;
         };
         let binding = *self.table.binding(at);
         if binding.server == to {
-            self.counts.kept += 1;
+            self.counters.served_by_bound += 1;
             self.table.binding_mut(at).away = 0;
             return;
         }
         let there = self.servers.ready(binding.server).is_some();
         let away = binding.away.saturating_add(1);
-        self.counts.away += u64::from(there);
+        self.counters.served_elsewhere += u64::from(there);
         // Guards against keys that swing: a server that is full or ill for a moment has them back.
-        let settled = now - binding.bound_at >= self.settings.settle_ms;
-        if !there || away >= self.settings.moves_after && settled {
+        let settled = now - binding.bound_at >= self.settings.rebind_min_age_ms;
+        if !there || away >= self.settings.rebind_after && settled {
             self.table.rebind(now, at, to);
-            self.counts.moved += 1;
+            self.counters.rebound += 1;
         } else {
             self.table.binding_mut(at).away = away;
         }
@@ -151,7 +162,7 @@
     // ---- The list
 
     /// The whole list, or what changed in it.
-    pub fn listed(&mut self, now: f64, complete: bool, list: Vec<Listed>) {
+    pub fn apply_list(&mut self, now: f64, complete: bool, list: Vec<ListedServer>) {
         if complete {
             let ids: HashSet<&str> = list.iter().map(|listed| listed.id.as_str()).collect();
             let lost = self.servers.iter().filter(|(_, run)| !ids.contains(run.id.as_str()));
@@ -195,7 +206,7 @@
     /// A run is not listed any more; it may return.
     fn absent(&mut self, now: f64, at: u32) {
         if self.servers.run(at).is_some_and(|run| run.is_listed()) {
-            self.servers.unlist(at, now + self.settings.return_within_ms);
+            self.servers.unlist(at, now + self.settings.return_timeout_ms);
             self.awaited(at);
         }
     }
@@ -208,7 +219,7 @@
 
     /// A run is over: what was bound to it is bound no more, however much that is.
     fn over(&mut self, at: u32) {
-        self.counts.dropped += self.table.lose(at) as u64;
+        self.counters.dropped += self.table.lose(at) as u64;
         if let Some(run) = self.servers.run(at).filter(|run| run.written) {
             self.over.push_back(run.number);
             if self.over.len() > OVER_MOST {
@@ -220,8 +231,8 @@
 
     /// Time has passed: what is over is dropped, a part at a time.
     pub fn tick(&mut self, now: f64) {
-        let expired = self.table.expire(now - self.settings.idle_ms, EXPIRE_MOST);
-        self.counts.expired += expired as u64;
+        let expired = self.table.expire(now - self.settings.idle_timeout_ms, EXPIRE_MOST);
+        self.counters.expired += expired as u64;
         if now >= self.returns_by {
             self.end_absent(|run, _| run.is_over(now));
         }
@@ -229,32 +240,32 @@
 
     /// When [`Affinity::tick`] has something to do, if nothing else happens.
     pub fn next_wake(&self) -> Option<f64> {
-        let expires = self.table.oldest().map(|used_at| used_at + self.settings.idle_ms);
+        let expires = self.table.oldest().map(|used_at| used_at + self.settings.idle_timeout_ms);
         expires.into_iter().chain(Some(self.returns_by).filter(|by| by.is_finite())).reduce(f64::min)
     }
 
     // ---- What is written, and read again
 
     /// What is to be written next, so much at the most. A run is always written before what is bound to it.
-    pub fn take_writes(&mut self, most: usize) -> Vec<Write> {
+    pub fn take_writes(&mut self, most: usize) -> Vec<PendingWrite> {
         let mut writes = Vec::new();
         while writes.len() < most {
             let Some(number) = self.over.pop_front() else { break };
-            writes.push(Write::Run(number, None));
+            writes.push(PendingWrite::Run(number, None));
         }
         while writes.len() < most {
             let Some((at, binding)) = self.table.take_marked() else { break };
             let run = binding.and_then(|binding| Some((binding, self.servers.run_mut(binding.server)?)));
             let Some((binding, run)) = run else {
-                writes.push(Write::Place(at, None));
+                writes.push(PendingWrite::Slot(at, None));
                 continue;
             };
             if !std::mem::replace(&mut run.written, true) {
-                writes.push(Write::Run(run.number, Some((run.id.clone(), run.started_at))));
+                writes.push(PendingWrite::Run(run.number, Some((run.id.clone(), run.started_at))));
             }
             let Binding { key, owner, used_at, bound_at, .. } = binding;
-            let stored = Stored { key, owner, run: run.number, used_at, bound_at };
-            writes.push(Write::Place(at, Some(stored)));
+            let stored = StoredBinding { key, owner, run: run.number, used_at, bound_at };
+            writes.push(PendingWrite::Slot(at, Some(stored)));
         }
         writes
     }
@@ -265,24 +276,24 @@
     }
 
     /// These could not be written: they are to be written again, as they are by then.
-    pub fn not_written(&mut self, writes: Vec<Write>) {
+    pub fn requeue_writes(&mut self, writes: Vec<PendingWrite>) {
         for write in writes {
             match write {
-                Write::Run(number, None) if self.over.len() < OVER_MOST => self.over.push_back(number),
-                Write::Run(_, None) => {}
-                Write::Run(number, Some(_)) => {
+                PendingWrite::Run(number, None) if self.over.len() < OVER_MOST => self.over.push_back(number),
+                PendingWrite::Run(_, None) => {}
+                PendingWrite::Run(number, Some(_)) => {
                     let at = self.servers.of_number(number);
                     if let Some(run) = at.and_then(|at| self.servers.run_mut(at)) {
                         run.written = false;
                     }
                 }
-                Write::Place(at, _) => self.table.mark(at),
+                PendingWrite::Slot(at, _) => self.table.mark(at),
             }
         }
     }
 
     /// What was written is lost: all is to be written again.
-    pub fn rewrite(&mut self) {
+    pub fn queue_rewrite(&mut self) {
         self.over.clear();
         self.servers.runs_mut().for_each(|run| run.written = false);
         self.table.mark_all();
@@ -293,7 +304,7 @@
         if self.servers.of_number(number).is_some_and(|at| self.servers.of_id(id) == Some(at)) {
             return true;
         }
-        let until = now + self.settings.return_within_ms;
+        let until = now + self.settings.return_timeout_ms;
         let at = match self.servers.of_id(id) {
             // The list came first.
             Some(at) if self.servers.is_same(at, Some(started_at)) => {
@@ -315,19 +326,20 @@
     }
 
     /// A binding of an earlier life. One made in this life goes before.
-    pub fn restore_place(&mut self, now: f64, at: u32, stored: &Stored) {
-        let Stored { key, owner, run, used_at, bound_at } = *stored;
+    pub fn restore_binding(&mut self, now: f64, at: u32, stored: &StoredBinding) {
+        let StoredBinding { key, owner, run, used_at, bound_at } = *stored;
         // Guards against a clock that was ahead: such a binding would never age.
         let (used_at, bound_at) = (used_at.min(now), bound_at.min(now));
-        let lives = now - used_at <= self.settings.idle_ms && now - bound_at <= self.settings.most_ms;
+        let lives =
+            now - used_at <= self.settings.idle_timeout_ms && now - bound_at <= self.settings.max_age_ms;
         let server = self.servers.of_number(run).filter(|_| lives);
         let restored = server.and_then(|server| {
             let binding = Binding { key, owner, server, used_at, bound_at, away: 0 };
             self.table.restore(at, binding)
         });
-        self.counts.restored += u64::from(restored.is_some());
+        self.counters.restored += u64::from(restored.is_some());
         // What stands written there is void.
-        if restored != Some(true) && (at as usize) < self.settings.entries {
+        if restored != Some(true) && (at as usize) < self.settings.max_bindings {
             self.table.mark(at);
         }
     }
@@ -335,8 +347,8 @@
     // ---- What operators see
 
     /// Counts since the start.
-    pub fn counts(&self) -> Counts {
-        self.counts
+    pub fn counters(&self) -> Counters {
+        self.counters
     }
 
     /// Bindings that hold.
@@ -350,7 +362,7 @@
     }
 
     /// Bindings of an owner, those whose server is lost among them until their places are needed.
-    pub fn of_owner(&self, owner: u64) -> usize {
+    pub fn owner_bindings(&self, owner: u64) -> usize {
         self.table.of_owner(owner)
     }
 
@@ -361,10 +373,10 @@
         format!(
             "affinity {} of {} places, of owners {}, to servers {listed}, to absent ones {away}, unwritten {}; {}",
             self.len(),
-            self.settings.entries,
+            self.settings.max_bindings,
             self.table.owners(),
             self.unwritten(),
-            self.counts
+            self.counters
         )
     }
 }
--- a/crates/spurdrum-affinity/src/lib.rs
+++ b/crates/spurdrum-affinity/src/lib.rs
@@ -2,32 +2,32 @@
 //! for the node's next life.
 //!
 //! An [`Affinity`] has no clock, I/O or randomness. A node asks it before each request of a key
-//! ([`Affinity::prefers`]), tells it who served ([`Affinity::served`]) and what the list says ([`Affinity::listed`]). What it
+//! ([`Affinity::preferred_server`]), tells it who served ([`Affinity::record_served`]) and what the list says ([`Affinity::apply_list`]). What it
 //! answers is a preference: the decision module takes it where counts, health, drains and cold starts allow, see
 //! `preference_slack` of `spurdrum_policy::Settings`.
 //!
 //! ```
-//! use spurdrum_affinity::{Affinity, Keyer, Listed, Settings};
+//! use spurdrum_affinity::{Affinity, KeyHasher, ListedServer, Settings};
 //! use spurdrum_policy::{Availability, ServerId};
 //!
 //! let mut affinity = Affinity::new(Settings::default(), 0.0).expect("sound settings");
-//! let listed = Listed {
+//! let listed = ListedServer {
 //!     id: "update-7".into(),
 //!     server: ServerId(1),
 //!     availability: Availability::Ready,
 //!     started_at: None,
-//!     near: true,
+//!     same_zone: true,
 //!     weight: 1.0,
-//!     key: 7,
+//!     name_hash: 7,
 //! };
-//! affinity.listed(0.0, true, vec![listed.clone()]);
-//! let ask = Keyer::new([0; 16]).ask(0, &[b"inn 12"]);
-//! assert_eq!(affinity.prefers(1.0, ask), None);
-//! affinity.served(2.0, ask, ServerId(1));
-//! assert_eq!(affinity.prefers(3.0, ask), Some(ServerId(1)));
+//! affinity.apply_list(0.0, true, vec![listed.clone()]);
+//! let ask = KeyHasher::new([0; 16]).affinity_key(0, &[b"inn 12"]);
+//! assert_eq!(affinity.preferred_server(1.0, ask), None);
+//! affinity.record_served(2.0, ask, ServerId(1));
+//! assert_eq!(affinity.preferred_server(3.0, ask), Some(ServerId(1)));
 //! // What has begun to drain is preferred no more.
-//! affinity.listed(4.0, false, vec![Listed { availability: Availability::Draining, ..listed }]);
-//! assert_eq!(affinity.prefers(5.0, ask), None);
+//! affinity.apply_list(4.0, false, vec![ListedServer { availability: Availability::Draining, ..listed }]);
+//! assert_eq!(affinity.preferred_server(5.0, ask), None);
 //! ```
 
 mod affinity;
@@ -44,32 +44,32 @@
 
 use siphasher::sip128::{Hasher128, SipHasher13};
 
-pub use affinity::{Affinity, Counts};
-pub use servers::Listed;
-pub use settings::{First, Settings};
+pub use affinity::{Affinity, Counters};
+pub use servers::ListedServer;
+pub use settings::{InitialPlacement, Settings};
 
 /// A key, hashed: places are of one size, and nothing that clients send is kept or written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Key(pub [u64; 2]);
+pub struct KeyHash(pub [u64; 2]);
 
 /// A request's key, and who takes up a place with it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct AffinityKey {
     /// The key.
-    pub key: Key,
+    pub hash: KeyHash,
     /// Its place on the ring, the same at every node.
-    pub spread: u64,
+    pub ring_hash: u64,
     /// Who holds the place.
     pub owner: u64,
 }
 
 /// Makes keys. The secret is the node's own. Guards against clients who choose keys that collide.
 #[derive(Clone, Copy)]
-pub struct Keyer {
+pub struct KeyHasher {
     secret: [u8; 16],
 }
 
-impl Keyer {
+impl KeyHasher {
     /// Keys by this secret.
     #[must_use]
     pub fn new(secret: [u8; 16]) -> Self {
@@ -78,7 +78,7 @@
 
     /// The key that these parts make together.
     #[must_use]
-    pub fn ask(&self, owner: u64, parts: &[&[u8]]) -> Ask {
+    pub fn affinity_key(&self, owner: u64, parts: &[&[u8]]) -> AffinityKey {
         let hash = |secret: &[u8; 16]| {
             let mut hasher = SipHasher13::new_with_key(secret);
             for part in parts {
@@ -89,12 +89,12 @@
             hasher.finish128()
         };
         let (own, all) = (hash(&self.secret), hash(&[0; 16]));
-        Ask { key: Key([own.h1, own.h2]), spread: all.h1, owner }
+        AffinityKey { hash: KeyHash([own.h1, own.h2]), ring_hash: all.h1, owner }
     }
 
     /// What tells keys by this secret from keys by another.
     #[must_use]
-    pub fn mark(&self) -> u64 {
+    pub fn fingerprint(&self) -> u64 {
         let mut hasher = SipHasher13::new_with_key(&self.secret);
         hasher.write(b"the secret's own mark");
         hasher.finish128().h1
--- a/crates/spurdrum-affinity/src/record.rs
+++ b/crates/spurdrum-affinity/src/record.rs
@@ -1,17 +1,17 @@
 //! How bindings and runs of servers are written down, so that a later life of the node can read them.
 
-use crate::Key;
+use crate::KeyHash;
 
 /// The form of what is written; one that differs is not read.
-pub const FORMAT: u64 = 1;
+pub const FORMAT_VERSION: u64 = 1;
 /// Names of servers longer than this are not written down.
 const ID_MOST: usize = 1024;
 
 /// A binding as it is written.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Stored {
+pub struct StoredBinding {
     /// The key.
-    pub key: Key,
+    pub key: KeyHash,
     /// Who holds the place.
     pub owner: u64,
     /// The run of the server.
@@ -24,34 +24,34 @@
 
 /// Something to be written.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Write {
+pub enum PendingWrite {
     /// A run by its number: its server's name and start, or nothing any more.
     Run(u64, Option<(String, f64)>),
     /// A place by its number: what stands there, or nothing.
-    Place(u32, Option<Stored>),
+    Slot(u32, Option<StoredBinding>),
 }
 
 /// The tables that rows are of.
-pub const RUNS: &str = "runs";
-/// See [`RUNS`].
-pub const PLACES: &str = "places";
+pub const RUNS_TABLE: &str = "runs";
+/// See [`RUNS_TABLE`].
+pub const BINDINGS_TABLE: &str = "places";
 
-impl Write {
+impl PendingWrite {
     /// The table, the key and the value of its row; no value: nothing any more.
     pub fn to_row(&self) -> (&'static str, u64, Option<Vec<u8>>) {
         match self {
             Self::Run(number, run) => {
                 let value = run.as_ref().and_then(|(id, started_at)| run_to_bytes(id, *started_at));
-                (RUNS, *number, value)
+                (RUNS_TABLE, *number, value)
             }
-            Self::Place(at, stored) => {
-                (PLACES, u64::from(*at), stored.map(|stored| stored.to_bytes().to_vec()))
+            Self::Slot(at, stored) => {
+                (BINDINGS_TABLE, u64::from(*at), stored.map(|stored| stored.to_bytes().to_vec()))
             }
         }
     }
 }
 
-impl Stored {
+impl StoredBinding {
     /// As bytes.
     pub fn to_bytes(&self) -> [u8; 48] {
         let words = [
@@ -75,7 +75,7 @@
         let word = |at: usize| u64::from_le_bytes(std::array::from_fn(|n| bytes[at * 8 + n]));
         let time = |at| Some(f64::from_bits(word(at))).filter(|ms| ms.is_finite() && *ms >= 0.0);
         let (used_at, bound_at) = (time(4)?, time(5)?);
-        Some(Self { key: Key([word(0), word(1)]), owner: word(2), run: word(3), used_at, bound_at })
+        Some(Self { key: KeyHash([word(0), word(1)]), owner: word(2), run: word(3), used_at, bound_at })
     }
 }
 
--- a/crates/spurdrum-affinity/src/servers.rs
+++ b/crates/spurdrum-affinity/src/servers.rs
@@ -11,7 +11,7 @@
 
 /// A server as the list has it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct ListedServer {
     /// The same at every node and in every run.
     pub id: String,
     /// Its number in this run.
@@ -21,11 +21,11 @@
     /// When it was started, in Unix milliseconds; `None` means long ago.
     pub started_at: Option<f64>,
     /// Whether it is in the node's own zone.
-    pub near: bool,
+    pub same_zone: bool,
     /// Its weight.
     pub weight: f64,
     /// A hash of its name, the same at every node.
-    pub key: u64,
+    pub name_hash: u64,
 }
 
 /// One run of one server: a process from its start to its end.
@@ -37,7 +37,7 @@
     /// Never used for another run, in this node's life or a later one.
     pub number: u64,
     /// As the list has it; none while it does not.
-    listed: Option<Listed>,
+    listed: Option<ListedServer>,
     /// While it is not listed: until when it may return.
     until: f64,
     /// Whether it is of an earlier life: what was bound to it may still be being read.
@@ -168,15 +168,15 @@
     }
 
     /// The list has a run: it takes requests.
-    pub fn list(&mut self, at: u32, listed: Listed) {
+    pub fn list(&mut self, at: u32, listed: ListedServer) {
         let ring = |near: bool| usize::from(!near);
         let Some(run) = self.runs[at as usize].as_mut() else { return };
-        let placed = |l: &Listed| (l.near, l.key, l.weight.to_bits());
+        let placed = |l: &ListedServer| (l.same_zone, l.name_hash, l.weight.to_bits());
         if self.ringed && run.listed.as_ref().map(placed) != Some(placed(&listed)) {
             if let Some(old) = &run.listed {
-                self.rings[ring(old.near)].remove(at, old.key, old.weight);
+                self.rings[ring(old.same_zone)].remove(at, old.name_hash, old.weight);
             }
-            self.rings[ring(listed.near)].add(at, listed.key, listed.weight);
+            self.rings[ring(listed.same_zone)].add(at, listed.name_hash, listed.weight);
         }
         self.by_server.insert(listed.server, at);
         run.listed = Some(listed);
@@ -188,7 +188,7 @@
         run.until = until;
         if let Some(old) = run.listed.take() {
             // Where there are no rings, nothing is found there.
-            self.rings[usize::from(!old.near)].remove(at, old.key, old.weight);
+            self.rings[usize::from(!old.same_zone)].remove(at, old.name_hash, old.weight);
             self.by_server.remove(&old.server);
         }
     }
@@ -206,10 +206,10 @@
     }
 
     /// The server that nodes agree on for a key: of the node's zone where there is any, and not cold.
-    pub fn by_ring(&self, now: f64, cold_ms: f64, key: u64) -> Option<u32> {
+    pub fn by_ring(&self, now: f64, slow_start_ms: f64, key: u64) -> Option<u32> {
         let warm = |at| {
             let run = self.run(at);
-            run.is_some_and(|run| now - run.started_at >= cold_ms && run.listed.is_some())
+            run.is_some_and(|run| now - run.started_at >= slow_start_ms && run.listed.is_some())
         };
         self.rings.iter().find_map(|ring| ring.find(key, warm))
     }
--- a/crates/spurdrum-affinity/src/table.rs
+++ b/crates/spurdrum-affinity/src/table.rs
@@ -10,7 +10,7 @@
 use crate::list::{Link, Linked, List, NIL};
 use crate::owners::Owners;
 use crate::sketch::Sketch;
-use crate::Key;
+use crate::KeyHash;
 
 /// Expired places that are cleared for one new one.
 const CLEAR_MOST: usize = 4;
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Binding {
     /// The key.
-    pub key: Key,
+    pub key: KeyHash,
     /// Who holds the place.
     pub owner: u64,
     /// The server, as [`Table`]'s user numbers its servers.
@@ -119,7 +119,7 @@
     /// A table of so many places, all of which are allocated now.
     pub fn new(places: usize) -> Self {
         let nothing =
-            Binding { key: Key::default(), owner: 0, server: NIL, used_at: 0.0, bound_at: 0.0, away: 0 };
+            Binding { key: KeyHash::default(), owner: 0, server: NIL, used_at: 0.0, bound_at: 0.0, away: 0 };
         let empty = |_| Place {
             binding: nothing,
             owner: NIL,
@@ -166,11 +166,11 @@
     }
 
     /// The key has been asked for. A binding too long unused or too old is dropped.
-    pub fn ask(&mut self, now: f64, key: Key, idle_ms: f64, most_ms: f64) -> Found {
+    pub fn ask(&mut self, now: f64, key: KeyHash, idle_timeout_ms: f64, max_age_ms: f64) -> Found {
         self.sketch.add(key.0);
         let Some(at) = self.place(key) else { return Found::Nothing };
         let binding = &mut self.places[at as usize].binding;
-        if now - binding.used_at > idle_ms || now - binding.bound_at > most_ms {
+        if now - binding.used_at > idle_timeout_ms || now - binding.bound_at > max_age_ms {
             self.unbind(at);
             return Found::Expired;
         }
@@ -186,12 +186,12 @@
     }
 
     /// Where a key is bound, whether or not its server is lost.
-    fn find(&self, key: Key) -> Option<u32> {
+    fn find(&self, key: KeyHash) -> Option<u32> {
         self.index.find(key.0[0], |at| self.places[*at as usize].binding.key == key).copied()
     }
 
     /// The place of a key that is bound.
-    pub fn place(&self, key: Key) -> Option<u32> {
+    pub fn place(&self, key: KeyHash) -> Option<u32> {
         self.find(key).filter(|at| self.state(*at) == State::Bound)
     }
 
@@ -216,8 +216,8 @@
 
     /// Binds a key that is not bound. Where its owner holds most itself, it must be asked for more often than the key that
     /// it would replace.
-    pub fn enter(&mut self, idle_ms: f64, binding: Binding) -> Entered {
-        self.expire(binding.used_at - idle_ms, CLEAR_MOST);
+    pub fn enter(&mut self, idle_timeout_ms: f64, binding: Binding) -> Entered {
+        self.expire(binding.used_at - idle_timeout_ms, CLEAR_MOST);
         // Guards against one key at two places: its server was lost, and its place not yet needed.
         if let Some(at) = self.find(binding.key) {
             self.clear(at);
@@ -287,7 +287,7 @@
         let own = own.filter(|_| held >= self.owners.places(largest).len);
         let at = self.owners.places(own.unwrap_or(largest)).last;
         // Guards against keys that come once: they would push out those of the same owner that come again.
-        let often = |key: Key| self.sketch.count(key.0);
+        let often = |key: KeyHash| self.sketch.count(key.0);
         let wins = own.is_none() || often(new.key) > often(self.binding(at).key);
         wins.then_some(at)
     }
--- a/crates/spurdrum-affinity/tests/properties.rs
+++ b/crates/spurdrum-affinity/tests/properties.rs
@@ -7,7 +7,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{RngAlgorithm, RngSeed};
-use spurdrum_affinity::record::{Stored, Write};
+use spurdrum_affinity::record::{PendingWrite, StoredBinding};
 use spurdrum_affinity::*;
 use spurdrum_policy::{Availability, ServerId};
 
@@ -44,10 +44,10 @@
 
 fn settings() -> Settings {
     Settings {
-        entries: ENTRIES,
-        idle_ms: 8_000.0,
-        most_ms: 20_000.0,
-        return_within_ms: 2_000.0,
+        max_bindings: ENTRIES,
+        idle_timeout_ms: 8_000.0,
+        max_age_ms: 20_000.0,
+        return_timeout_ms: 2_000.0,
         ..Settings::default()
     }
 }
@@ -56,20 +56,20 @@
 #[derive(Clone, Default)]
 struct Written {
     runs: BTreeMap<u64, (String, f64)>,
-    places: BTreeMap<u32, Stored>,
+    places: BTreeMap<u32, StoredBinding>,
 }
 
 impl Written {
-    fn write(&mut self, writes: &[Write]) {
+    fn write(&mut self, writes: &[PendingWrite]) {
         for write in writes {
             match write.clone() {
-                Write::Run(number, Some(run)) => drop(self.runs.insert(number, run)),
-                Write::Run(number, None) => drop(self.runs.remove(&number)),
-                Write::Place(at, Some(stored)) => {
-                    assert_eq!(Stored::from_bytes(&stored.to_bytes()), Some(stored));
+                PendingWrite::Run(number, Some(run)) => drop(self.runs.insert(number, run)),
+                PendingWrite::Run(number, None) => drop(self.runs.remove(&number)),
+                PendingWrite::Slot(at, Some(stored)) => {
+                    assert_eq!(StoredBinding::from_bytes(&stored.to_bytes()), Some(stored));
                     self.places.insert(at, stored);
                 }
-                Write::Place(at, None) => drop(self.places.remove(&at)),
+                PendingWrite::Slot(at, None) => drop(self.places.remove(&at)),
             }
         }
     }
@@ -79,7 +79,7 @@
             affinity.restore_run(now, *number, id, *started_at);
         }
         for (at, stored) in &self.places {
-            affinity.restore_place(now, *at, stored);
+            affinity.restore_binding(now, *at, stored);
         }
     }
 }
@@ -98,13 +98,13 @@
         match *step {
             Step::Ask(key, owner) => {
                 fleet.owner = owner;
-                if let Some(server) = fleet.prefers(key) {
+                if let Some(server) = fleet.preferred_server(key) {
                     assert_eq!(listed[server.0], Availability::Ready, "work follows a server that is gone");
                 }
             }
             Step::Serve(key, owner, by) => {
                 fleet.owner = owner;
-                fleet.prefers(key);
+                fleet.preferred_server(key);
                 fleet.served(key, by);
             }
             Step::Set(at, is) => {
@@ -122,7 +122,7 @@
                 }
                 let all = (0..SERVERS).filter(|at| listed[*at] == Availability::Ready);
                 let all = all.map(|at| fleet.listed(at, Availability::Ready)).collect();
-                fleet.affinity.listed(fleet.now, true, all);
+                fleet.affinity.apply_list(fleet.now, true, all);
             }
             Step::Wait(ms) => {
                 fleet.now += ms;
@@ -133,7 +133,7 @@
                 if well {
                     written.write(&writes)
                 } else {
-                    fleet.affinity.not_written(writes)
+                    fleet.affinity.requeue_writes(writes)
                 }
             }
         }
@@ -145,7 +145,7 @@
         (0..4 * 80)
             .map(|n| {
                 self.fleet.owner = n % 4;
-                self.fleet.prefers(n / 4)
+                self.fleet.preferred_server(n / 4)
             })
             .collect()
     }
@@ -168,7 +168,7 @@
         ages in any::<bool>(),
     ) {
         let listed = vec![Availability::Ready; SERVERS];
-        let settings = if ages { settings() } else { Settings { idle_ms: 1e12, most_ms: 1e12, ..settings() } };
+        let settings = if ages { settings() } else { Settings { idle_timeout_ms: 1e12, max_age_ms: 1e12, ..settings() } };
         let fleet = Fleet::new(settings.clone(), SERVERS);
         let mut world = World { fleet, listed, written: Written::default() };
         steps.iter().for_each(|step| world.play(step));
@@ -179,13 +179,13 @@
         let now = world.fleet.now;
         let mut next = Affinity::new(settings, now).expect("sound");
         let ready = (0..SERVERS).filter(|at| world.listed[*at] == Availability::Ready);
-        let list: Vec<Listed> = ready.map(|at| world.fleet.listed(at, Availability::Ready)).collect();
+        let list: Vec<ListedServer> = ready.map(|at| world.fleet.listed(at, Availability::Ready)).collect();
         if list_first {
-            next.listed(now, true, list.clone());
+            next.apply_list(now, true, list.clone());
         }
         world.written.read_by(&mut next, now);
         if !list_first {
-            next.listed(now, true, list);
+            next.apply_list(now, true, list);
         }
         // The next life has read back all that counts; its own writes change nothing of that.
         let before = world.all_preferred();
@@ -205,8 +205,8 @@
     #[test]
     fn any_bytes_can_be_read(bytes in proptest::collection::vec(any::<u8>(), 0..80), at in any::<u32>()) {
         let mut fleet = Fleet::new(settings(), SERVERS);
-        if let Some(stored) = Stored::from_bytes(&bytes) {
-            fleet.affinity.restore_place(fleet.now, at, &stored);
+        if let Some(stored) = StoredBinding::from_bytes(&bytes) {
+            fleet.affinity.restore_binding(fleet.now, at, &stored);
         }
         if let Some((id, started_at)) = record::run_from_bytes(&bytes) {
             fleet.affinity.restore_run(fleet.now, u64::from(at), &id, started_at);
@@ -217,18 +217,18 @@
     /// Who holds less than an equal share of a full table loses nothing to the others.
     #[test]
     fn a_fair_share_is_safe(noise in proptest::collection::vec((1..4_u64, 0..500_u64, any::<bool>()), 0..2_000)) {
-        let mut fleet = Fleet::new(Settings { entries: ENTRIES, ..Settings::default() }, SERVERS);
+        let mut fleet = Fleet::new(Settings { max_bindings: ENTRIES, ..Settings::default() }, SERVERS);
         // Four owners: a quarter of the places, less the eighth by which sizes are told apart.
         let share = ENTRIES as u64 / 4 * 7 / 8;
         (0..share).for_each(|key| fleet.served(key, 0));
         for (owner, key, ask) in noise {
             fleet.owner = owner;
             if ask {
-                fleet.prefers(key);
+                fleet.preferred_server(key);
             }
             fleet.served(key, 1);
         }
         fleet.owner = 0;
-        prop_assert!((0..share).all(|key| fleet.prefers(key) == Some(ServerId(0))));
+        prop_assert!((0..share).all(|key| fleet.preferred_server(key) == Some(ServerId(0))));
     }
 }
--- a/crates/spurdrum-bench/src/affinity.rs
+++ b/crates/spurdrum-bench/src/affinity.rs
@@ -6,21 +6,29 @@
 use std::time::{Duration, Instant};
 
 use hdrhistogram::Histogram;
-use spurdrum_affinity::record::{self, Stored, Write};
-use spurdrum_affinity::{Affinity, Ask, First, Keyer, Listed, Settings};
+use spurdrum_affinity::record::{self, PendingWrite, StoredBinding};
+use spurdrum_affinity::{Affinity, AffinityKey, InitialPlacement, KeyHasher, ListedServer, Settings};
 use spurdrum_policy::{Availability, ServerId};
-use spurdrum_store::{About, Disk, Row};
+use spurdrum_store::{FileIdentity, Row, StoreFile};
 
 const SERVERS: usize = 100;
 
-fn listed(at: usize, availability: Availability) -> Listed {
-    let (id, key) = (format!("server-{at}"), at as u64 * 7919 + 13);
-    Listed { id, server: ServerId(at), availability, started_at: None, near: true, weight: 1.0, key }
+fn listed(at: usize, availability: Availability) -> ListedServer {
+    let (id, name_hash) = (format!("server-{at}"), at as u64 * 7919 + 13);
+    ListedServer {
+        id,
+        server: ServerId(at),
+        availability,
+        started_at: None,
+        same_zone: true,
+        weight: 1.0,
+        name_hash,
+    }
 }
 
 fn affinity(settings: Settings, servers: usize) -> Affinity {
     let mut affinity = Affinity::new(settings, 0.0).expect("sound");
-    affinity.listed(0.0, true, (0..servers).map(|at| listed(at, Availability::Ready)).collect());
+    affinity.apply_list(0.0, true, (0..servers).map(|at| listed(at, Availability::Ready)).collect());
     affinity
 }
 
@@ -94,9 +102,9 @@
     store(&folder)
 }
 
-fn asks(count: usize, owners: u64) -> Vec<Ask> {
-    let keyer = Keyer::new([5; 16]);
-    (0..count as u64).map(|n| keyer.ask(n % owners, &[&n.to_le_bytes()])).collect()
+fn asks(count: usize, owners: u64) -> Vec<AffinityKey> {
+    let keyer = KeyHasher::new([5; 16]);
+    (0..count as u64).map(|n| keyer.affinity_key(n % owners, &[&n.to_le_bytes()])).collect()
 }
 
 fn table() {
@@ -110,42 +118,46 @@
     for count in [1_000, 65_536, 1_000_000] {
         let all = asks(2 * count, 50);
         let before = resident();
-        let mut ours = affinity(Settings { entries: count, idle_ms: 1e12, ..Settings::default() }, SERVERS);
-        all[..count].iter().enumerate().for_each(|(n, ask)| ours.served(1.0, *ask, ServerId(n % SERVERS)));
+        let mut ours =
+            affinity(Settings { max_bindings: count, idle_timeout_ms: 1e12, ..Settings::default() }, SERVERS);
+        all[..count]
+            .iter()
+            .enumerate()
+            .for_each(|(n, ask)| ours.record_served(1.0, *ask, ServerId(n % SERVERS)));
         let bytes = (resident() - before) as f64 / count as f64;
         let mut plain = Plain::new(count);
-        all[..count].iter().enumerate().for_each(|(n, ask)| plain.served(ask.key.0, n % SERVERS));
+        all[..count].iter().enumerate().for_each(|(n, ask)| plain.served(ask.hash.0, n % SERVERS));
         let order: Vec<usize> = (0..1_000_000).map(|_| random.usize(0..count)).collect();
         let known = each(order.len(), || {
             for at in &order {
-                let server = ours.prefers(2.0, all[*at]);
-                ours.served(2.0, all[*at], server.unwrap_or_default());
+                let server = ours.preferred_server(2.0, all[*at]);
+                ours.record_served(2.0, all[*at], server.unwrap_or_default());
             }
         });
         let plain_known = each(order.len(), || {
             for at in &order {
-                let server = plain.prefers(all[*at].key.0);
-                plain.served(all[*at].key.0, server.unwrap_or_default());
+                let server = plain.prefers(all[*at].hash.0);
+                plain.served(all[*at].hash.0, server.unwrap_or_default());
             }
         });
         let new = each(count, || {
             for (n, ask) in all[count..].iter().enumerate() {
-                black_box(ours.prefers(3.0, *ask));
+                black_box(ours.preferred_server(3.0, *ask));
                 // Asked for twice: it is no scan.
-                black_box(ours.prefers(3.0, *ask));
-                ours.served(3.0, *ask, ServerId(n % SERVERS));
+                black_box(ours.preferred_server(3.0, *ask));
+                ours.record_served(3.0, *ask, ServerId(n % SERVERS));
             }
         });
         let plain_new = each(count, || {
             for (n, ask) in all[count..].iter().enumerate() {
-                black_box(plain.prefers(ask.key.0));
-                black_box(plain.prefers(ask.key.0));
-                plain.served(ask.key.0, n % SERVERS);
+                black_box(plain.prefers(ask.hash.0));
+                black_box(plain.prefers(ask.hash.0));
+                plain.served(ask.hash.0, n % SERVERS);
             }
         });
         // Of twenty servers, in microseconds.
         let loss = each(20_000, || {
-            (7..27).for_each(|at| ours.listed(4.0, false, vec![listed(at, Availability::Draining)]));
+            (7..27).for_each(|at| ours.apply_list(4.0, false, vec![listed(at, Availability::Draining)]));
         });
         let plain_loss = each(20_000, || (7..27).for_each(|at| plain.lose(at)));
         println!(
@@ -162,12 +174,13 @@
     for servers in [10, 1_000, 10_000] {
         let all = asks(20_000, 1);
         let mut ours =
-            Affinity::new(Settings { first: First::Ring, ..Settings::default() }, 0.0).expect("sound");
-        let list: Vec<Listed> = (0..servers).map(|at| listed(at, Availability::Ready)).collect();
-        let whole = each(1_000, || ours.listed(0.0, true, list.clone()));
+            Affinity::new(Settings { initial_placement: InitialPlacement::Ring, ..Settings::default() }, 0.0)
+                .expect("sound");
+        let list: Vec<ListedServer> = (0..servers).map(|at| listed(at, Availability::Ready)).collect();
+        let whole = each(1_000, || ours.apply_list(0.0, true, list.clone()));
         let found = each(all.len(), || {
             all.iter().for_each(|ask| {
-                black_box(ours.prefers(1.0, *ask));
+                black_box(ours.preferred_server(1.0, *ask));
             })
         });
         let mix = |x: u64| {
@@ -177,13 +190,13 @@
         };
         let scan = each(all.len(), || {
             for ask in &all {
-                black_box(list.iter().max_by_key(|listed| mix(listed.key ^ ask.spread)));
+                black_box(list.iter().max_by_key(|listed| mix(listed.name_hash ^ ask.ring_hash)));
             }
         });
         let change = each(2_000 * 1_000, || {
             for n in 0..1_000 {
-                ours.listed(2.0, false, vec![listed(n % servers, Availability::Draining)]);
-                ours.listed(2.0, false, vec![listed(n % servers, Availability::Ready)]);
+                ours.apply_list(2.0, false, vec![listed(n % servers, Availability::Draining)]);
+                ours.apply_list(2.0, false, vec![listed(n % servers, Availability::Ready)]);
             }
         });
         println!("| {servers} | {found:.0} | {scan:.0} | {whole:.0} | {change:.1} |");
@@ -196,27 +209,27 @@
     println!("| new keys for one of theirs | table | by age alone |");
     println!("| --- | --- | --- |");
     for scan in [0_u64, 1, 10, 100] {
-        let mut ours = affinity(Settings { entries: 10_000, ..Settings::default() }, SERVERS);
+        let mut ours = affinity(Settings { max_bindings: 10_000, ..Settings::default() }, SERVERS);
         let mut plain = Plain::new(10_000);
         let inns = asks(5_000, 100);
-        let keyer = Keyer::new([5; 16]);
+        let keyer = KeyHasher::new([5; 16]);
         let (mut found, mut plain_found, mut asked, mut fresh) = (0_u64, 0_u64, 0_u64, 1 << 32);
         for round in 0..6 {
             for ask in &inns {
                 if round > 0 {
                     asked += 1;
-                    found += u64::from(ours.prefers(1.0, *ask).is_some());
-                    plain_found += u64::from(plain.prefers(ask.key.0).is_some());
+                    found += u64::from(ours.preferred_server(1.0, *ask).is_some());
+                    plain_found += u64::from(plain.prefers(ask.hash.0).is_some());
                 }
-                ours.served(1.0, *ask, ServerId(1));
-                plain.served(ask.key.0, 1);
+                ours.record_served(1.0, *ask, ServerId(1));
+                plain.served(ask.hash.0, 1);
                 for _ in 0..scan {
                     fresh += 1;
-                    let noisy = keyer.ask(7_777, &[&u64::to_le_bytes(fresh)]);
-                    ours.prefers(1.0, noisy);
-                    ours.served(1.0, noisy, ServerId(2));
-                    plain.prefers(noisy.key.0);
-                    plain.served(noisy.key.0, 2);
+                    let noisy = keyer.affinity_key(7_777, &[&u64::to_le_bytes(fresh)]);
+                    ours.preferred_server(1.0, noisy);
+                    ours.record_served(1.0, noisy, ServerId(2));
+                    plain.prefers(noisy.hash.0);
+                    plain.served(noisy.hash.0, 2);
                 }
             }
         }
@@ -225,13 +238,13 @@
     }
 }
 
-fn rows(writes: Vec<Write>) -> Vec<Row> {
-    let row = |write: Write| {
+fn rows(writes: Vec<PendingWrite>) -> Vec<Row> {
+    let row = |write: PendingWrite| {
         let (table, key, value) = write.to_row();
         Row { table, key, value }
     };
     let mut rows: Vec<Row> = writes.into_iter().map(row).collect();
-    rows.sort_by_key(|row| row.table != record::RUNS);
+    rows.sort_by_key(|row| row.table != record::RUNS_TABLE);
     rows
 }
 
@@ -240,15 +253,16 @@
     println!("default pace), p50 and p99 of 100; MB of the file then; s to open it, with its check, and to take all in.\n");
     println!("| keys | write all | batch p50 | p99 | MB | open | take in |");
     println!("| --- | --- | --- | --- | --- | --- | --- |");
-    let about = About { format: 1, mark: 1 };
+    let about = FileIdentity { format: 1, fingerprint: 1 };
     for count in [65_536_usize, 1_000_000] {
         let path = folder.join(format!("bench-{}-{count}.redb", std::process::id()));
-        let trouble = |why: spurdrum_store::Trouble| format!("{}: {why}", path.display());
-        let disk = Disk::open(&path, about).map_err(trouble)?;
-        let settings = Settings { entries: count, idle_ms: 1e12, most_ms: 1e12, ..Settings::default() };
+        let trouble = |why: spurdrum_store::StoreError| format!("{}: {why}", path.display());
+        let disk = StoreFile::open(&path, about).map_err(trouble)?;
+        let settings =
+            Settings { max_bindings: count, idle_timeout_ms: 1e12, max_age_ms: 1e12, ..Settings::default() };
         let mut ours = affinity(settings.clone(), SERVERS);
         let all = asks(count, 50);
-        all.iter().enumerate().for_each(|(n, ask)| ours.served(1.0, *ask, ServerId(n % SERVERS)));
+        all.iter().enumerate().for_each(|(n, ask)| ours.record_served(1.0, *ask, ServerId(n % SERVERS)));
         let begun = Instant::now();
         while ours.unwritten() > 0 {
             disk.write(&rows(ours.take_writes(4_096))).map_err(trouble)?;
@@ -261,7 +275,7 @@
                 // Served elsewhere three times in a row: each of them moves.
                 let (ask, to) = (all[random.usize(0..count)], ServerId(random.usize(0..SERVERS)));
                 let now = 10_000.0 * f64::from(batch + 1);
-                (0..3).for_each(|_| ours.served(now, ask, to));
+                (0..3).for_each(|_| ours.record_served(now, ask, to));
             }
             let rows = rows(ours.take_writes(4_096));
             let begun = Instant::now();
@@ -271,23 +285,23 @@
         drop(disk);
         let size = std::fs::metadata(&path).map_or(0, |about| about.len());
         let begun = Instant::now();
-        let disk = Disk::open(&path, about).map_err(trouble)?;
+        let disk = StoreFile::open(&path, about).map_err(trouble)?;
         let open = begun.elapsed();
         let mut next = affinity(settings, SERVERS);
         let begun = Instant::now();
-        for (number, value) in disk.read(record::RUNS, 0, usize::MAX).map_err(trouble)? {
+        for (number, value) in disk.read(record::RUNS_TABLE, 0, usize::MAX).map_err(trouble)? {
             let (id, started_at) = record::run_from_bytes(&value).ok_or("a run that is none")?;
             next.restore_run(1_000_000.0, number, &id, started_at);
         }
         let (mut from, mut worst) = (0, Duration::ZERO);
         loop {
-            let rows = disk.read(record::PLACES, from, 512).map_err(trouble)?;
+            let rows = disk.read(record::BINDINGS_TABLE, from, 512).map_err(trouble)?;
             let Some((last, _)) = rows.last() else { break };
             from = last + 1;
             let chunk = Instant::now();
             for (at, value) in &rows {
-                let stored = Stored::from_bytes(value).ok_or("a place that is none")?;
-                next.restore_place(1_000_000.0, *at as u32, &stored);
+                let stored = StoredBinding::from_bytes(value).ok_or("a place that is none")?;
+                next.restore_binding(1_000_000.0, *at as u32, &stored);
             }
             worst = worst.max(chunk.elapsed());
         }
--- a/crates/spurdrum-core/src/node.rs
+++ b/crates/spurdrum-core/src/node.rs
@@ -11,7 +11,7 @@
     Action, Availability, Balancer, Ending, Event, LearnedServerState, LearnedState, ListUpdate, LoadReport,
     NewSettings, Outcome, Request, RequestId, ServerEntry, ServerId, Settings,
 };
-use spurdrum_trace::{Seen, State, Trace};
+use spurdrum_trace::{ServerState, Trace, TraceEvent};
 use tokio::sync::oneshot;
 use tokio::time::{sleep, Instant};
 
@@ -119,7 +119,7 @@
 /// The trace that events are written to, and the state of each listed server that was written last.
 struct NodeTrace {
     sink: Trace,
-    servers: RefCell<HashMap<ServerId, (String, State)>>,
+    servers: RefCell<HashMap<ServerId, (String, ServerState)>>,
 }
 
 impl NodeTrace {
@@ -207,10 +207,10 @@
     }
 
     /// Traces an event of a pending request, if tracing is enabled.
-    fn trace_request(&self, id: RequestId, seen: impl FnOnce(String) -> Seen) {
+    fn trace_request(&self, id: RequestId, seen: impl FnOnce(String) -> TraceEvent) {
         let Some(trace) = &self.trace else { return };
         if let Some(pending) = self.requests.borrow().get(&id) {
-            trace.sink.note(self.now(), seen(pending.display_id()));
+            trace.sink.record(self.now(), seen(pending.display_id()));
         }
     }
 
@@ -247,7 +247,7 @@
                 let attempt = pending.attempts.len();
                 if let Some(trace) = &self.trace {
                     let (id, server) = (pending.display_id(), trace.server_id(server));
-                    trace.sink.note(self.now(), Seen::Placed { id, attempt, server });
+                    trace.sink.record(self.now(), TraceEvent::Placed { id, attempt, server });
                 }
                 let started_at = Instant::now();
                 let in_flight =
@@ -277,7 +277,7 @@
                 });
             }
             Action::Cancel { request, attempt } => {
-                self.trace_request(request, |id| Seen::GivenUp { id, attempt });
+                self.trace_request(request, |id| TraceEvent::GivenUp { id, attempt });
                 let requests = self.requests.borrow();
                 let attempt = requests.get(&request).and_then(|pending| pending.attempts.get(attempt));
                 if let Some(Some(in_flight)) = attempt {
@@ -418,8 +418,9 @@
         self.last_request_id.set(self.last_request_id.get() + 1);
         let id = RequestId(self.last_request_id.get());
         let preferred_server = self.affinity.as_ref().zip(transport_request.affinity());
-        let preferred_server = preferred_server
-            .and_then(|(affinity, affinity_key)| affinity.borrow_mut().prefers(self.now(), affinity_key));
+        let preferred_server = preferred_server.and_then(|(affinity, affinity_key)| {
+            affinity.borrow_mut().preferred_server(self.now(), affinity_key)
+        });
         let pending = PendingRequest {
             request: Rc::new(transport_request),
             answer: Some(answer),
@@ -427,7 +428,7 @@
             has_begun: false,
         };
         self.requests.borrow_mut().insert(id, pending);
-        self.trace_request(id, |id| Seen::Asked { id, class: request.class });
+        self.trace_request(id, |id| TraceEvent::Asked { id, class: request.class });
         let request = Request { id, preferred_server, ..request };
         if self.is_starting() {
             self.queue_request(request);
@@ -441,7 +442,7 @@
     pub fn client_gone(self: &Rc<Self>, id: RequestId) {
         let sender = self.requests.borrow_mut().get_mut(&id).and_then(|pending| pending.answer.take());
         if sender.is_some() {
-            self.trace_request(id, |id| Seen::Left { id });
+            self.trace_request(id, |id| TraceEvent::Left { id });
             self.dequeue(id);
             self.handle(Event::ClientGone(id));
             // Attempts that have not begun are cancelled here, because settings may forbid cancelling one
@@ -490,7 +491,7 @@
                 Answer::Refused(_) => "refused",
                 Answer::Failed => "failed",
             };
-            self.trace_request(id, |id| Seen::Answered { id, answer: name.into() });
+            self.trace_request(id, |id| TraceEvent::Answered { id, answer: name.into() });
             // This fails if the client has just left.
             let _ = sender.send(answer);
         }
@@ -506,7 +507,7 @@
         reply: Reply<T::Body>,
     ) {
         let mut affinity_key = None;
-        self.trace_request(id, |id| Seen::Ended { id, attempt, how: format!("{:?}", reply.ending) });
+        self.trace_request(id, |id| TraceEvent::Ended { id, attempt, how: format!("{:?}", reply.ending) });
         if let Some(pending) = self.requests.borrow_mut().get_mut(&id) {
             let ended_attempt = pending.attempts[attempt].take();
             pending.has_begun |= ended_attempt.is_some_and(|ended| ended.cancellation.has_begun());
@@ -517,7 +518,7 @@
                 .into_iter()
                 .chain(reply.affinity.filter(|named_key| Some(*named_key) != affinity_key))
             {
-                affinity.borrow_mut().served(self.now(), affinity_key, server);
+                affinity.borrow_mut().record_served(self.now(), affinity_key, server);
             }
         }
         let listed_start = self.listed_starts.borrow().get(&server).copied();
@@ -617,7 +618,7 @@
             entries.push(entry);
         }
         if let Some(affinity) = &self.affinity {
-            affinity.borrow_mut().listed(self.now(), complete, affinity_servers);
+            affinity.borrow_mut().apply_list(self.now(), complete, affinity_servers);
         }
         entries
     }
@@ -674,17 +675,17 @@
     fn trace_availability(&self, server: ServerId, id: &str, availability: Availability) {
         let Some(trace) = &self.trace else { return };
         let state = match availability {
-            Availability::Ready => State::Ready,
-            Availability::Draining => State::Draining,
-            Availability::Gone => State::Gone,
+            Availability::Ready => ServerState::Ready,
+            Availability::Draining => ServerState::Draining,
+            Availability::Gone => ServerState::Gone,
         };
         let mut servers = trace.servers.borrow_mut();
         let previous = match state {
-            State::Gone => servers.remove(&server).map(|(_, state)| state),
+            ServerState::Gone => servers.remove(&server).map(|(_, state)| state),
             _ => servers.insert(server, (id.to_owned(), state)).map(|(_, state)| state),
         };
         if previous != Some(state) {
-            trace.sink.note(self.now(), Seen::Told { server: id.to_owned(), state });
+            trace.sink.record(self.now(), TraceEvent::ServerChanged { server: id.to_owned(), state });
         }
     }
 
@@ -719,14 +720,14 @@
 }
 
 /// Returns a server as the affinity table sees it.
-fn affinity_server(id: String, entry: &ServerEntry, zone: usize) -> spurdrum_affinity::Listed {
-    spurdrum_affinity::Listed {
+fn affinity_server(id: String, entry: &ServerEntry, zone: usize) -> spurdrum_affinity::ListedServer {
+    spurdrum_affinity::ListedServer {
         id,
         server: entry.server,
         availability: entry.availability,
         started_at: entry.started_at,
-        near: entry.zone == zone,
+        same_zone: entry.zone == zone,
         weight: entry.weight,
-        key: entry.name_hash,
+        name_hash: entry.name_hash,
     }
 }
--- a/crates/spurdrum-core/src/transport.rs
+++ b/crates/spurdrum-core/src/transport.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use spurdrum_affinity::Ask;
+use spurdrum_affinity::AffinityKey;
 use spurdrum_policy::{Ending, LoadReport, ServerId};
 use tokio::sync::{oneshot, Notify};
 
@@ -19,7 +19,7 @@
     fn client_request_id(&self) -> &Self::ClientRequestId;
 
     /// Returns the key whose requests should preferably reach the same server, if it has one.
-    fn affinity(&self) -> Option<Ask> {
+    fn affinity(&self) -> Option<AffinityKey> {
         None
     }
 }
@@ -104,7 +104,7 @@
     /// When the server was started according to itself, in Unix milliseconds.
     pub started_at: Option<f64>,
     /// The affinity key that the server names for requests that should return to it.
-    pub affinity: Option<Ask>,
+    pub affinity: Option<AffinityKey>,
     /// The body of a served response: all of it, or its beginning.
     pub body: Option<B>,
     /// How long the server took, if that is not the whole time of the attempt.
--- a/crates/spurdrum-fleet/src/run.rs
+++ b/crates/spurdrum-fleet/src/run.rs
@@ -10,7 +10,7 @@
 
 use spurdrum_standin::scenario::{Fault as ServerFault, FaultKind};
 use spurdrum_standin::{Fleet, Tally};
-use spurdrum_trace::{Line, Seen, State};
+use spurdrum_trace::{ServerState, TraceEvent, TraceRecord};
 
 use crate::addresses::{address, free};
 use crate::clients;
@@ -454,16 +454,18 @@
         history.servers.iter().enumerate().map(|(n, server)| (server.name.clone(), n)).collect();
     for (node, path) in traces.iter().enumerate() {
         let lines = spurdrum_trace::read(path).map_err(|error| format!("{}: {error}", path.display()))?;
-        for Line { at, seen } in lines {
+        for TraceRecord { at, seen } in lines {
             let at = (at - began_ms) / 1000.0;
             match seen {
-                Seen::Told { server, state } => history.told.extend(places.get(&server).map(|server| Told {
-                    node,
-                    server: *server,
-                    at,
-                    ready: state == State::Ready,
-                })),
-                Seen::Placed { id, server, .. } => {
+                TraceEvent::ServerChanged { server, state } => {
+                    history.told.extend(places.get(&server).map(|server| Told {
+                        node,
+                        server: *server,
+                        at,
+                        ready: state == ServerState::Ready,
+                    }))
+                }
+                TraceEvent::Placed { id, server, .. } => {
                     let id = u64::from_str_radix(&id, 16).ok();
                     let chosen = id.zip(places.get(&server));
                     history.chosen.extend(chosen.map(|(id, server)| Chosen {
@@ -473,7 +475,7 @@
                         at,
                     }));
                 }
-                Seen::Lost { lines } => history.lost = history.lost.max(lines),
+                TraceEvent::Lost { lines } => history.lost = history.lost.max(lines),
                 _ => {}
             }
         }
--- a/crates/spurdrum-http/src/keys.rs
+++ b/crates/spurdrum-http/src/keys.rs
@@ -5,7 +5,7 @@
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 use hyper::Uri;
 use ipnet::IpNet;
-use spurdrum_affinity::{Ask, Keyer};
+use spurdrum_affinity::{AffinityKey, KeyHasher};
 
 /// A part longer than this makes no key.
 const PART_MOST: usize = 512;
@@ -94,7 +94,7 @@
 #[derive(Clone)]
 pub struct AffinityKeys {
     making: AffinityKeySettings,
-    keyer: Keyer,
+    keyer: KeyHasher,
 }
 
 /// Whose key a request is to have, and what it is made of but for what its answer gives.
@@ -107,7 +107,7 @@
 
 impl AffinityKeys {
     /// Keys made so, with the node's secret.
-    pub fn new(making: AffinityKeySettings, keyer: Keyer) -> Self {
+    pub fn new(making: AffinityKeySettings, keyer: KeyHasher) -> Self {
         Self { making, keyer }
     }
 
@@ -130,13 +130,13 @@
         (headers, uri): (&HeaderMap, &Uri),
         (class, tenant): (usize, usize),
         peer: IpAddr,
-    ) -> (Option<Ask>, Option<PartialKey>) {
+    ) -> (Option<AffinityKey>, Option<PartialKey>) {
         if !self.making.classes.is_empty() && !self.making.classes.contains(&class) {
             return (None, None);
         }
         let network = self.network(peer);
         let tenant = self.making.tenants.get(tenant).map_or(&b""[..], |name| name.as_bytes());
-        let named = |name: &[u8]| self.keyer.ask(0, &[name]).key.0[0];
+        let named = |name: &[u8]| self.keyer.affinity_key(0, &[name]).hash.0[0];
         let owner = match self.making.owner {
             Owner::Tenant => named(tenant),
             Owner::Address => network.map_or(0, |net| named(&octets(net.network()))),
@@ -152,7 +152,7 @@
         };
         let values: Vec<Option<Vec<u8>>> = self.making.parts.iter().map(value).collect();
         let whole: Option<Vec<&[u8]>> = values.iter().map(Option::as_deref).collect();
-        let ask = whole.filter(|parts| !parts.is_empty()).map(|parts| self.keyer.ask(owner, &parts));
+        let ask = whole.filter(|parts| !parts.is_empty()).map(|parts| self.keyer.affinity_key(owner, &parts));
         let given = |part: &Part| matches!(part, Part::Header(name) if Some(name) == self.answer());
         let rest =
             self.making.parts.iter().zip(values).map(
@@ -169,10 +169,10 @@
     }
 
     /// The key that an answer gives.
-    pub fn given(&self, naming: &PartialKey, value: &HeaderValue) -> Option<Ask> {
+    pub fn given(&self, naming: &PartialKey, value: &HeaderValue) -> Option<AffinityKey> {
         let value = Some(value.as_bytes()).filter(|v| !v.is_empty() && v.len() <= PART_MOST)?;
         let parts = naming.values.iter().map(|part| if part.is_empty() { value } else { part });
-        Some(self.keyer.ask(naming.owner, &parts.collect::<Vec<_>>()))
+        Some(self.keyer.affinity_key(naming.owner, &parts.collect::<Vec<_>>()))
     }
 
     fn network(&self, peer: IpAddr) -> Option<IpNet> {
@@ -206,7 +206,7 @@
         let tenants = ["a", "b", "c", "d", "e"].map(str::to_owned).to_vec();
         AffinityKeys::new(
             AffinityKeySettings { parts, answer, tenants, ..AffinityKeySettings::default() },
-            Keyer::new([7; 16]),
+            KeyHasher::new([7; 16]),
         )
     }
 
@@ -215,7 +215,7 @@
         headers: &[(&'static str, &str)],
         uri: &str,
         tenant: usize,
-    ) -> (Option<Ask>, Option<PartialKey>) {
+    ) -> (Option<AffinityKey>, Option<PartialKey>) {
         let field = |(name, value): &(&'static str, &str)| {
             (HeaderName::from_static(name), value.parse::<HeaderValue>().expect("a value"))
         };
--- a/crates/spurdrum-http/src/upstream.rs
+++ b/crates/spurdrum-http/src/upstream.rs
@@ -18,7 +18,7 @@
 use hyper_util::rt::TokioIo;
 use socket2::SockRef;
 use spurdrum_admission::Event as ConnectionEvent;
-use spurdrum_affinity::Ask;
+use spurdrum_affinity::AffinityKey;
 use spurdrum_core::{
     is_resource_exhausted, pause_adjusted_timeout, sleep_and_catch_up, Cancellation, Connections,
     NodeMetrics, Reply, ServerConnectionPermit, Transport, TransportRequest,
@@ -65,7 +65,7 @@
     /// When the node stops waiting.
     pub deadline: Rc<Deadline>,
     /// Its key.
-    pub ask: Option<Ask>,
+    pub ask: Option<AffinityKey>,
     /// What a key is made of that its answer gives.
     pub naming: Option<PartialKey>,
 }
@@ -93,7 +93,7 @@
         &self.headers["x-request-id"]
     }
 
-    fn affinity(&self) -> Option<Ask> {
+    fn affinity(&self) -> Option<AffinityKey> {
         self.ask
     }
 }
--- a/crates/spurdrum-lab/src/affinity.rs
+++ b/crates/spurdrum-lab/src/affinity.rs
@@ -5,7 +5,9 @@
 use std::collections::{BinaryHeap, HashMap};
 
 use hdrhistogram::Histogram;
-use spurdrum_affinity::{Affinity, Ask, First, Keyer, Listed, Settings as Binding};
+use spurdrum_affinity::{
+    Affinity, AffinityKey, InitialPlacement, KeyHasher, ListedServer, Settings as Binding,
+};
 use spurdrum_policy::{
     Action, Availability, Balancer, Class, Effect, Ending, Event, ListUpdate, LoadReport, Outcome, Request,
     RequestId, ServerEntry, ServerId, Settings,
@@ -157,7 +159,7 @@
     pending: HashMap<u64, Pending>,
     next_id: u64,
     random: fastrand::Rng,
-    keyer: Keyer,
+    keyer: KeyHasher,
     played: Played,
     cumulative: Vec<f64>,
     rate: f64,
@@ -209,7 +211,7 @@
         pending: HashMap::new(),
         next_id: 0,
         random: fastrand::Rng::with_seed(plan.seed),
-        keyer: Keyer::new([0; 16]),
+        keyer: KeyHasher::new([0; 16]),
         played,
         cumulative,
         rate,
@@ -287,11 +289,12 @@
         (settings.nodes, settings.node_index, settings.max_retry_after_ms) =
             (self.plan.nodes, me, Some(1_000.0));
         (settings.slow_start_ms, settings.slow_start_min_capacity) = (8_000.0, 0.3);
-        let mut binding = Binding { entries: 65_536, cold_ms: 8_000.0, ..Binding::default() };
+        let mut binding = Binding { max_bindings: 65_536, slow_start_ms: 8_000.0, ..Binding::default() };
         let mut kept = false;
         if let Way::Kept { slack, ring } = self.way {
             settings.preference_slack = slack;
-            binding.first = if ring { First::Ring } else { First::Lowest };
+            binding.initial_placement =
+                if ring { InitialPlacement::Ring } else { InitialPlacement::LowestCount };
             kept = true;
         }
         let seed = self.plan.seed.wrapping_add(me as u64 * 77);
@@ -307,10 +310,12 @@
             name_hash: server as u64 * 7919,
             ..ServerEntry::new(ServerId(server), availability)
         };
-        let (id, server, key, weight) = (format!("s{server}"), entry.server, entry.name_hash, entry.weight);
-        let listed = Listed { id, server, availability, started_at, near: true, weight, key };
+        let (id, server, name_hash, weight) =
+            (format!("s{server}"), entry.server, entry.name_hash, entry.weight);
+        let listed =
+            ListedServer { id, server, availability, started_at, same_zone: true, weight, name_hash };
         if let Some(affinity) = &mut self.nodes[node].affinity {
-            affinity.listed(self.now, false, vec![listed]);
+            affinity.apply_list(self.now, false, vec![listed]);
         }
         self.feed(node, Event::Servers(ListUpdate::Changes(vec![entry])));
     }
@@ -359,7 +364,7 @@
         let ask = self.ask(key);
         let now = self.now;
         let preferred_server =
-            self.nodes[node].affinity.as_mut().and_then(|affinity| affinity.prefers(now, ask));
+            self.nodes[node].affinity.as_mut().and_then(|affinity| affinity.preferred_server(now, ask));
         self.feed(
             node,
             Event::Request(Request { preferred_server, ..Request::new(RequestId(id), 0, DEADLINE) }),
@@ -371,8 +376,8 @@
         came >= self.plan.length * 0.2
     }
 
-    fn ask(&self, key: usize) -> Ask {
-        self.keyer.ask(0, &[&(key as u64).to_le_bytes()])
+    fn ask(&self, key: usize) -> AffinityKey {
+        self.keyer.affinity_key(0, &[&(key as u64).to_le_bytes()])
     }
 
     fn feed(&mut self, node: usize, event: Event) {
@@ -483,7 +488,7 @@
             let ask = self.ask(key);
             let now = self.now;
             if let Some(affinity) = &mut self.nodes[node].affinity {
-                affinity.served(now, ask, ServerId(to));
+                affinity.record_served(now, ask, ServerId(to));
             }
         }
         let report = (held >= 0.0).then_some(LoadReport { in_flight: Some(held), queued: None });
@@ -527,11 +532,11 @@
                 let affinity = self.nodes[me].affinity.as_mut().expect("there was one");
                 for write in old.take_writes(usize::MAX) {
                     match write {
-                        spurdrum_affinity::record::Write::Run(number, Some((id, started_at))) => {
+                        spurdrum_affinity::record::PendingWrite::Run(number, Some((id, started_at))) => {
                             affinity.restore_run(self.now, number, &id, started_at);
                         }
-                        spurdrum_affinity::record::Write::Place(at, Some(stored)) => {
-                            affinity.restore_place(self.now, at, &stored);
+                        spurdrum_affinity::record::PendingWrite::Slot(at, Some(stored)) => {
+                            affinity.restore_binding(self.now, at, &stored);
                         }
                         _ => {}
                     }
--- a/crates/spurdrum-store/src/disk.rs
+++ b/crates/spurdrum-store/src/disk.rs
@@ -12,7 +12,7 @@
     TableDefinition,
 };
 
-use crate::trial::Trial;
+use crate::trial::FaultyDisk;
 
 /// Memory that the file's pages may take up.
 const CACHE: usize = 4 << 20;
@@ -32,49 +32,49 @@
 
 /// What a file must have been written by, to be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct About {
+pub struct FileIdentity {
     /// The form of its rows.
     pub format: u64,
     /// Whose they are.
-    pub mark: u64,
+    pub fingerprint: u64,
 }
 
 /// Why a file can't be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum StoreError {
     /// Another process has it.
     Busy,
     /// What it holds makes no sense.
-    Broken(String),
+    Corrupt(String),
     /// It was written by another format, or by a node with another secret.
     Foreign,
     /// The system refused.
-    Refused(String),
+    Io(String),
 }
 
-impl fmt::Display for Trouble {
+impl fmt::Display for StoreError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Busy => f.write_str("another process has it open"),
-            Self::Broken(why) => write!(f, "it is broken: {why}"),
+            Self::Corrupt(why) => write!(f, "it is broken: {why}"),
             Self::Foreign => f.write_str("another format or another node's secret wrote it"),
-            Self::Refused(why) => f.write_str(why),
+            Self::Io(why) => f.write_str(why),
         }
     }
 }
 
-impl From<DatabaseError> for Trouble {
+impl From<DatabaseError> for StoreError {
     fn from(error: DatabaseError) -> Self {
         match error {
             DatabaseError::DatabaseAlreadyOpen => Self::Busy,
             DatabaseError::Storage(storage) => storage.into(),
             DatabaseError::UpgradeRequired(_) => Self::Foreign,
-            other => Self::Broken(other.to_string()),
+            other => Self::Corrupt(other.to_string()),
         }
     }
 }
 
-impl From<StorageError> for Trouble {
+impl From<StorageError> for StoreError {
     fn from(error: StorageError) -> Self {
         let says = error.to_string();
         match error {
@@ -85,57 +85,57 @@
                     std::io::ErrorKind::InvalidData | std::io::ErrorKind::UnexpectedEof
                 ) =>
             {
-                Self::Broken(says)
+                Self::Corrupt(says)
             }
-            StorageError::Io(_) | StorageError::Backend(_) | StorageError::PreviousIo => Self::Refused(says),
-            _ => Self::Broken(says),
+            StorageError::Io(_) | StorageError::Backend(_) | StorageError::PreviousIo => Self::Io(says),
+            _ => Self::Corrupt(says),
         }
     }
 }
 
-fn trouble(error: impl Into<redb::Error>) -> Trouble {
+fn trouble(error: impl Into<redb::Error>) -> StoreError {
     match error.into() {
         redb::Error::Io(io) => StorageError::Io(io).into(),
         redb::Error::PreviousIo => StorageError::PreviousIo.into(),
-        other => Trouble::Broken(other.to_string()),
+        other => StoreError::Corrupt(other.to_string()),
     }
 }
 
 /// An open file.
-pub struct Disk {
+pub struct StoreFile {
     database: Database,
     fresh: bool,
-    aside: Option<Trouble>,
+    aside: Option<StoreError>,
 }
 
-impl Disk {
+impl StoreFile {
     /// Opens a file; where there is none, or one that can't be read, an empty one.
     ///
     /// # Errors
     ///
     /// Another process has it, or the system refuses.
-    pub fn open(path: &Path, about: About) -> Result<Self, Trouble> {
+    pub fn open(path: &Path, about: FileIdentity) -> Result<Self, StoreError> {
         Self::open_by(path, about, || builder().create(path))
     }
 
-    /// As [`Disk::open`], on a disk that does what the file `says` tells: see [`crate::trial`].
+    /// As [`StoreFile::open`], on a disk that does what the file `says` tells: see [`crate::trial`].
     ///
     /// # Errors
     ///
     /// As there.
-    pub fn open_on_trial(path: &Path, about: About, says: &Path) -> Result<Self, Trouble> {
-        Self::open_by(path, about, || builder().create_with_backend(Trial::open(path, says)?))
+    pub fn open_with_faults(path: &Path, about: FileIdentity, says: &Path) -> Result<Self, StoreError> {
+        Self::open_by(path, about, || builder().create_with_backend(FaultyDisk::open(path, says)?))
     }
 
     fn open_by(
         path: &Path,
-        about: About,
+        about: FileIdentity,
         create: impl Fn() -> Result<Database, DatabaseError>,
-    ) -> Result<Self, Trouble> {
-        let attempt = || Self::of(create().map_err(Trouble::from), about);
+    ) -> Result<Self, StoreError> {
+        let attempt = || Self::of(create().map_err(StoreError::from), about);
         match guarded(attempt) {
-            Err(why @ (Trouble::Broken(_) | Trouble::Foreign)) => {
-                std::fs::rename(path, aside(path)).map_err(|error| Trouble::Refused(error.to_string()))?;
+            Err(why @ (StoreError::Corrupt(_) | StoreError::Foreign)) => {
+                std::fs::rename(path, aside(path)).map_err(|error| StoreError::Io(error.to_string()))?;
                 guarded(attempt).map(|disk| Self { aside: Some(why), ..disk })
             }
             opened => opened,
@@ -143,12 +143,12 @@
     }
 
     /// Whether nothing had been written to it before it was opened.
-    pub fn is_fresh(&self) -> bool {
+    pub fn is_new(&self) -> bool {
         self.fresh
     }
 
     /// Why an earlier file was put aside, if one was.
-    pub fn aside(&self) -> Option<&Trouble> {
+    pub fn quarantine_reason(&self) -> Option<&StoreError> {
         self.aside.as_ref()
     }
 
@@ -157,20 +157,20 @@
     /// # Errors
     ///
     /// It is broken, foreign, or refuses.
-    pub fn open_backend(backend: impl StorageBackend, about: About) -> Result<Self, Trouble> {
-        guarded(|| Self::of(builder().create_with_backend(backend).map_err(Trouble::from), about))
+    pub fn open_backend(backend: impl StorageBackend, about: FileIdentity) -> Result<Self, StoreError> {
+        guarded(|| Self::of(builder().create_with_backend(backend).map_err(StoreError::from), about))
     }
 
-    fn of(database: Result<Database, Trouble>, about: About) -> Result<Self, Trouble> {
+    fn of(database: Result<Database, StoreError>, about: FileIdentity) -> Result<Self, StoreError> {
         let database = database?;
         let mut fresh = false;
         let txn = database.begin_write().map_err(trouble)?;
         {
             let mut table = txn.open_table(ABOUT).map_err(trouble)?;
-            for (key, wanted) in [("format", about.format), ("mark", about.mark)] {
+            for (key, wanted) in [("format", about.format), ("mark", about.fingerprint)] {
                 let found = table.get(key).map_err(trouble)?.map(|value| value.value());
                 match found {
-                    Some(found) if found != wanted => return Err(Trouble::Foreign),
+                    Some(found) if found != wanted => return Err(StoreError::Foreign),
                     Some(_) => {}
                     None => {
                         fresh = true;
@@ -188,7 +188,7 @@
     /// # Errors
     ///
     /// The file is broken, or the system refuses.
-    pub fn read(&self, table: &str, from: u64, most: usize) -> Result<Vec<(u64, Vec<u8>)>, Trouble> {
+    pub fn read(&self, table: &str, from: u64, most: usize) -> Result<Vec<(u64, Vec<u8>)>, StoreError> {
         guarded(|| {
             let txn = self.database.begin_read().map_err(trouble)?;
             let table = match txn.open_table(TableDefinition::<u64, &[u8]>::new(table)) {
@@ -207,7 +207,7 @@
     /// # Errors
     ///
     /// The file is broken, or the system refuses. The file can't be used any more.
-    pub fn write(&self, rows: &[Row]) -> Result<(), Trouble> {
+    pub fn write(&self, rows: &[Row]) -> Result<(), StoreError> {
         guarded(|| {
             let txn = self.database.begin_write().map_err(trouble)?;
             for of_table in rows.chunk_by(|a, b| a.table == b.table) {
@@ -239,7 +239,7 @@
 }
 
 /// Guards against a file so broken that reading it panics.
-fn guarded<T>(work: impl FnOnce() -> Result<T, Trouble>) -> Result<T, Trouble> {
+fn guarded<T>(work: impl FnOnce() -> Result<T, StoreError>) -> Result<T, StoreError> {
     catch_unwind(AssertUnwindSafe(work))
-        .unwrap_or_else(|_| Err(Trouble::Broken("reading it cannot go on".to_owned())))
+        .unwrap_or_else(|_| Err(StoreError::Corrupt("reading it cannot go on".to_owned())))
 }
--- a/crates/spurdrum-store/src/lib.rs
+++ b/crates/spurdrum-store/src/lib.rs
@@ -6,13 +6,13 @@
 //! - [`shell`]: the thread, and what ties all to the event loop.
 //! - [`trial`]: a disk that is full, slow, fails to sync or forgets, on command.
 //!
-//! What is kept comes from a [`Keeper`]: it says what waits to be written, and takes in what an earlier life wrote.
+//! What is kept comes from a [`StoreWriter`]: it says what waits to be written, and takes in what an earlier life wrote.
 
 pub mod disk;
 pub mod pace;
 pub mod shell;
 pub mod trial;
 
-pub use disk::{About, Disk, Row, Trouble};
-pub use pace::{Pace, Settings};
-pub use shell::{keep, Keeper, Status};
+pub use disk::{FileIdentity, Row, StoreError, StoreFile};
+pub use pace::{Settings, WritePacing};
+pub use shell::{run_store, Status, StoreWriter};
--- a/crates/spurdrum-store/src/pace.rs
+++ b/crates/spurdrum-store/src/pace.rs
@@ -13,31 +13,31 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Pause between two batches.
-    pub every: Duration,
+    pub write_interval: Duration,
     /// Part of the time that may go into writing: after a slow batch the pause is longer.
-    pub share: f64,
+    pub write_time_share: f64,
     /// A batch that takes longer makes the next one smaller.
-    pub aim: Duration,
+    pub batch_time_target: Duration,
     /// Rows in a batch at the most.
-    pub batch: usize,
+    pub max_batch_rows: usize,
     /// Pause after a trouble, doubled with each ...
-    pub retry_least: Duration,
+    pub min_retry_delay: Duration,
     /// ... up to this.
-    pub retry_most: Duration,
+    pub max_retry_delay: Duration,
     /// When the node ends, what is left is written for so long.
-    pub flush_most: Duration,
+    pub max_flush_time: Duration,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            every: Duration::from_millis(200),
-            share: 0.1,
-            aim: Duration::from_millis(100),
-            batch: 4_096,
-            retry_least: Duration::from_millis(200),
-            retry_most: Duration::from_secs(30),
-            flush_most: Duration::from_millis(500),
+            write_interval: Duration::from_millis(200),
+            write_time_share: 0.1,
+            batch_time_target: Duration::from_millis(100),
+            max_batch_rows: 4_096,
+            min_retry_delay: Duration::from_millis(200),
+            max_retry_delay: Duration::from_secs(30),
+            max_flush_time: Duration::from_millis(500),
         }
     }
 }
@@ -50,12 +50,20 @@
     /// The first key that does not, and why.
     pub fn validate(&self) -> Result<(), (&'static str, &'static str)> {
         let need = |ok: bool, key, why| if ok { Ok(()) } else { Err((key, why)) };
-        need(!self.every.is_zero(), "write_every_ms", "is 0")?;
-        need(self.share > 0.0 && self.share <= 1.0, "share", "is not above 0 and at most 1")?;
-        need(!self.aim.is_zero(), "aim_ms", "is 0")?;
-        need((BATCH_LEAST..=1 << 20).contains(&self.batch), "batch", "is not between 64 and 1048576")?;
-        need(!self.retry_least.is_zero(), "retry_least_ms", "is 0")?;
-        need(self.retry_most >= self.retry_least, "retry_most_ms", "is below `retry_least_ms`")
+        need(!self.write_interval.is_zero(), "write_every_ms", "is 0")?;
+        need(
+            self.write_time_share > 0.0 && self.write_time_share <= 1.0,
+            "share",
+            "is not above 0 and at most 1",
+        )?;
+        need(!self.batch_time_target.is_zero(), "aim_ms", "is 0")?;
+        need(
+            (BATCH_LEAST..=1 << 20).contains(&self.max_batch_rows),
+            "batch",
+            "is not between 64 and 1048576",
+        )?;
+        need(!self.min_retry_delay.is_zero(), "retry_least_ms", "is 0")?;
+        need(self.max_retry_delay >= self.min_retry_delay, "retry_most_ms", "is below `retry_least_ms`")
     }
 }
 
@@ -71,7 +79,7 @@
     /// Opening, loading or writing has failed; it is closed.
     Failed,
     /// The node ends.
-    Ending,
+    Stopping,
 }
 
 /// What is to be done with the store.
@@ -86,7 +94,7 @@
     /// Nothing, until then at the latest; none: until something happens.
     Wait(Option<Duration>),
     /// It is over.
-    End,
+    Stop,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -101,28 +109,28 @@
 }
 
 /// Decides. Times are from any one moment.
-pub struct Pace {
+pub struct WritePacing {
     settings: Settings,
     state: State,
     since: Duration,
     rests_until: Duration,
-    batch: usize,
+    batch_limit: usize,
     troubles: u32,
     /// An earlier life's rows are taken in once: what is known since then goes before them.
     loaded: bool,
     ends_by: Option<Duration>,
 }
 
-impl Pace {
+impl WritePacing {
     /// A store that is closed.
     pub fn new(settings: Settings) -> Self {
-        let batch = settings.batch;
+        let batch_limit = settings.max_batch_rows;
         Self {
             settings,
             state: State::Closed,
             since: Duration::ZERO,
             rests_until: Duration::ZERO,
-            batch,
+            batch_limit,
             troubles: 0,
             loaded: false,
             ends_by: None,
@@ -139,47 +147,48 @@
             }
             Event::Written => {
                 let took = now.saturating_sub(self.since);
-                let rests = took.mul_f64((1.0 - self.settings.share) / self.settings.share);
-                self.rests_until = now + rests.max(self.settings.every);
-                self.batch = if took > self.settings.aim {
-                    (self.batch / 2).max(BATCH_LEAST)
+                let rests =
+                    took.mul_f64((1.0 - self.settings.write_time_share) / self.settings.write_time_share);
+                self.rests_until = now + rests.max(self.settings.write_interval);
+                self.batch_limit = if took > self.settings.batch_time_target {
+                    (self.batch_limit / 2).max(BATCH_LEAST)
                 } else {
-                    (self.batch + BATCH_STEP).min(self.settings.batch)
+                    (self.batch_limit + BATCH_STEP).min(self.settings.max_batch_rows)
                 };
                 (self.state, self.troubles) = (State::Ready, 0);
             }
             Event::Failed => {
-                let doubled = self.settings.retry_least.saturating_mul(1 << self.troubles.min(20));
-                let pause = doubled.min(self.settings.retry_most);
+                let doubled = self.settings.min_retry_delay.saturating_mul(1 << self.troubles.min(20));
+                let pause = doubled.min(self.settings.max_retry_delay);
                 self.rests_until = now + pause.mul_f64(1.0 - SPREAD * chance);
                 self.troubles += 1;
                 self.state = State::Closed;
             }
-            Event::Ending => {
-                self.ends_by.get_or_insert(now + self.settings.flush_most);
+            Event::Stopping => {
+                self.ends_by.get_or_insert(now + self.settings.max_flush_time);
             }
         }
     }
 
     /// What is to be done now, where so many rows wait to be written. What it says is taken as begun.
-    pub fn next(&mut self, now: Duration, unwritten: usize) -> Action {
+    pub fn next_action(&mut self, now: Duration, unwritten: usize) -> Action {
         if self.ends_by.is_some_and(|by| now >= by) {
-            return Action::End;
+            return Action::Stop;
         }
         let ending = self.ends_by.is_some();
         // Whoever ends does not rest, but a store that failed is left alone.
         let rests = now < self.rests_until && !(ending && self.state == State::Ready);
         match self.state {
             State::Opening | State::Loading | State::Writing => Action::Wait(self.ends_by),
-            State::Closed if ending => Action::End,
-            State::Ready if ending && unwritten == 0 => Action::End,
-            State::Opened if ending => Action::End,
+            State::Closed if ending => Action::Stop,
+            State::Ready if ending && unwritten == 0 => Action::Stop,
+            State::Opened if ending => Action::Stop,
             State::Closed | State::Ready if rests => Action::Wait(Some(self.rests_until)),
             State::Closed => self.begin(now, State::Opening, Action::Open),
             State::Opened => self.begin(now, State::Loading, Action::Load),
-            State::Ready if unwritten == 0 => Action::Wait(Some(now + self.settings.every)),
+            State::Ready if unwritten == 0 => Action::Wait(Some(now + self.settings.write_interval)),
             State::Ready => {
-                let most = if ending { self.settings.batch } else { self.batch };
+                let most = if ending { self.settings.max_batch_rows } else { self.batch_limit };
                 self.begin(now, State::Writing, Action::Write(most))
             }
         }
@@ -191,18 +200,18 @@
     }
 
     /// When a node that ends is done with it at the latest.
-    pub fn ends_by(&self) -> Option<Duration> {
+    pub fn flush_deadline(&self) -> Option<Duration> {
         self.ends_by
     }
 
     /// Troubles in a row.
-    pub fn troubles(&self) -> u32 {
+    pub fn consecutive_failures(&self) -> u32 {
         self.troubles
     }
 
     /// Rows that the next batch may hold.
-    pub fn batch(&self) -> usize {
-        self.batch
+    pub fn batch_limit(&self) -> usize {
+        self.batch_limit
     }
 
     /// Whether what an earlier life wrote has been taken in.
@@ -222,11 +231,11 @@
 
     const MS: Duration = Duration::from_millis(1);
 
-    fn ready() -> Pace {
-        let mut pace = Pace::new(Settings::default());
-        assert_eq!(pace.next(Duration::ZERO, 0), Action::Open);
+    fn ready() -> WritePacing {
+        let mut pace = WritePacing::new(Settings::default());
+        assert_eq!(pace.next_action(Duration::ZERO, 0), Action::Open);
         pace.handle(MS, Event::Opened, 0.0);
-        assert_eq!(pace.next(MS, 0), Action::Load);
+        assert_eq!(pace.next_action(MS, 0), Action::Load);
         pace.handle(2 * MS, Event::Loaded, 0.0);
         pace
     }
@@ -239,13 +248,13 @@
         let mut writing = Duration::ZERO;
         let begun = now;
         for _ in 0..20 {
-            let Action::Write(most) = pace.next(now, 1 << 20) else { panic!("it has rested") };
+            let Action::Write(most) = pace.next_action(now, 1 << 20) else { panic!("it has rested") };
             batches.push(most);
             // Every row takes 0.2 ms.
             let took = (most as u32 * MS) / 5;
             (now, writing) = (now + took, writing + took);
             pace.handle(now, Event::Written, 0.0);
-            let Action::Wait(Some(until)) = pace.next(now, 1 << 20) else { panic!("it rests") };
+            let Action::Wait(Some(until)) = pace.next_action(now, 1 << 20) else { panic!("it rests") };
             now = until;
         }
         assert!(batches[..4] == [4096, 2048, 1024, 512], "{batches:?}");
@@ -258,39 +267,42 @@
     fn a_broken_disk_is_tried_ever_more_seldom_and_never_loaded_twice() {
         let mut pace = ready();
         let mut now = 3 * MS;
-        assert_eq!(pace.next(now, 1), Action::Write(4096));
+        assert_eq!(pace.next_action(now, 1), Action::Write(4096));
         let mut pauses = Vec::new();
         for _ in 0..12 {
             pace.handle(now, Event::Failed, 0.0);
-            let Action::Wait(Some(until)) = pace.next(now, 1) else { panic!("it rests") };
+            let Action::Wait(Some(until)) = pace.next_action(now, 1) else { panic!("it rests") };
             pauses.push((until - now).as_millis());
             now = until;
-            assert_eq!(pace.next(now, 1), Action::Open);
+            assert_eq!(pace.next_action(now, 1), Action::Open);
         }
         assert_eq!(pauses[..4], [200, 400, 800, 1600]);
         assert_eq!(pauses[11], 30_000);
         pace.handle(now, Event::Opened, 0.0);
-        assert_eq!(pace.next(now, 1), Action::Write(4096), "what is known since goes before it");
+        assert_eq!(pace.next_action(now, 1), Action::Write(4096), "what is known since goes before it");
         pace.handle(now, Event::Failed, 1.0);
-        assert!(pace.troubles() == 13 && !pace.is_open(), "an open that is no write mends nothing");
+        assert!(
+            pace.consecutive_failures() == 13 && !pace.is_open(),
+            "an open that is no write mends nothing"
+        );
     }
 
     #[test]
     fn who_ends_writes_what_is_left_at_once_and_not_for_ever() {
         let mut pace = ready();
         let now = 10 * MS;
-        assert_eq!(pace.next(now, 9), Action::Write(4096));
+        assert_eq!(pace.next_action(now, 9), Action::Write(4096));
         pace.handle(now, Event::Written, 0.0);
-        pace.handle(now, Event::Ending, 0.0);
-        assert_eq!(pace.next(now, 5), Action::Write(4096));
-        assert_eq!(pace.next(now, 5), Action::Wait(Some(510 * MS)));
-        pace.handle(now, Event::Ending, 0.0);
-        assert_eq!(pace.next(510 * MS, 5), Action::End, "a disk that hangs");
+        pace.handle(now, Event::Stopping, 0.0);
+        assert_eq!(pace.next_action(now, 5), Action::Write(4096));
+        assert_eq!(pace.next_action(now, 5), Action::Wait(Some(510 * MS)));
+        pace.handle(now, Event::Stopping, 0.0);
+        assert_eq!(pace.next_action(510 * MS, 5), Action::Stop, "a disk that hangs");
         let mut pace = ready();
-        pace.handle(now, Event::Ending, 0.0);
-        assert_eq!(pace.next(now, 0), Action::End);
-        let mut closed = Pace::new(Settings::default());
-        closed.handle(now, Event::Ending, 0.0);
-        assert_eq!(closed.next(now, 7), Action::End, "nothing is read for a node that ends");
+        pace.handle(now, Event::Stopping, 0.0);
+        assert_eq!(pace.next_action(now, 0), Action::Stop);
+        let mut closed = WritePacing::new(Settings::default());
+        closed.handle(now, Event::Stopping, 0.0);
+        assert_eq!(closed.next_action(now, 7), Action::Stop, "nothing is read for a node that ends");
     }
 }
--- a/crates/spurdrum-store/src/shell.rs
+++ b/crates/spurdrum-store/src/shell.rs
@@ -9,14 +9,14 @@
 use tokio::sync::mpsc as async_mpsc;
 use tokio::time::{sleep_until, timeout_at, Instant};
 
-use crate::disk::{Disk, Row, Trouble};
-use crate::pace::{Action, Event, Pace, Settings};
+use crate::disk::{Row, StoreError, StoreFile};
+use crate::pace::{Action, Event, Settings, WritePacing};
 
 /// Rows of an earlier life that are taken in at once: the event loop goes on between two chunks.
 const CHUNK: usize = 512;
 
 /// Who has the state that is kept.
-pub trait Keeper {
+pub trait StoreWriter {
     /// The tables, in the order in which they are read.
     const TABLES: &'static [&'static str];
 
@@ -24,19 +24,19 @@
     fn unwritten(&self) -> usize;
 
     /// Rows to write next, so many at the most or a few more.
-    fn take(&mut self, most: usize) -> Vec<Row>;
+    fn take_rows(&mut self, most: usize) -> Vec<Row>;
 
     /// These could not be written.
-    fn not_written(&mut self, rows: Vec<Row>);
+    fn requeue_rows(&mut self, rows: Vec<Row>);
 
     /// What an earlier life wrote, a part at a time.
-    fn restore(&mut self, table: &'static str, rows: Vec<(u64, Vec<u8>)>);
+    fn restore_rows(&mut self, table: &'static str, rows: Vec<(u64, Vec<u8>)>);
 
     /// The file is empty, and was not before: all is to be written again.
-    fn rewrite(&mut self);
+    fn queue_rewrite(&mut self);
 
     /// Something has happened that operators should see.
-    fn note(&self, what: &str);
+    fn log_warning(&self, what: &str);
 }
 
 enum Command {
@@ -46,11 +46,11 @@
 }
 
 enum Told {
-    Opened { fresh: bool, aside: Option<Trouble> },
+    Opened { fresh: bool, aside: Option<StoreError> },
     Rows(&'static str, Vec<(u64, Vec<u8>)>),
     Loaded,
     Written(usize),
-    Failed(Trouble, Vec<Row>),
+    Failed(StoreError, Vec<Row>),
 }
 
 /// How the store does, for operators.
@@ -61,13 +61,13 @@
     /// See `batches`.
     pub rows: u64,
     /// See `batches`.
-    pub troubles: u64,
+    pub failures: u64,
     /// Whether it can be written to, and whether an earlier life's rows are in.
     pub open: bool,
     /// See `open`.
     pub loaded: bool,
     /// The last trouble.
-    pub last: Option<Trouble>,
+    pub last_error: Option<StoreError>,
 }
 
 impl std::fmt::Display for Status {
@@ -77,8 +77,8 @@
             (false, true) => "closed",
             (false, false) => "not yet read",
         };
-        write!(f, "store {state}, batches {}, rows {}, troubles {}", self.batches, self.rows, self.troubles)?;
-        match &self.last {
+        write!(f, "store {state}, batches {}, rows {}, troubles {}", self.batches, self.rows, self.failures)?;
+        match &self.last_error {
             Some(last) => write!(f, ", the last: {last}"),
             None => Ok(()),
         }
@@ -87,7 +87,7 @@
 
 /// The thread's work: one command at a time, until nobody listens.
 fn work(
-    mut open: impl FnMut() -> Result<Disk, Trouble>,
+    mut open: impl FnMut() -> Result<StoreFile, StoreError>,
     commands: &mpsc::Receiver<Command>,
     tell: &async_mpsc::Sender<Told>,
 ) {
@@ -98,7 +98,8 @@
                 // Guards against a file that this process itself still has.
                 disk = None;
                 let opened = open().map(|opened| {
-                    let told = Told::Opened { fresh: opened.is_fresh(), aside: opened.aside().cloned() };
+                    let told =
+                        Told::Opened { fresh: opened.is_new(), aside: opened.quarantine_reason().cloned() };
                     disk = Some(opened);
                     told
                 });
@@ -117,15 +118,15 @@
     }
 }
 
-fn closed() -> Trouble {
-    Trouble::Refused("it is not open".to_owned())
+fn closed() -> StoreError {
+    StoreError::Io("it is not open".to_owned())
 }
 
 fn load(
-    disk: Option<&Disk>,
+    disk: Option<&StoreFile>,
     tables: &[&'static str],
     tell: &async_mpsc::Sender<Told>,
-) -> Result<Told, Trouble> {
+) -> Result<Told, StoreError> {
     let disk = disk.ok_or_else(closed)?;
     for table in tables {
         let mut from = Some(0);
@@ -139,7 +140,7 @@
     Ok(Told::Loaded)
 }
 
-fn written(disk: Option<&Disk>, rows: &[Row]) -> Result<Told, Trouble> {
+fn written(disk: Option<&StoreFile>, rows: &[Row]) -> Result<Told, StoreError> {
     disk.ok_or_else(closed)?.write(rows).map(|()| Told::Written(rows.len()))
 }
 
@@ -149,8 +150,8 @@
 /// # Errors
 ///
 /// There is no thread to be had.
-pub async fn keep<K: Keeper>(
-    open: impl FnMut() -> Result<Disk, Trouble> + Send + 'static,
+pub async fn run_store<K: StoreWriter>(
+    open: impl FnMut() -> Result<StoreFile, StoreError> + Send + 'static,
     settings: Settings,
     keeper: Rc<RefCell<K>>,
     status: Rc<RefCell<Status>>,
@@ -162,16 +163,16 @@
     let (tell, mut told) = async_mpsc::channel(2);
     std::thread::Builder::new().name("store".into()).spawn(move || work(open, &commands, &tell))?;
     let begun = Instant::now();
-    let mut pace = Pace::new(settings);
+    let mut pace = WritePacing::new(settings);
     let mut stop = pin!(stop);
     let mut ending = false;
     loop {
         let unwritten = keeper.borrow().unwritten();
-        let next = match pace.next(begun.elapsed(), unwritten) {
+        let next = match pace.next_action(begun.elapsed(), unwritten) {
             Action::Open => Some(Command::Open),
             Action::Load => Some(Command::Load(K::TABLES)),
-            Action::Write(most) => Some(Command::Write(keeper.borrow_mut().take(most))),
-            Action::End => break,
+            Action::Write(most) => Some(Command::Write(keeper.borrow_mut().take_rows(most))),
+            Action::Stop => break,
             Action::Wait(until) => {
                 let sleep = async {
                     match until {
@@ -182,7 +183,7 @@
                 tokio::select! {
                     () = &mut stop, if !ending => {
                         ending = true;
-                        pace.handle(begun.elapsed(), Event::Ending, chance());
+                        pace.handle(begun.elapsed(), Event::Stopping, chance());
                     }
                     answer = told.recv() => {
                         // The thread ends only with this.
@@ -210,26 +211,26 @@
     // The next life can open it once the thread has closed it; one that hangs is left behind.
     drop(command);
     let closed = async { while told.recv().await.is_some() {} };
-    let _ = timeout_at(begun + pace.ends_by().unwrap_or_default(), closed).await;
+    let _ = timeout_at(begun + pace.flush_deadline().unwrap_or_default(), closed).await;
     Ok(())
 }
 
-fn heard<K: Keeper>(told: Told, keeper: &RefCell<K>, status: &RefCell<Status>) -> Option<Event> {
+fn heard<K: StoreWriter>(told: Told, keeper: &RefCell<K>, status: &RefCell<Status>) -> Option<Event> {
     let mut status = status.borrow_mut();
     match told {
         Told::Opened { fresh, aside } => {
             if let Some(why) = aside {
-                keeper.borrow().note(&format!("the file was put aside, and is begun anew: {why}"));
-                status.last = Some(why);
+                keeper.borrow().log_warning(&format!("the file was put aside, and is begun anew: {why}"));
+                status.last_error = Some(why);
             }
             // Before it was loaded, nothing of this life has been written.
             if fresh && status.loaded {
-                keeper.borrow_mut().rewrite();
+                keeper.borrow_mut().queue_rewrite();
             }
             Some(Event::Opened)
         }
         Told::Rows(table, rows) => {
-            keeper.borrow_mut().restore(table, rows);
+            keeper.borrow_mut().restore_rows(table, rows);
             None
         }
         Told::Loaded => Some(Event::Loaded),
@@ -239,13 +240,13 @@
             Some(Event::Written)
         }
         Told::Failed(why, rows) => {
-            status.troubles += 1;
+            status.failures += 1;
             // Guards against a line for each try.
-            if status.last.as_ref() != Some(&why) {
-                keeper.borrow().note(&format!("the file can't be used: {why}"));
+            if status.last_error.as_ref() != Some(&why) {
+                keeper.borrow().log_warning(&format!("the file can't be used: {why}"));
             }
-            status.last = Some(why);
-            keeper.borrow_mut().not_written(rows);
+            status.last_error = Some(why);
+            keeper.borrow_mut().requeue_rows(rows);
             Some(Event::Failed)
         }
     }
--- a/crates/spurdrum-store/src/trial.rs
+++ b/crates/spurdrum-store/src/trial.rs
@@ -26,37 +26,37 @@
 
 /// How a disk does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Health {
+pub enum DiskMode {
     /// As it should.
-    Sound,
+    Healthy,
     /// It takes no byte more.
     Full,
     /// Writes and syncs take so much longer.
     Slow(Duration),
     /// It refuses to sync.
-    Unsynced,
+    SyncFails,
     /// It says yes and keeps nothing.
-    Forgets,
+    Forgetful,
 }
 
-impl Health {
+impl DiskMode {
     /// What a text says.
     #[must_use]
-    pub fn of(text: &str) -> Self {
+    pub fn parse(text: &str) -> Self {
         let mut words = text.split_whitespace();
         match (words.next(), words.next().and_then(|ms| ms.parse::<u64>().ok())) {
             (Some("full"), _) => Self::Full,
             (Some("slow"), Some(ms)) => Self::Slow(Duration::from_millis(ms.min(SLOW_MOST))),
-            (Some("unsynced"), _) => Self::Unsynced,
-            (Some("forgets"), _) => Self::Forgets,
-            _ => Self::Sound,
+            (Some("unsynced"), _) => Self::SyncFails,
+            (Some("forgets"), _) => Self::Forgetful,
+            _ => Self::Healthy,
         }
     }
 }
 
 /// A file on such a disk.
 #[derive(Debug)]
-pub struct Trial {
+pub struct FaultyDisk {
     file: FileBackend,
     says: PathBuf,
     /// What a disk that forgets shows in place of the file; it goes on to, once it has begun.
@@ -67,7 +67,7 @@
     Error::from(ErrorKind::StorageFull)
 }
 
-impl Trial {
+impl FaultyDisk {
     /// Opens the file, and makes it where there is none.
     ///
     /// # Errors
@@ -79,8 +79,8 @@
         Ok(Self { file, says: says.to_owned(), shown: Mutex::default() })
     }
 
-    fn health(&self) -> Health {
-        std::fs::read_to_string(&self.says).map_or(Health::Sound, |text| Health::of(&text))
+    fn health(&self) -> DiskMode {
+        std::fs::read_to_string(&self.says).map_or(DiskMode::Healthy, |text| DiskMode::parse(&text))
     }
 
     /// What is shown in place of the file, if anything is.
@@ -97,9 +97,9 @@
         let health = self.health();
         let mut shown = self.shown()?;
         match health {
-            Health::Full => return Err(full()),
-            Health::Slow(by) => std::thread::sleep(by),
-            Health::Forgets if shown.is_none() => {
+            DiskMode::Full => return Err(full()),
+            DiskMode::Slow(by) => std::thread::sleep(by),
+            DiskMode::Forgetful if shown.is_none() => {
                 let length = self.file.len()?;
                 if length > FORGETS_MOST {
                     return Err(full());
@@ -120,7 +120,7 @@
     }
 }
 
-impl StorageBackend for Trial {
+impl StorageBackend for FaultyDisk {
     fn len(&self) -> Result<u64, Error> {
         match self.shown()?.as_ref() {
             Some(all) => Ok(all.len() as u64),
@@ -147,7 +147,7 @@
     }
 
     fn sync_data(&self) -> Result<(), Error> {
-        if self.health() == Health::Unsynced {
+        if self.health() == DiskMode::SyncFails {
             return Err(Error::other("the disk does not sync"));
         }
         self.change(FileBackend::sync_data, |_| {})
--- a/crates/spurdrum-store/tests/disk.rs
+++ b/crates/spurdrum-store/tests/disk.rs
@@ -7,9 +7,9 @@
 use proptest::prelude::*;
 use proptest::test_runner::{RngAlgorithm, RngSeed};
 use redb::StorageBackend;
-use spurdrum_store::{About, Disk, Row, Trouble};
+use spurdrum_store::{FileIdentity, Row, StoreError, StoreFile};
 
-const ABOUT: About = About { format: 1, mark: 7 };
+const ABOUT: FileIdentity = FileIdentity { format: 1, fingerprint: 7 };
 const TABLE: &str = "things";
 
 /// A disk that keeps what was synced, and of what was written since as much as chance has it.
@@ -92,7 +92,7 @@
     Row { table: TABLE, key, value: value.map(|value| value.to_le_bytes().to_vec()) }
 }
 
-fn all(disk: &Disk) -> Vec<(u64, u64)> {
+fn all(disk: &StoreFile) -> Vec<(u64, u64)> {
     let rows = disk.read(TABLE, 0, usize::MAX).expect("read");
     rows.into_iter().map(|(key, value)| (key, u64::from_le_bytes(value.try_into().expect("8")))).collect()
 }
@@ -119,7 +119,7 @@
     fn a_crash_leaves_whole_batches(seed in any::<u64>(), left in 0..400_usize) {
         let mut random = fastrand::Rng::with_seed(seed);
         let torn = Torn::default();
-        let disk = Disk::open_backend(torn.clone(), ABOUT).expect("opened");
+        let disk = StoreFile::open_backend(torn.clone(), ABOUT).expect("opened");
         torn.0.lock().expect("not poisoned").left = Some(left);
         let mut states = vec![std::collections::BTreeMap::new()];
         let mut told = 0;
@@ -142,7 +142,7 @@
         }
         let after = torn.crash(&mut random);
         drop(disk);
-        let disk = Disk::open_backend(after, ABOUT).expect("it is sound");
+        let disk = StoreFile::open_backend(after, ABOUT).expect("it is sound");
         let found: std::collections::BTreeMap<u64, u64> = all(&disk).into_iter().collect();
         prop_assert!(states[told..].iter().take(2).any(|state| *state == found), "{told}: {found:?}");
     }
@@ -151,7 +151,7 @@
     #[test]
     fn a_spoilt_file_is_read_or_put_aside(at in any::<prop::sample::Index>(), bytes in proptest::collection::vec(any::<u8>(), 1..300)) {
         let path = path("spoilt");
-        let disk = Disk::open(&path, ABOUT).expect("opened");
+        let disk = StoreFile::open(&path, ABOUT).expect("opened");
         disk.write(&(0..500).map(|n| row(n, Some(n))).collect::<Vec<_>>()).expect("written");
         drop(disk);
         let mut whole = std::fs::read(&path).expect("read");
@@ -159,9 +159,9 @@
         let end = (at + bytes.len()).min(whole.len());
         whole[at..end].copy_from_slice(&bytes[..end - at]);
         std::fs::write(&path, whole).expect("written");
-        let disk = Disk::open(&path, ABOUT).expect("it can be used");
+        let disk = StoreFile::open(&path, ABOUT).expect("it can be used");
         let rows = disk.read(TABLE, 0, 1_000).expect("read");
-        prop_assert_eq!(rows.len(), if disk.is_fresh() { 0 } else { 500 });
+        prop_assert_eq!(rows.len(), if disk.is_new() { 0 } else { 500 });
         disk.write(&[row(1, Some(2))]).expect("written");
     }
 }
@@ -170,44 +170,48 @@
 fn what_is_no_database_or_anothers_is_put_aside_and_kept() {
     let path = path("aside");
     std::fs::write(&path, b"no database at all").expect("written");
-    let disk = Disk::open(&path, ABOUT).expect("opened");
-    assert!(matches!(disk.aside(), Some(Trouble::Broken(_))), "{:?}", disk.aside());
+    let disk = StoreFile::open(&path, ABOUT).expect("opened");
+    assert!(
+        matches!(disk.quarantine_reason(), Some(StoreError::Corrupt(_))),
+        "{:?}",
+        disk.quarantine_reason()
+    );
     assert_eq!(std::fs::read(path.with_extension("redb.bad")).expect("kept"), b"no database at all");
     disk.write(&[row(1, Some(1))]).expect("written");
     drop(disk);
-    let again = Disk::open(&path, ABOUT).expect("opened");
-    assert!(again.aside().is_none() && !again.is_fresh() && all(&again) == [(1, 1)]);
+    let again = StoreFile::open(&path, ABOUT).expect("opened");
+    assert!(again.quarantine_reason().is_none() && !again.is_new() && all(&again) == [(1, 1)]);
     drop(again);
-    for other in [About { format: 2, ..ABOUT }, About { mark: 8, ..ABOUT }] {
-        let disk = Disk::open(&path, other).expect("opened");
-        assert_eq!((disk.aside(), all(&disk)), (Some(&Trouble::Foreign), vec![]));
+    for other in [FileIdentity { format: 2, ..ABOUT }, FileIdentity { fingerprint: 8, ..ABOUT }] {
+        let disk = StoreFile::open(&path, other).expect("opened");
+        assert_eq!((disk.quarantine_reason(), all(&disk)), (Some(&StoreError::Foreign), vec![]));
     }
 }
 
 #[test]
 fn a_file_that_another_has_is_busy_until_it_lets_go() {
     let path = path("busy");
-    let first = Disk::open(&path, ABOUT).expect("opened");
-    assert_eq!(Disk::open(&path, ABOUT).err(), Some(Trouble::Busy));
+    let first = StoreFile::open(&path, ABOUT).expect("opened");
+    assert_eq!(StoreFile::open(&path, ABOUT).err(), Some(StoreError::Busy));
     drop(first);
-    assert!(Disk::open(&path, ABOUT).is_ok());
+    assert!(StoreFile::open(&path, ABOUT).is_ok());
 }
 
 #[test]
 fn a_folder_that_is_not_there_is_a_refusal() {
     let path = path("nowhere").with_file_name("none").join("state.redb");
-    assert!(matches!(Disk::open(&path, ABOUT).err(), Some(Trouble::Refused(_))));
+    assert!(matches!(StoreFile::open(&path, ABOUT).err(), Some(StoreError::Io(_))));
 }
 
 #[test]
 fn a_full_disk_is_a_refusal_and_what_was_written_stays() {
     let torn = Torn::default();
-    let disk = Disk::open_backend(torn.clone(), ABOUT).expect("opened");
+    let disk = StoreFile::open_backend(torn.clone(), ABOUT).expect("opened");
     disk.write(&[row(1, Some(1))]).expect("written");
     torn.0.lock().expect("not poisoned").left = Some(0);
-    assert!(matches!(disk.write(&[row(2, Some(2))]), Err(Trouble::Refused(_))));
+    assert!(matches!(disk.write(&[row(2, Some(2))]), Err(StoreError::Io(_))));
     drop(disk);
     torn.0.lock().expect("not poisoned").left = None;
-    let again = Disk::open_backend(torn, ABOUT).expect("opened");
+    let again = StoreFile::open_backend(torn, ABOUT).expect("opened");
     assert_eq!(all(&again), [(1, 1)]);
 }
--- a/crates/spurdrum-store/tests/shell.rs
+++ b/crates/spurdrum-store/tests/shell.rs
@@ -10,11 +10,11 @@
 use std::time::Duration;
 
 use redb::{backends::InMemoryBackend, StorageBackend};
-use spurdrum_store::{keep, About, Disk, Keeper, Row, Settings, Status, Trouble};
+use spurdrum_store::{run_store, FileIdentity, Row, Settings, Status, StoreError, StoreFile, StoreWriter};
 use tokio::sync::oneshot;
 use tokio::task::yield_now;
 
-const ABOUT: About = About { format: 1, mark: 7 };
+const ABOUT: FileIdentity = FileIdentity { format: 1, fingerprint: 7 };
 const TABLE: &str = "things";
 
 #[derive(Default)]
@@ -32,14 +32,14 @@
     }
 }
 
-impl Keeper for Things {
+impl StoreWriter for Things {
     const TABLES: &'static [&'static str] = &[TABLE];
 
     fn unwritten(&self) -> usize {
         self.dirty.len()
     }
 
-    fn take(&mut self, most: usize) -> Vec<Row> {
+    fn take_rows(&mut self, most: usize) -> Vec<Row> {
         let keys: Vec<u64> = self.dirty.iter().copied().take(most).collect();
         let row = |key: &u64| Row { table: TABLE, key: *key, value: self.now.get(key).map(|v| vec![*v]) };
         let rows = keys.iter().map(row).collect();
@@ -47,23 +47,23 @@
         rows
     }
 
-    fn not_written(&mut self, rows: Vec<Row>) {
+    fn requeue_rows(&mut self, rows: Vec<Row>) {
         self.dirty.extend(rows.iter().map(|row| row.key));
     }
 
-    fn restore(&mut self, _: &'static str, rows: Vec<(u64, Vec<u8>)>) {
+    fn restore_rows(&mut self, _: &'static str, rows: Vec<(u64, Vec<u8>)>) {
         self.restored += rows.len();
         for (key, value) in rows {
             self.now.entry(key).or_insert(value[0]);
         }
     }
 
-    fn rewrite(&mut self) {
+    fn queue_rewrite(&mut self) {
         self.rewritten += 1;
         self.dirty.extend(self.now.keys());
     }
 
-    fn note(&self, _: &str) {}
+    fn log_warning(&self, _: &str) {}
 }
 
 fn path(name: &str) -> PathBuf {
@@ -76,11 +76,11 @@
 fn settings() -> Settings {
     let ms = Duration::from_millis;
     Settings {
-        every: ms(1),
-        share: 1.0,
-        retry_least: ms(1),
-        retry_most: ms(2),
-        flush_most: ms(60_000),
+        write_interval: ms(1),
+        write_time_share: 1.0,
+        min_retry_delay: ms(1),
+        max_retry_delay: ms(2),
+        max_flush_time: ms(60_000),
         ..Settings::default()
     }
 }
@@ -93,7 +93,7 @@
 /// Plays one life on this way of opening.
 fn life(
     settings: Settings,
-    open: impl FnMut() -> Result<Disk, Trouble> + Send + 'static,
+    open: impl FnMut() -> Result<StoreFile, StoreError> + Send + 'static,
     plays: impl AsyncFnOnce(&Life),
 ) -> Life {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("built");
@@ -101,7 +101,7 @@
     let (end, ends) = oneshot::channel::<()>();
     let (things, status) = (Rc::clone(&life.things), Rc::clone(&life.status));
     runtime.block_on(async {
-        let kept = keep(open, settings, things, status, || 0.5, async { drop(ends.await) });
+        let kept = run_store(open, settings, things, status, || 0.5, async { drop(ends.await) });
         let played = async {
             plays(&life).await;
             let _ = end.send(());
@@ -122,7 +122,7 @@
     let path = path("lives");
     let opens = |path: &PathBuf| {
         let path = path.clone();
-        move || Disk::open(&path, ABOUT)
+        move || StoreFile::open(&path, ABOUT)
     };
     life(settings(), opens(&path), async |life| {
         (0..3_000).for_each(|key| life.things.borrow_mut().set(key, 1));
@@ -143,15 +143,15 @@
     let tries = Arc::new(AtomicUsize::new(0));
     let (counted, of) = (Arc::clone(&tries), path.clone());
     let open = move || match counted.fetch_add(1, Ordering::Relaxed) {
-        n if n % 3 != 2 => Err(Trouble::Refused(format!("try {}", n % 3))),
-        _ => Disk::open(&of, ABOUT),
+        n if n % 3 != 2 => Err(StoreError::Io(format!("try {}", n % 3))),
+        _ => StoreFile::open(&of, ABOUT),
     };
     let played = life(settings(), open, async |life| {
         (0..100).for_each(|key| life.things.borrow_mut().set(key, 1));
         until(|| life.things.borrow().unwritten() == 0 && life.status.borrow().batches > 0).await;
     });
-    assert_eq!((tries.load(Ordering::Relaxed), played.status.borrow().troubles), (3, 2));
-    let disk = Disk::open(&path, ABOUT).expect("opened");
+    assert_eq!((tries.load(Ordering::Relaxed), played.status.borrow().failures), (3, 2));
+    let disk = StoreFile::open(&path, ABOUT).expect("opened");
     assert_eq!(disk.read(TABLE, 0, 1_000).expect("read").len(), 100);
 }
 
@@ -201,7 +201,7 @@
         opened += 1;
         // The second file is an empty one: somebody has put another disk there.
         let off = if opened == 1 { Arc::clone(&switch) } else { Arc::default() };
-        Disk::open_backend(Switched { memory: InMemoryBackend::new(), off }, ABOUT)
+        StoreFile::open_backend(Switched { memory: InMemoryBackend::new(), off }, ABOUT)
     };
     let played = life(settings(), open, async |life| {
         (0..100).for_each(|key| life.things.borrow_mut().set(key, 1));
@@ -211,8 +211,8 @@
         until(|| life.status.borrow().rows >= 201).await;
     });
     let (status, things) = (played.status.borrow(), played.things.borrow());
-    assert_eq!((status.troubles, things.rewritten, status.rows), (1, 1, 201), "{status}");
-    assert!(matches!(status.last, Some(Trouble::Refused(_))));
+    assert_eq!((status.failures, things.rewritten, status.rows), (1, 1, 201), "{status}");
+    assert!(matches!(status.last_error, Some(StoreError::Io(_))));
 }
 
 #[test]
@@ -220,9 +220,9 @@
     let (release, held) = mpsc::channel::<()>();
     let open = move || {
         let _ = held.recv();
-        Err(Trouble::Refused("at last".into()))
+        Err(StoreError::Io("at last".into()))
     };
-    let settings = Settings { flush_most: Duration::from_millis(20), ..settings() };
+    let settings = Settings { max_flush_time: Duration::from_millis(20), ..settings() };
     let played = life(settings, open, async |life| {
         for key in 0..1_000 {
             life.things.borrow_mut().set(key, 1);
--- a/crates/spurdrum-store/tests/trial.rs
+++ b/crates/spurdrum-store/tests/trial.rs
@@ -2,9 +2,9 @@
 
 use std::path::PathBuf;
 
-use spurdrum_store::{About, Disk, Row, Trouble};
+use spurdrum_store::{FileIdentity, Row, StoreError, StoreFile};
 
-const ABOUT: About = About { format: 1, mark: 7 };
+const ABOUT: FileIdentity = FileIdentity { format: 1, fingerprint: 7 };
 
 struct Place {
     path: PathBuf,
@@ -25,8 +25,8 @@
         std::fs::write(&self.says, text).expect("written");
     }
 
-    fn open(&self) -> Result<Disk, Trouble> {
-        Disk::open_on_trial(&self.path, ABOUT, &self.says)
+    fn open(&self) -> Result<StoreFile, StoreError> {
+        StoreFile::open_with_faults(&self.path, ABOUT, &self.says)
     }
 }
 
@@ -36,11 +36,11 @@
     }
 }
 
-fn put(disk: &Disk, key: u64) -> Result<(), Trouble> {
+fn put(disk: &StoreFile, key: u64) -> Result<(), StoreError> {
     disk.write(&[Row { table: "things", key, value: Some(vec![key as u8; 600]) }])
 }
 
-fn keys(disk: &Disk) -> Vec<u64> {
+fn keys(disk: &StoreFile) -> Vec<u64> {
     disk.read("things", 0, 1000).expect("reads").into_iter().map(|(key, _)| key).collect()
 }
 
@@ -51,12 +51,12 @@
         let disk = place.open().expect("opens");
         put(&disk, 1).expect("written");
         place.says(ill);
-        assert!(matches!(put(&disk, 2), Err(Trouble::Refused(_))), "{ill}");
+        assert!(matches!(put(&disk, 2), Err(StoreError::Io(_))), "{ill}");
         drop(disk);
-        assert!(matches!(place.open(), Err(Trouble::Refused(_))), "{ill}");
+        assert!(matches!(place.open(), Err(StoreError::Io(_))), "{ill}");
         place.says("");
         let disk = place.open().expect("opens again");
-        assert!(disk.aside().is_none());
+        assert!(disk.quarantine_reason().is_none());
         assert_eq!(keys(&disk)[..1], [1], "{ill}");
         put(&disk, 3).expect("written");
     }
@@ -78,6 +78,6 @@
     std::fs::write(&place.path, copy).expect("put back");
     place.says("");
     let disk = place.open().expect("opens again");
-    assert!(disk.aside().is_none(), "{:?}", disk.aside());
+    assert!(disk.quarantine_reason().is_none(), "{:?}", disk.quarantine_reason());
     assert_eq!(keys(&disk), [1]);
 }
--- a/crates/spurdrum-trace/src/file.rs
+++ b/crates/spurdrum-trace/src/file.rs
@@ -7,8 +7,8 @@
 
 use tracing_appender::non_blocking::{ErrorCounter, NonBlocking, NonBlockingBuilder, WorkerGuard};
 
-use crate::bound::Bound;
-use crate::record::{Line, Seen};
+use crate::bound::FileRotation;
+use crate::record::{TraceEvent, TraceRecord};
 
 /// Where lines go and how many may be there.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -16,14 +16,14 @@
     /// The file.
     pub path: PathBuf,
     /// Bytes of it and of the one before together.
-    pub most: u64,
+    pub max_bytes: u64,
     /// Lines that may wait to be written.
-    pub queue: usize,
+    pub max_queued_lines: usize,
 }
 
 /// Where the file before is.
 #[must_use]
-pub fn before(path: &Path) -> PathBuf {
+pub fn previous_path(path: &Path) -> PathBuf {
     let mut name = path.as_os_str().to_owned();
     name.push(".before");
     name.into()
@@ -33,7 +33,7 @@
 struct Halves {
     path: PathBuf,
     file: Option<File>,
-    bound: Bound,
+    bound: FileRotation,
 }
 
 impl Halves {
@@ -44,9 +44,9 @@
 
 impl Write for Halves {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        if self.bound.turns(bytes.len() as u64) {
+        if self.bound.needs_rotation(bytes.len() as u64) {
             self.file = None;
-            std::fs::rename(&self.path, before(&self.path))?;
+            std::fs::rename(&self.path, previous_path(&self.path))?;
         }
         let file = match self.file.take() {
             Some(file) => file,
@@ -70,7 +70,7 @@
 
 /// The thread's end: what waits is written when this is dropped.
 #[must_use]
-pub struct Writing {
+pub struct TraceWriterGuard {
     _guard: WorkerGuard,
 }
 
@@ -80,30 +80,31 @@
     /// # Errors
     ///
     /// The file cannot be opened.
-    pub fn start(settings: &Settings) -> io::Result<(Self, Writing)> {
+    pub fn start(settings: &Settings) -> io::Result<(Self, TraceWriterGuard)> {
         let file = Halves::open(&settings.path)?;
-        let bound = Bound::new(settings.most, file.metadata()?.len());
+        let bound = FileRotation::new(settings.max_bytes, file.metadata()?.len());
         let halves = Halves { path: settings.path.clone(), file: Some(file), bound };
-        let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(settings.queue);
+        let builder =
+            NonBlockingBuilder::default().lossy(true).buffered_lines_limit(settings.max_queued_lines);
         let (to, guard) = builder.thread_name("trace").finish(halves);
         let counter = to.error_counter();
-        Ok((Self { to: RefCell::new(to), counter, told: Cell::new(0) }, Writing { _guard: guard }))
+        Ok((Self { to: RefCell::new(to), counter, told: Cell::new(0) }, TraceWriterGuard { _guard: guard }))
     }
 
     /// Notes something that happened at this time (Unix milliseconds).
-    pub fn note(&self, at: f64, seen: Seen) {
-        self.put(&Line { at, seen });
+    pub fn record(&self, at: f64, seen: TraceEvent) {
+        self.put(&TraceRecord { at, seen });
         let lines = self.counter.dropped_lines() as u64;
         if lines > self.told.get() {
             // It is noted as soon as there is room; until then the next one tries.
-            self.put(&Line { at, seen: Seen::Lost { lines } });
+            self.put(&TraceRecord { at, seen: TraceEvent::Lost { lines } });
             if self.counter.dropped_lines() as u64 == lines {
                 self.told.set(lines);
             }
         }
     }
 
-    fn put(&self, line: &Line) {
+    fn put(&self, line: &TraceRecord) {
         let Ok(mut text) = serde_json::to_vec(line) else { return };
         text.push(b'\n');
         // The queue takes it whole or counts it as lost.
@@ -116,18 +117,18 @@
     use std::sync::mpsc::{channel, Receiver, Sender};
 
     use super::*;
-    use crate::record::{read, State};
+    use crate::record::{read, ServerState};
 
-    fn settings(name: &str, most: u64) -> Settings {
+    fn settings(name: &str, max_bytes: u64) -> Settings {
         let path = std::env::temp_dir().join(format!("spurdrum-trace-{name}-{}", std::process::id()));
-        for path in [&path, &before(&path)] {
+        for path in [&path, &previous_path(&path)] {
             let _ = std::fs::remove_file(path);
         }
-        Settings { path, most, queue: 100_000 }
+        Settings { path, max_bytes, max_queued_lines: 100_000 }
     }
 
-    fn seen(n: usize) -> Seen {
-        Seen::Told { server: format!("s{n}"), state: State::Draining }
+    fn seen(n: usize) -> TraceEvent {
+        TraceEvent::ServerChanged { server: format!("s{n}"), state: ServerState::Draining }
     }
 
     #[test]
@@ -135,14 +136,14 @@
         let settings = settings("bounded", 4000);
         for life in 0..2 {
             let (trace, writing) = Trace::start(&settings).expect("starts");
-            (0..200).for_each(|n| trace.note(n as f64, seen(life * 200 + n)));
+            (0..200).for_each(|n| trace.record(n as f64, seen(life * 200 + n)));
             drop(writing);
         }
         let size = |path: &Path| std::fs::metadata(path).expect("there").len();
-        assert!(size(&settings.path) + size(&before(&settings.path)) <= 4000);
+        assert!(size(&settings.path) + size(&previous_path(&settings.path)) <= 4000);
         let lines = read(&settings.path).expect("reads");
         assert!(lines.len() > 25, "{}", lines.len());
-        let last = Line { at: 199.0, seen: seen(399) };
+        let last = TraceRecord { at: 199.0, seen: seen(399) };
         assert_eq!(lines.last(), Some(&last));
         assert!(lines.windows(2).all(|pair| pair[0].at + 1.0 == pair[1].at));
         // A line that a killed process left unfinished.
@@ -178,9 +179,9 @@
         let counter = to.error_counter();
         let trace = Trace { to: RefCell::new(to), counter, told: Cell::new(0) };
         // The thread holds the first line by now; a place that came free among the next ones would go to a count of fewer.
-        trace.note(1.0, seen(50));
+        trace.record(1.0, seen(50));
         begins.recv().expect("it is written");
-        (0..50).for_each(|n| trace.note(1.0, seen(n)));
+        (0..50).for_each(|n| trace.record(1.0, seen(n)));
         assert!(trace.counter.dropped_lines() > 40);
         drop(lets_go);
         // Four wait; once they are written there is room for the count.
@@ -189,12 +190,12 @@
         }
         let mut written = Vec::new();
         while written.iter().all(|line: &Vec<u8>| !String::from_utf8_lossy(line).contains("lost")) {
-            trace.note(2.0, seen(99));
+            trace.record(2.0, seen(99));
             written.extend(told.try_iter());
         }
         let lost = written.iter().find(|line| String::from_utf8_lossy(line).contains("lost"));
-        let line: Line = serde_json::from_slice(lost.expect("found")).expect("a line");
-        assert!(matches!(line.seen, Seen::Lost { lines } if lines > 40), "{line:?}");
+        let line: TraceRecord = serde_json::from_slice(lost.expect("found")).expect("a line");
+        assert!(matches!(line.seen, TraceEvent::Lost { lines } if lines > 40), "{line:?}");
         drop(guard);
     }
 }
--- a/crates/spurdrum-trace/src/lib.rs
+++ b/crates/spurdrum-trace/src/lib.rs
@@ -11,6 +11,6 @@
 pub mod file;
 pub mod record;
 
-pub use bound::Bound;
-pub use file::{Settings, Trace, Writing};
-pub use record::{read, Line, Seen, State};
+pub use bound::FileRotation;
+pub use file::{Settings, Trace, TraceWriterGuard};
+pub use record::{read, ServerState, TraceEvent, TraceRecord};
--- a/crates/spurdrum-trace/src/record.rs
+++ b/crates/spurdrum-trace/src/record.rs
@@ -7,7 +7,7 @@
 /// What a list says of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum State {
+pub enum ServerState {
     /// It takes requests.
     Ready,
     /// Nothing new may be sent.
@@ -19,7 +19,7 @@
 /// One thing that happened at a node. Requests are named as their clients named them, servers by their ids.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "saw", rename_all = "snake_case")]
-pub enum Seen {
+pub enum TraceEvent {
     /// A request was taken.
     Asked {
         /// Its name.
@@ -65,11 +65,12 @@
         id: String,
     },
     /// A list said something new of a server.
-    Told {
+    #[serde(rename = "told")]
+    ServerChanged {
         /// The server.
         server: String,
         /// What.
-        state: State,
+        state: ServerState,
     },
     /// So many more could not be noted, counted from the start.
     Lost {
@@ -80,12 +81,12 @@
 
 /// One line.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Line {
+pub struct TraceRecord {
     /// Unix time in milliseconds; at one node it never runs backwards.
     pub at: f64,
     /// What.
     #[serde(flatten)]
-    pub seen: Seen,
+    pub seen: TraceEvent,
 }
 
 /// The lines of a file and of the one before it. A line that is not whole is left out: the process may have been killed in
@@ -94,9 +95,9 @@
 /// # Errors
 ///
 /// The file cannot be read; one that is not there is empty.
-pub fn read(path: &Path) -> std::io::Result<Vec<Line>> {
+pub fn read(path: &Path) -> std::io::Result<Vec<TraceRecord>> {
     let mut lines = Vec::new();
-    for path in [crate::file::before(path), path.to_owned()] {
+    for path in [crate::file::previous_path(path), path.to_owned()] {
         let text = match std::fs::read(&path) {
             Err(error) if error.kind() == std::io::ErrorKind::NotFound => continue,
             text => text?,
--- a/crates/spurdrum/src/affinity.rs
+++ b/crates/spurdrum/src/affinity.rs
@@ -8,11 +8,11 @@
 use std::time::Duration;
 
 use serde::Deserialize;
-use spurdrum_affinity::record::{self, Stored, Write, PLACES, RUNS};
-use spurdrum_affinity::{Affinity, First, Keyer, Settings};
+use spurdrum_affinity::record::{self, PendingWrite, StoredBinding, BINDINGS_TABLE, RUNS_TABLE};
+use spurdrum_affinity::{Affinity, InitialPlacement, KeyHasher, Settings};
 use spurdrum_http::keys::{AffinityKeySettings, Owner};
-use spurdrum_store::shell::Keeper;
-use spurdrum_store::{About, Disk, Row};
+use spurdrum_store::shell::StoreWriter;
+use spurdrum_store::{FileIdentity, Row, StoreFile};
 use tokio::time::sleep;
 
 use crate::set::{set, set_time};
@@ -118,15 +118,15 @@
             return Err(("affinity", "slack", "is under 1"));
         }
         let mut settings = Settings::default();
-        set(&mut settings.entries, self.entries);
-        set(&mut settings.idle_ms, self.idle_ms);
-        set(&mut settings.most_ms, self.most_ms);
-        set(&mut settings.return_within_ms, self.return_within_ms);
-        set(&mut settings.moves_after, self.moves_after);
-        set(&mut settings.settle_ms, self.settle_ms);
-        settings.first = match self.first {
-            Some(FirstName::Ring) => First::Ring,
-            Some(FirstName::Lowest) | None => First::Lowest,
+        set(&mut settings.max_bindings, self.entries);
+        set(&mut settings.idle_timeout_ms, self.idle_ms);
+        set(&mut settings.max_age_ms, self.most_ms);
+        set(&mut settings.return_timeout_ms, self.return_within_ms);
+        set(&mut settings.rebind_after, self.moves_after);
+        set(&mut settings.rebind_min_age_ms, self.settle_ms);
+        settings.initial_placement = match self.first {
+            Some(FirstName::Ring) => InitialPlacement::Ring,
+            Some(FirstName::Lowest) | None => InitialPlacement::LowestCount,
         };
         settings.validate().map_err(|(key, why)| ("affinity", key, why))?;
         let store = self.store.as_ref().map(StoreTable::read).transpose()?;
@@ -157,13 +157,13 @@
 impl StoreTable {
     fn read(&self) -> Result<Stores, Wrong> {
         let mut settings = spurdrum_store::Settings::default();
-        set_time(&mut settings.every, self.write_every_ms);
-        set(&mut settings.share, self.share);
-        set_time(&mut settings.aim, self.aim_ms);
-        set(&mut settings.batch, self.batch);
-        set_time(&mut settings.retry_least, self.retry_least_ms);
-        set_time(&mut settings.retry_most, self.retry_most_ms);
-        set_time(&mut settings.flush_most, self.flush_most_ms);
+        set_time(&mut settings.write_interval, self.write_every_ms);
+        set(&mut settings.write_time_share, self.share);
+        set_time(&mut settings.batch_time_target, self.aim_ms);
+        set(&mut settings.max_batch_rows, self.batch);
+        set_time(&mut settings.min_retry_delay, self.retry_least_ms);
+        set_time(&mut settings.max_retry_delay, self.retry_most_ms);
+        set_time(&mut settings.max_flush_time, self.flush_most_ms);
         settings.validate().map_err(|(key, why)| ("affinity.store", key, why))?;
         Ok(Stores { path: self.path.clone(), trial: self.trial.clone(), settings })
     }
@@ -184,19 +184,19 @@
     }
 
     /// The bindings of a node whose servers are cold for so long.
-    pub fn start(&self, now: f64, cold_ms: f64) -> Result<Rc<RefCell<Affinity>>, String> {
-        let settings = Settings { cold_ms, ..self.settings.clone() };
+    pub fn start(&self, now: f64, slow_start_ms: f64) -> Result<Rc<RefCell<Affinity>>, String> {
+        let settings = Settings { slow_start_ms, ..self.settings.clone() };
         let affinity =
             Affinity::new(settings, now).map_err(|(key, why)| format!("`affinity.{key}`: {why}"))?;
         Ok(Rc::new(RefCell::new(affinity)))
     }
 
     /// The secret by which keys are hashed: of the store's own file, or drawn anew where nothing is kept.
-    pub fn keyer(&self) -> Result<Keyer, String> {
-        let Some(Stores { path, .. }) = &self.store else { return random_secret().map(Keyer::new) };
+    pub fn keyer(&self) -> Result<KeyHasher, String> {
+        let Some(Stores { path, .. }) = &self.store else { return random_secret().map(KeyHasher::new) };
         let mut name = path.as_os_str().to_owned();
         name.push(".secret");
-        secret(Path::new(&name)).map(Keyer::new).map_err(|error| {
+        secret(Path::new(&name)).map(KeyHasher::new).map_err(|error| {
             format!("`affinity.store.path`: {} cannot be had: {error}", Path::new(&name).display())
         })
     }
@@ -247,56 +247,58 @@
     now: Box<dyn Fn() -> f64>,
 }
 
-impl Keeper for Kept {
-    const TABLES: &'static [&'static str] = &[RUNS, PLACES];
+impl StoreWriter for Kept {
+    const TABLES: &'static [&'static str] = &[RUNS_TABLE, BINDINGS_TABLE];
 
     fn unwritten(&self) -> usize {
         self.affinity.borrow().unwritten()
     }
 
-    fn take(&mut self, most: usize) -> Vec<Row> {
+    fn take_rows(&mut self, most: usize) -> Vec<Row> {
         let writes = self.affinity.borrow_mut().take_writes(most);
-        let row = |write: Write| {
+        let row = |write: PendingWrite| {
             let (table, key, value) = write.to_row();
             Row { table, key, value }
         };
         let mut rows: Vec<Row> = writes.into_iter().map(row).collect();
         // One table after the other, and within each as they came.
-        rows.sort_by_key(|row| row.table != RUNS);
+        rows.sort_by_key(|row| row.table != RUNS_TABLE);
         rows
     }
 
-    fn not_written(&mut self, rows: Vec<Row>) {
+    fn requeue_rows(&mut self, rows: Vec<Row>) {
         let write = |row: Row| match row.table {
-            RUNS => Some(Write::Run(row.key, row.value.as_deref().and_then(record::run_from_bytes))),
-            _ => u32::try_from(row.key).ok().map(|at| Write::Place(at, None)),
+            RUNS_TABLE => {
+                Some(PendingWrite::Run(row.key, row.value.as_deref().and_then(record::run_from_bytes)))
+            }
+            _ => u32::try_from(row.key).ok().map(|at| PendingWrite::Slot(at, None)),
         };
-        self.affinity.borrow_mut().not_written(rows.into_iter().filter_map(write).collect());
+        self.affinity.borrow_mut().requeue_writes(rows.into_iter().filter_map(write).collect());
     }
 
-    fn restore(&mut self, table: &'static str, rows: Vec<(u64, Vec<u8>)>) {
+    fn restore_rows(&mut self, table: &'static str, rows: Vec<(u64, Vec<u8>)>) {
         let now = (self.now)();
         let mut affinity = self.affinity.borrow_mut();
         for (key, value) in rows {
-            if table == RUNS {
+            if table == RUNS_TABLE {
                 match record::run_from_bytes(&value) {
                     Some((id, started_at)) => drop(affinity.restore_run(now, key, &id, started_at)),
-                    None => affinity.not_written(vec![Write::Run(key, None)]),
+                    None => affinity.requeue_writes(vec![PendingWrite::Run(key, None)]),
                 }
             } else if let Ok(at) = u32::try_from(key) {
-                match Stored::from_bytes(&value) {
-                    Some(stored) => affinity.restore_place(now, at, &stored),
-                    None => affinity.not_written(vec![Write::Place(at, None)]),
+                match StoredBinding::from_bytes(&value) {
+                    Some(stored) => affinity.restore_binding(now, at, &stored),
+                    None => affinity.requeue_writes(vec![PendingWrite::Slot(at, None)]),
                 }
             }
         }
     }
 
-    fn rewrite(&mut self) {
-        self.affinity.borrow_mut().rewrite();
+    fn queue_rewrite(&mut self) {
+        self.affinity.borrow_mut().queue_rewrite();
     }
 
-    fn note(&self, what: &str) {
+    fn log_warning(&self, what: &str) {
         tracing::warn!("the bindings' store: {what}");
     }
 }
@@ -313,23 +315,23 @@
 /// Keeps bindings in their file until `stop` is done.
 pub async fn keep(
     store: Stores,
-    keyer: Keyer,
+    keyer: KeyHasher,
     affinity: Rc<RefCell<Affinity>>,
     status: Rc<RefCell<spurdrum_store::Status>>,
     now: impl Fn() -> f64 + 'static,
     stop: impl Future<Output = ()>,
 ) {
-    let about = About { format: record::FORMAT, mark: keyer.mark() };
+    let about = FileIdentity { format: record::FORMAT_VERSION, fingerprint: keyer.fingerprint() };
     let Stores { path, trial, settings } = store;
     let kept = Rc::new(RefCell::new(Kept { affinity, now: Box::new(now) }));
     // Nodes that start together must not come together: their numbers do not.
     let mut random = fastrand::Rng::with_seed(u64::from(std::process::id()));
     let chance = move || random.f64();
     let open = move || match &trial {
-        None => Disk::open(&path, about),
-        Some(says) => Disk::open_on_trial(&path, about, says),
+        None => StoreFile::open(&path, about),
+        Some(says) => StoreFile::open_with_faults(&path, about, says),
     };
-    if let Err(error) = spurdrum_store::keep(open, settings, kept, status, chance, stop).await {
+    if let Err(error) = spurdrum_store::run_store(open, settings, kept, status, chance, stop).await {
         tracing::warn!("the bindings' store: there is no thread for it: {error}");
     }
 }
--- a/crates/spurdrum/src/file.rs
+++ b/crates/spurdrum/src/file.rs
@@ -317,8 +317,8 @@
     pub fn trace(&self) -> Option<spurdrum_trace::Settings> {
         self.trace.as_ref().map(|table| spurdrum_trace::Settings {
             path: table.path.clone(),
-            most: table.most_mb << 20,
-            queue: table.queue,
+            max_bytes: table.most_mb << 20,
+            max_queued_lines: table.queue,
         })
     }
 
--- a/crates/spurdrum/src/main.rs
+++ b/crates/spurdrum/src/main.rs
@@ -11,7 +11,7 @@
 
 use clap::{Parser, Subcommand};
 use serde_json::Value;
-use spurdrum_affinity::{Affinity, Keyer};
+use spurdrum_affinity::{Affinity, KeyHasher};
 use spurdrum_core::{unix_ms, Connections, Node, NodeMetrics};
 use spurdrum_http::{AffinityKeys, Front, IncomingProcess, Upstream};
 use spurdrum_sources::catalog::Catalog;
@@ -368,7 +368,7 @@
 fn keep_bindings(
     node: &Rc<Node<Upstream>>,
     config: &Option<affinity::Bindings>,
-    bindings: Option<(Rc<RefCell<Affinity>>, Rc<AffinityKeys>, Keyer)>,
+    bindings: Option<(Rc<RefCell<Affinity>>, Rc<AffinityKeys>, KeyHasher)>,
     end: oneshot::Receiver<()>,
 ) -> (StoreStatus, Option<tokio::task::JoinHandle<()>>) {
     let Some((affinity, _, keyer)) = bindings else { return (None, None) };
