--- a/crates/spurdrum-handover/tests/machines.rs
+++ b/crates/spurdrum-handover/tests/machines.rs
@@ -1,10 +1,10 @@
-//! Both sides without sockets: every message and every loss at every point.
+//! The state machines of both sides, without sockets: messages, lost channels and shutdown at every point of a handover.
 
 use proptest::prelude::*;
 use serde_json::Value;
 use spurdrum_handover::{
-    Frames, Identity, Incoming, IncomingAction, IncomingEvent, IncomingId, Message, Outgoing, OutgoingAction,
-    OutgoingEvent, Unsound, FORMAT, FRAME_MOST,
+    FrameError, Frames, Identity, Incoming, IncomingAction, IncomingEvent, IncomingId, Message, Outgoing,
+    OutgoingAction, OutgoingEvent, FORMAT, MAX_FRAME_PAYLOAD,
 };
 
 const ID: IncomingId = IncomingId(1);
@@ -13,6 +13,7 @@
     Identity { format: FORMAT, name: "n0".into(), listen: "127.0.0.1:1".into(), accepts_requests: true }
 }
 
+/// Feeds events to a new outgoing state machine. Returns it with the actions of the last event.
 fn outgoing(events: &[OutgoingEvent]) -> (Outgoing, Vec<OutgoingAction>) {
     let (mut outgoing, mut actions) = (Outgoing::new(identity()), Vec::new());
     for event in events {
@@ -23,96 +24,97 @@
 }
 
 fn hello() -> OutgoingEvent {
-    OutgoingEvent::Said(ID, Message::Hello(identity()))
+    OutgoingEvent::Received(ID, Message::Hello(identity()))
 }
 
 fn confirm() -> OutgoingEvent {
-    OutgoingEvent::Said(ID, Message::Confirm)
+    OutgoingEvent::Received(ID, Message::Confirm)
 }
 
 #[test]
-fn a_process_is_succeeded_once_the_other_has_confirmed_and_passes_when_told_to_end() {
-    let (outgoing, actions) = outgoing(&[OutgoingEvent::Called(ID), hello()]);
+fn an_outgoing_process_hands_over_at_shutdown_once_the_incoming_one_has_confirmed() {
+    let (outgoing, actions) = outgoing(&[OutgoingEvent::Connected(ID), hello()]);
     assert_eq!(actions, [OutgoingAction::Offer(ID)]);
-    assert!(!outgoing.is_succeeded());
-    let (mut outgoing, actions) = self::outgoing(&[OutgoingEvent::Called(ID), hello(), confirm()]);
-    assert_eq!(actions, [OutgoingAction::Succeeded(ID)]);
-    assert!(outgoing.is_succeeded());
+    assert!(!outgoing.is_confirmed());
+    let (mut outgoing, actions) = self::outgoing(&[OutgoingEvent::Connected(ID), hello(), confirm()]);
+    assert_eq!(actions, [OutgoingAction::Confirmed(ID)]);
+    assert!(outgoing.is_confirmed());
     let mut actions = Vec::new();
     outgoing.handle(OutgoingEvent::Stop, &mut actions);
-    assert_eq!(actions, [OutgoingAction::Pass(ID)]);
-    // It dies while it takes over: the old one has all of the node again.
+    assert_eq!(actions, [OutgoingAction::HandOver(ID)]);
+    // The incoming process dies during the handover: the outgoing one serves the whole node again.
     outgoing.handle(OutgoingEvent::Lost(ID), &mut actions);
-    assert_eq!(actions[1..], [OutgoingAction::Alone]);
+    assert_eq!(actions[1..], [OutgoingAction::ResumeAlone]);
 }
 
-/// Guards against requests that are handed to a process of an older version, which would take them for noise.
+/// An older version does not know `Message::Request` and would close the channel on it, which would lose the connection.
 #[test]
-fn requests_go_only_to_a_process_that_says_that_it_accepts_them() {
+fn connections_with_a_request_go_only_to_a_process_that_accepts_them() {
     for accepts_requests in [true, false] {
         let hello = Message::Hello(Identity { accepts_requests, ..identity() });
-        let (mut outgoing, _) = outgoing(&[OutgoingEvent::Called(ID), OutgoingEvent::Said(ID, hello)]);
-        assert!(!outgoing.passes_requests(), "it has not confirmed");
+        let (mut outgoing, _) = outgoing(&[OutgoingEvent::Connected(ID), OutgoingEvent::Received(ID, hello)]);
+        assert!(!outgoing.can_hand_over_requests(), "the incoming process has not confirmed yet");
         outgoing.handle(confirm(), &mut Vec::new());
-        assert_eq!(outgoing.passes_requests(), accepts_requests);
+        assert_eq!(outgoing.can_hand_over_requests(), accepts_requests);
     }
-    let older = r#"{"format":1,"name":"n0","listen":"127.0.0.1:1"}"#;
-    let older: Identity = serde_json::from_str(older).expect("still understood");
+    let old_format = r#"{"format":1,"name":"n0","listen":"127.0.0.1:1"}"#;
+    let older: Identity = serde_json::from_str(old_format).expect("the older format is still accepted");
     assert!(older.is_same_node(&identity()) && !older.accepts_requests);
 }
 
 #[test]
-fn told_to_end_before_the_confirmation_it_passes_once_that_comes() {
-    let (_, actions) = outgoing(&[OutgoingEvent::Called(ID), hello(), OutgoingEvent::Stop, confirm()]);
-    assert_eq!(actions, [OutgoingAction::Succeeded(ID), OutgoingAction::Pass(ID)]);
+fn a_shutdown_before_the_confirmation_hands_over_once_the_confirmation_arrives() {
+    let (_, actions) = outgoing(&[OutgoingEvent::Connected(ID), hello(), OutgoingEvent::Stop, confirm()]);
+    assert_eq!(actions, [OutgoingAction::Confirmed(ID), OutgoingAction::HandOver(ID)]);
     let (_, actions) =
-        outgoing(&[OutgoingEvent::Called(ID), hello(), OutgoingEvent::Stop, OutgoingEvent::Lost(ID)]);
-    assert_eq!(actions, [OutgoingAction::Alone]);
-    let (_, actions) = outgoing(&[OutgoingEvent::Called(ID), OutgoingEvent::Stop]);
+        outgoing(&[OutgoingEvent::Connected(ID), hello(), OutgoingEvent::Stop, OutgoingEvent::Lost(ID)]);
+    assert_eq!(actions, [OutgoingAction::ResumeAlone]);
+    let (_, actions) = outgoing(&[OutgoingEvent::Connected(ID), OutgoingEvent::Stop]);
     assert!(matches!(actions[..], [OutgoingAction::Decline(ID, _)]));
-    let (_, actions) = outgoing(&[OutgoingEvent::Stop, OutgoingEvent::Called(ID)]);
+    let (_, actions) = outgoing(&[OutgoingEvent::Stop, OutgoingEvent::Connected(ID)]);
     assert!(matches!(actions[..], [OutgoingAction::Decline(ID, _)]));
 }
 
 #[test]
-fn another_node_or_format_is_declined_and_the_next_may_call() {
-    let strangers = [
+fn another_node_or_format_is_declined_and_the_next_process_may_take_over() {
+    let others = [
         Identity { format: FORMAT + 1, ..identity() },
         Identity { name: "n1".into(), ..identity() },
         Identity { listen: "127.0.0.1:2".into(), ..identity() },
     ];
-    for stranger in strangers {
-        let said = OutgoingEvent::Said(ID, Message::Hello(stranger));
-        let (_, actions) = outgoing(&[OutgoingEvent::Called(ID), said.clone()]);
+    for other in others {
+        let other_hello = OutgoingEvent::Received(ID, Message::Hello(other));
+        let (_, actions) = outgoing(&[OutgoingEvent::Connected(ID), other_hello.clone()]);
         assert!(matches!(actions[..], [OutgoingAction::Decline(ID, _)]));
         let next = IncomingId(2);
-        let hello = OutgoingEvent::Said(next, Message::Hello(identity()));
-        let (_, actions) = outgoing(&[OutgoingEvent::Called(ID), said, OutgoingEvent::Called(next), hello]);
+        let hello = OutgoingEvent::Received(next, Message::Hello(identity()));
+        let (_, actions) =
+            outgoing(&[OutgoingEvent::Connected(ID), other_hello, OutgoingEvent::Connected(next), hello]);
         assert_eq!(actions, [OutgoingAction::Offer(next)]);
     }
 }
 
 #[test]
-fn of_three_starts_at_once_one_takes_over() {
-    let called = [OutgoingEvent::Called(ID), OutgoingEvent::Called(IncomingId(2))];
-    assert!(matches!(outgoing(&called).1[..], [OutgoingAction::Decline(IncomingId(2), _)]));
-    // One that dies before it confirms leaves its place to the next.
-    let (_, actions) = outgoing(&[OutgoingEvent::Called(ID), hello(), OutgoingEvent::Lost(ID)]);
-    assert_eq!(actions, [OutgoingAction::Alone]);
+fn only_one_of_several_incoming_processes_takes_over() {
+    let connected = [OutgoingEvent::Connected(ID), OutgoingEvent::Connected(IncomingId(2))];
+    assert!(matches!(outgoing(&connected).1[..], [OutgoingAction::Decline(IncomingId(2), _)]));
+    // After an incoming process has died before it confirmed, the next one may take over.
+    let (_, actions) = outgoing(&[OutgoingEvent::Connected(ID), hello(), OutgoingEvent::Lost(ID)]);
+    assert_eq!(actions, [OutgoingAction::ResumeAlone]);
     let next = IncomingId(3);
-    let hello_3 = OutgoingEvent::Said(next, Message::Hello(identity()));
+    let hello_3 = OutgoingEvent::Received(next, Message::Hello(identity()));
     let (_, actions) = outgoing(&[
-        OutgoingEvent::Called(ID),
+        OutgoingEvent::Connected(ID),
         hello(),
         OutgoingEvent::Lost(ID),
-        OutgoingEvent::Called(next),
+        OutgoingEvent::Connected(next),
         hello_3,
     ]);
     assert_eq!(actions, [OutgoingAction::Offer(next)]);
 }
 
 #[test]
-fn an_incoming_starts_alone_unless_it_is_offered_the_socket() {
+fn an_incoming_process_starts_alone_unless_it_is_offered_the_listening_socket() {
     let run = |events: Vec<IncomingEvent>| {
         let (mut incoming, mut actions) = (Incoming::new(identity()), Vec::new());
         for event in events {
@@ -120,20 +122,24 @@
         }
         actions
     };
-    let alone = |actions: &[IncomingAction]| matches!(actions.last(), Some(IncomingAction::StartAlone(_)));
-    assert!(alone(&run(vec![IncomingEvent::Lost])));
-    assert!(alone(&run(vec![IncomingEvent::Connected, IncomingEvent::Lost])));
-    assert!(alone(&run(vec![IncomingEvent::Connected, IncomingEvent::Said(Message::Decline("no".into()))])));
-    assert!(alone(&run(vec![IncomingEvent::Connected, IncomingEvent::Said(Message::Share(3))])));
-    let offer = IncomingEvent::Said(Message::Offer { share: 9, state: Value::Null });
+    let starts_alone =
+        |actions: &[IncomingAction]| matches!(actions.last(), Some(IncomingAction::StartAlone(_)));
+    assert!(starts_alone(&run(vec![IncomingEvent::Lost])));
+    assert!(starts_alone(&run(vec![IncomingEvent::Connected, IncomingEvent::Lost])));
+    assert!(starts_alone(&run(vec![
+        IncomingEvent::Connected,
+        IncomingEvent::Received(Message::Decline("no".into()))
+    ])));
+    assert!(starts_alone(&run(vec![IncomingEvent::Connected, IncomingEvent::Received(Message::Share(3))])));
+    let offer = IncomingEvent::Received(Message::Offer { share: 9, state: Value::Null });
     let actions = run(vec![
         IncomingEvent::Connected,
         offer,
-        IncomingEvent::Said(Message::Connection),
-        IncomingEvent::Said(Message::Request { read: b"GET".to_vec() }),
-        IncomingEvent::Said(Message::Share(2)),
+        IncomingEvent::Received(Message::Connection),
+        IncomingEvent::Received(Message::Request { read: b"GET".to_vec() }),
+        IncomingEvent::Received(Message::Share(2)),
         IncomingEvent::Lost,
-        IncomingEvent::Said(Message::Connection),
+        IncomingEvent::Received(Message::Connection),
     ]);
     assert_eq!(
         actions[1..],
@@ -143,28 +149,28 @@
             IncomingAction::Serve(Vec::new()),
             IncomingAction::Serve(b"GET".to_vec()),
             IncomingAction::Share(2),
-            IncomingAction::Alone
+            IncomingAction::OutgoingGone
         ]
     );
 }
 
 #[test]
-fn what_is_no_message_is_told() {
-    let sound = Message::Share(7).encode();
+fn each_kind_of_invalid_frame_is_reported() {
+    let valid = Message::Share(7).encode();
     let mut frames = Frames::default();
     frames.push(b"GET / HTTP");
-    assert_eq!(frames.take(), Err(Unsound::Magic));
-    let mut long = sound.clone();
-    long[4..8].copy_from_slice(&(FRAME_MOST as u32 + 1).to_be_bytes());
+    assert_eq!(frames.take(), Err(FrameError::Magic));
+    let mut long = valid.clone();
+    long[4..8].copy_from_slice(&(MAX_FRAME_PAYLOAD as u32 + 1).to_be_bytes());
     let mut frames = Frames::default();
     frames.push(&long);
-    assert_eq!(frames.take(), Err(Unsound::Length));
-    for at in 8..sound.len() {
-        let mut damaged = sound.clone();
-        damaged[at] ^= 0x20;
+    assert_eq!(frames.take(), Err(FrameError::Length));
+    for at in 8..valid.len() {
+        let mut corrupt = valid.clone();
+        corrupt[at] ^= 0x20;
         let mut frames = Frames::default();
-        frames.push(&damaged);
-        assert_eq!(frames.take(), Err(Unsound::Checksum), "byte {at}");
+        frames.push(&corrupt);
+        assert_eq!(frames.take(), Err(FrameError::Checksum), "byte {at}");
     }
 }
 
@@ -183,23 +189,23 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 256, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Messages come out as they went in, however the bytes are cut.
+    /// Decoded messages equal the encoded ones, in whatever pieces the bytes arrive.
     #[test]
-    fn messages_survive_any_pieces(messages in prop::collection::vec(message(), 1..6), piece in 1_usize..40) {
+    fn messages_are_decoded_from_any_pieces(messages in prop::collection::vec(message(), 1..6), piece_len in 1_usize..40) {
         let bytes: Vec<u8> = messages.iter().flat_map(Message::encode).collect();
-        let (mut frames, mut got) = (Frames::default(), Vec::new());
-        for piece in bytes.chunks(piece) {
+        let (mut frames, mut decoded) = (Frames::default(), Vec::new());
+        for piece in bytes.chunks(piece_len) {
             frames.push(piece);
-            while let Some(message) = frames.take().expect("sound") {
-                got.push(message);
+            while let Some(message) = frames.take().expect("a valid frame") {
+                decoded.push(message);
             }
         }
-        prop_assert_eq!(got, messages);
+        prop_assert_eq!(decoded, messages);
     }
 
-    /// Whatever is said in whatever order: nothing is passed to anyone but the one process that has confirmed.
+    /// With any sequence of events, connections are handed over only to the one process that has confirmed.
     #[test]
-    fn only_a_confirmed_process_is_handed_connections(
+    fn connections_are_handed_over_only_to_a_confirmed_process(
         events in prop::collection::vec((1_u64..4, 0_u8..4, message()), 0..40),
     ) {
         let (mut outgoing, mut confirmed) = (Outgoing::new(identity()), None);
@@ -207,9 +213,9 @@
         for (id, kind, message) in events {
             let id = IncomingId(id);
             let event = match kind {
-                0 => OutgoingEvent::Called(id),
+                0 => OutgoingEvent::Connected(id),
                 1 => OutgoingEvent::Lost(id),
-                2 => OutgoingEvent::Said(id, message),
+                2 => OutgoingEvent::Received(id, message),
                 _ => OutgoingEvent::Stop,
             };
             let mut actions = Vec::new();
@@ -217,16 +223,16 @@
             for action in actions {
                 match action {
                     OutgoingAction::Offer(id) => drop(offered.insert(id)),
-                    OutgoingAction::Succeeded(id) => {
+                    OutgoingAction::Confirmed(id) => {
                         prop_assert!(offered.contains(&id) && confirmed.is_none());
                         confirmed = Some(id);
                     }
-                    OutgoingAction::Pass(id) => prop_assert_eq!(confirmed, Some(id)),
-                    OutgoingAction::Alone => confirmed = None,
+                    OutgoingAction::HandOver(id) => prop_assert_eq!(confirmed, Some(id)),
+                    OutgoingAction::ResumeAlone => confirmed = None,
                     OutgoingAction::Decline(..) | OutgoingAction::Drop(_) => {}
                 }
             }
-            prop_assert_eq!(outgoing.is_succeeded(), confirmed.is_some());
+            prop_assert_eq!(outgoing.is_confirmed(), confirmed.is_some());
         }
     }
 }
--- a/crates/spurdrum-http/src/keys.rs
+++ b/crates/spurdrum-http/src/keys.rs
@@ -6,7 +6,7 @@
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 use hyper::Uri;
 use ipnet::IpNet;
-use spurdrum_affinity::{Ask, Keyer};
+use spurdrum_affinity::{AffinityKey, KeyHasher};
 
 /// A request with a part longer than this has no key.
 const MAX_PART_BYTES: usize = 512;
@@ -96,7 +96,7 @@
 #[derive(Clone)]
 pub struct AffinityKeys {
     settings: AffinityKeySettings,
-    keyer: Keyer,
+    hasher: KeyHasher,
 }
 
 /// The owner and the known parts of a key whose missing part the response will provide.
@@ -109,8 +109,8 @@
 
 impl AffinityKeys {
     /// Creates keys according to `settings`, with the node's secret.
-    pub fn new(settings: AffinityKeySettings, keyer: Keyer) -> Self {
-        Self { settings, keyer }
+    pub fn new(settings: AffinityKeySettings, hasher: KeyHasher) -> Self {
+        Self { settings, hasher }
     }
 
     /// Returns the header fields from which keys are formed; they are also forwarded to servers.
@@ -132,13 +132,13 @@
         (headers, uri): (&HeaderMap, &Uri),
         (class, tenant): (usize, usize),
         peer: IpAddr,
-    ) -> (Option<Ask>, Option<PartialKey>) {
+    ) -> (Option<AffinityKey>, Option<PartialKey>) {
         if !self.settings.classes.is_empty() && !self.settings.classes.contains(&class) {
             return (None, None);
         }
         let network = self.network(peer);
         let tenant = self.settings.tenants.get(tenant).map_or(&b""[..], |name| name.as_bytes());
-        let owner_id = |name: &[u8]| self.keyer.ask(0, &[name]).key.0[0];
+        let owner_id = |name: &[u8]| self.hasher.affinity_key(0, &[name]).hash.0[0];
         let owner = match self.settings.owner {
             Owner::Tenant => owner_id(tenant),
             Owner::Address => network.map_or(0, |net| owner_id(&address_bytes(net.network()))),
@@ -154,7 +154,8 @@
         };
         let values: Vec<Option<Vec<u8>>> = self.settings.parts.iter().map(value).collect();
         let complete: Option<Vec<&[u8]>> = values.iter().map(Option::as_deref).collect();
-        let ask = complete.filter(|parts| !parts.is_empty()).map(|parts| self.keyer.ask(owner, &parts));
+        let affinity_key =
+            complete.filter(|parts| !parts.is_empty()).map(|parts| self.hasher.affinity_key(owner, &parts));
         let is_from_response =
             |part: &KeyPart| matches!(part, KeyPart::Header(name) if Some(name) == self.response_header());
         let known_values = self.settings.parts.iter().zip(values).map(|(part, value)| {
@@ -168,14 +169,14 @@
             .response_header()
             .and_then(|_| known_values.collect())
             .map(|values| PartialKey { owner, values });
-        (ask, partial_key)
+        (affinity_key, partial_key)
     }
 
     /// Returns the key that a response assigns.
-    pub fn key_from_response(&self, partial_key: &PartialKey, value: &HeaderValue) -> Option<Ask> {
+    pub fn key_from_response(&self, partial_key: &PartialKey, value: &HeaderValue) -> Option<AffinityKey> {
         let value = Some(value.as_bytes()).filter(|v| !v.is_empty() && v.len() <= MAX_PART_BYTES)?;
         let parts = partial_key.values.iter().map(|part| if part.is_empty() { value } else { part });
-        Some(self.keyer.ask(partial_key.owner, &parts.collect::<Vec<_>>()))
+        Some(self.hasher.affinity_key(partial_key.owner, &parts.collect::<Vec<_>>()))
     }
 
     fn network(&self, peer: IpAddr) -> Option<IpNet> {
@@ -212,7 +213,7 @@
         let tenants = ["a", "b", "c", "d", "e"].map(str::to_owned).to_vec();
         AffinityKeys::new(
             AffinityKeySettings { parts, response_header, tenants, ..AffinityKeySettings::default() },
-            Keyer::new([7; 16]),
+            KeyHasher::new([7; 16]),
         )
     }
 
@@ -221,7 +222,7 @@
         headers: &[(&'static str, &str)],
         uri: &str,
         tenant: usize,
-    ) -> (Option<Ask>, Option<PartialKey>) {
+    ) -> (Option<AffinityKey>, Option<PartialKey>) {
         let parse_header = |(name, value): &(&'static str, &str)| {
             (HeaderName::from_static(name), value.parse::<HeaderValue>().expect("a value"))
         };
@@ -252,7 +253,7 @@
         let before = keys(&["tenant"], None);
         let tenants = ["new", "a", "b"].map(str::to_owned).to_vec();
         let after =
-            AffinityKeys::new(AffinityKeySettings { tenants, ..before.settings.clone() }, before.keyer);
+            AffinityKeys::new(AffinityKeySettings { tenants, ..before.settings.clone() }, before.hasher);
         assert_eq!(key_of(&before, &[], "/api", 1).0, key_of(&after, &[], "/api", 2).0);
         assert_ne!(key_of(&before, &[], "/api", 1).0, key_of(&after, &[], "/api", 1).0);
     }
@@ -281,7 +282,7 @@
     fn clients_of_one_network_share_a_key_and_an_owner() {
         let keys = keys(&["address"], None);
         let keys =
-            AffinityKeys::new(AffinityKeySettings { owner: Owner::Address, ..keys.settings }, keys.keyer);
+            AffinityKeys::new(AffinityKeySettings { owner: Owner::Address, ..keys.settings }, keys.hasher);
         let key_of = |peer: &str| {
             let peer = peer.parse().expect("an address");
             keys.key_of((&HeaderMap::new(), &Uri::from_static("/api")), (0, 0), peer).0.expect("a key")
--- a/crates/spurdrum/src/replace.rs
+++ b/crates/spurdrum/src/replace.rs
@@ -172,7 +172,7 @@
 
 impl IncomingProcess for Incoming {
     fn handover_status(&self) -> HandoverStatus {
-        if self.0.passes() {
+        if self.0.can_hand_over() {
             HandoverStatus::Confirmed
         } else if self.0.awaits_confirmation() {
             HandoverStatus::Offered
@@ -182,14 +182,14 @@
     }
 
     fn accepts_requests(&self) -> bool {
-        self.0.passes_requests()
+        self.0.can_hand_over_requests()
     }
 
     fn hand_over(&self, connection: HandedOverConnection) -> Result<(), HandedOverConnection> {
-        self.0.pass(connection)
+        self.0.hand_over(connection)
     }
 
     fn all_sent(&self) -> bool {
-        self.0.is_sent()
+        self.0.all_sent()
     }
 }
