--- a/crates/spurdrum-http/src/client.rs
+++ b/crates/spurdrum-http/src/client.rs
@@ -43,6 +43,7 @@
     pub permit: Rc<ConnectionPermit>,
     /// The part of the current body that has not been received yet.
     remaining_body: Cell<RemainingBody>,
+    /// Bytes behind the current request that hyper has read.
     read_ahead: RefCell<Vec<u8>>,
     /// Bytes that were read from the socket before hyper asked for them.
     prefetched: RefCell<BytesMut>,
