--- a/crates/spurdrum-rollout/src/judge/evidence.rs
+++ b/crates/spurdrum-rollout/src/judge/evidence.rs
@@ -68,8 +68,8 @@
     }
 
     /// Evaluates the test after each of a thousand values in each of many runs: false rejections are as rare as
-    /// stated, and a mean that is two percentage points too high is detected within some two minutes of 30 draws
-    /// a second.
+    /// stated, and a mean that is two percentage points too high is detected in some two minutes with one value of
+    /// 30 draws per second.
     #[test]
     fn false_rejections_are_as_rare_as_stated_however_often_the_test_is_evaluated() {
         let runs = 2000;
