--- a/crates/spurdrum/tests/net/mod.rs
+++ b/crates/spurdrum/tests/net/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the node share: the real binary, and scripted servers, discovery and clients round it.
+//! Test harness for the node: starts the real binary among scripted servers, clients and discovery.
 
 use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, TcpStream};
@@ -11,7 +11,7 @@
 
 pub use spurdrum_standin::manual::*;
 
-/// A list's entry.
+/// Returns an entry of a discovery list.
 pub fn member(id: &str, address: SocketAddr, phase: &str) -> Value {
     json!({"id": id, "host_port": address.to_string(), "locality": "a", "flavor": "m", "cell": 0,
            "phase": phase, "size": 1.0, "up_since_ms": 0})
@@ -21,7 +21,7 @@
     json!({"revision": revision, "complete": complete, "members": members})
 }
 
-/// A configuration with three classes: `read` is safe, `update` keyed, `pay` unsafe.
+/// Returns a configuration with three classes: `read` is safe, `update` keyed, `pay` unsafe.
 pub fn config(members: &[Value]) -> Value {
     let class = |name, effect| {
         json!({"name": name, "effect": effect, "group": "cell", "dedup_window_ms": 60_000.0,
@@ -40,7 +40,7 @@
     })
 }
 
-/// The real binary, started by a test.
+/// A running process of the real binary, killed when dropped.
 pub struct Node {
     pub address: SocketAddr,
     pub discovery: Server,
@@ -48,59 +48,65 @@
     log: BufReader<ChildStderr>,
 }
 
-/// The file that a node at this address reads.
+/// Returns the path of the configuration file of the node at `address`.
 pub fn config_path(address: SocketAddr) -> std::path::PathBuf {
     let name = format!("{}.json", address.to_string().replace(':', "-"));
     std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(name)
 }
 
-/// The binary's command, with everything it is told.
+/// Writes the node's configuration file and returns the command that starts the binary with it.
 pub fn command(config: &str, address: SocketAddr, discovery: SocketAddr) -> Command {
     let path = config_path(address);
-    // Whole at once: another process of this node may be reading it.
+    // Replaced atomically: another process of this node may be reading the file.
     let new = path.with_extension("new");
     std::fs::write(&new, config).and_then(|()| std::fs::rename(&new, &path)).expect("written");
     let mut command = Command::new(env!("CARGO_BIN_EXE_spurdrum"));
     command.env("GW_NAME", "n0").env("GW_LISTEN", address.to_string());
     command.env("GW_DISCOVERY", discovery.to_string()).env("GW_CONFIG", path);
-    command.env("TMPDIR", own_directory(address));
+    command.env("TMPDIR", node_directory(address));
     command
 }
 
-/// Names a file with this text on the command line of a node at this address.
-pub fn name_file(command: &mut Command, address: SocketAddr, text: &str) {
+/// Writes a TOML configuration file for the node at `address` and passes it to the command as `--config`.
+pub fn add_config_file(command: &mut Command, address: SocketAddr, text: &str) {
     let path = config_path(address).with_extension("toml");
     std::fs::write(&path, text).expect("written");
     command.arg("--config").arg(path);
 }
 
-/// The directory that the processes of a node share. Sockets' paths must be short.
-pub fn own_directory(address: SocketAddr) -> std::path::PathBuf {
+/// Creates and returns the directory that the processes of a node share as `TMPDIR`. Its path is short, since
+/// Unix sockets are created in it.
+pub fn node_directory(address: SocketAddr) -> std::path::PathBuf {
     let path = std::env::temp_dir().join(format!("spd-{}", address.to_string().replace(':', "-")));
     std::fs::create_dir_all(&path).expect("made");
     path
 }
 
 impl Node {
-    /// Starts with this configuration. Its first question to discovery is answered: nothing is newer than the list that it knows. Returns when
-    /// it is healthy; where it knows no list, when it listens.
+    /// Starts a node with this configuration and answers its first discovery call: nothing is newer than the
+    /// list that it knows. Returns when the node is healthy, or when it listens if its configuration has no
+    /// servers.
     pub fn start(config: &Value) -> Self {
         Self::start_with(config, None)
     }
 
-    /// The same with a file with this text, named on the command line.
+    /// Like [`start`](Self::start), with an additional TOML file on the command line.
     pub fn start_with(config: &Value, file: Option<&str>) -> Self {
         let node = Self::start_unconfirmed(config, file);
         let known = &config["known"];
         if known["members"].as_array().is_some_and(|members| !members.is_empty()) {
-            let nothing_newer = list(known["revision"].as_u64().expect("a version"), false, &[]).to_string();
-            // Only the first is answered: the watch that follows it is the test's.
+            let no_changes = list(known["revision"].as_u64().expect("a version"), false, &[]).to_string();
+            // Only the first call is answered here; the watch that follows is left to the test.
             let mut answered = false;
-            until("the node is healthy", || {
-                let first = if answered { None } else { node.discovery.poll() };
-                if let Some(first) = first {
-                    assert!(first.request.first.contains("timeout_ms=0"), "{}", first.request.first);
-                    first.answer("200 OK", "", nothing_newer.as_bytes());
+            wait_until("the node is healthy", || {
+                let first_call = if answered { None } else { node.discovery.poll() };
+                if let Some(first_call) = first_call {
+                    assert!(
+                        first_call.request.first.contains("timeout_ms=0"),
+                        "{}",
+                        first_call.request.first
+                    );
+                    first_call.answer("200 OK", "", no_changes.as_bytes());
                     answered = true;
                 }
                 node.health().status() == 200
@@ -109,72 +115,77 @@
         node
     }
 
-    /// Starts with this configuration and waits for no answer of discovery before it serves; returns when it is healthy.
-    pub fn start_ready(config: &Value) -> Self {
-        Self::start_ready_with(config, "")
+    /// Starts a node that does not wait for discovery before it serves. Returns when it is healthy.
+    pub fn start_without_discovery(config: &Value) -> Self {
+        Self::start_without_discovery_with(config, "")
     }
 
-    /// The same with more lines for the table of discovery.
-    pub fn start_ready_with(config: &Value, catalog: &str) -> Self {
+    /// Like [`start_without_discovery`](Self::start_without_discovery), with more lines for the
+    /// `[sources.catalog]` table.
+    pub fn start_without_discovery_with(config: &Value, catalog: &str) -> Self {
         let file = format!("[sources.catalog]\nready_within_ms = 1\n{catalog}");
         let node = Self::start_unconfirmed(config, Some(&file));
-        until("the node is healthy", || node.health().status() == 200);
+        wait_until("the node is healthy", || node.health().status() == 200);
         node
     }
 
-    /// Starts with this configuration, and a file, while discovery has not answered; returns when it listens.
+    /// Starts a node with this configuration, and optionally a TOML file, without answering its discovery
+    /// calls. Returns when it listens.
     pub fn start_unconfirmed(config: &Value, file: Option<&str>) -> Self {
         let (address, discovery) = (own_address(), Server::start());
         let mut command = command(&config.to_string(), address, discovery.address);
         if let Some(text) = file {
-            name_file(&mut command, address, text);
+            add_config_file(&mut command, address, text);
         }
-        Self::run(command, address, discovery)
+        Self::spawn_until_listening(command, address, discovery)
     }
 
-    /// Starts with a file that tells it everything, and no variables.
-    pub fn alone(listen: SocketAddr, file: &str) -> Self {
+    /// Starts a node that is configured by one TOML file only, with no environment variables. Returns when it
+    /// is healthy.
+    pub fn start_from_file(listen: SocketAddr, file: &str) -> Self {
         let path = config_path(listen).with_extension("toml");
         std::fs::write(&path, file).expect("written");
         let mut command = Command::new(env!("CARGO_BIN_EXE_spurdrum"));
         command.arg("--config").arg(path);
-        let node = Self::run(command, listen, Server::start());
+        let node = Self::spawn_until_listening(command, listen, Server::start());
         assert_eq!(node.health().status(), 200);
         node
     }
 
-    /// Replaces the file that it was started with.
-    pub fn rewrite(&self, file: &str) {
+    /// Atomically replaces the TOML file that the node was started with.
+    pub fn replace_config_file(&self, file: &str) {
         let path = config_path(self.address).with_extension("toml");
         let new = path.with_extension("new");
         std::fs::write(&new, file).and_then(|()| std::fs::rename(&new, path)).expect("replaced");
     }
 
-    /// A second process of this node, beside the first, with another address for operators.
-    pub fn beside(&self, config: &Value, ops: SocketAddr) -> Self {
-        self.beside_with(config, ops, None)
+    /// Starts a second process of this node beside the first, with an admin address of its own.
+    pub fn start_second_process(&self, config: &Value, ops: SocketAddr) -> Self {
+        self.start_second_process_with(config, ops, None)
     }
 
-    /// The same with a file with this text, named on the command line.
-    pub fn beside_with(&self, config: &Value, ops: SocketAddr, file: Option<&str>) -> Self {
-        Self::begun(self.address, config, ops, |command| {
+    /// Like [`start_second_process`](Self::start_second_process), with an additional TOML file on the command
+    /// line.
+    pub fn start_second_process_with(&self, config: &Value, ops: SocketAddr, file: Option<&str>) -> Self {
+        Self::spawn_at(self.address, config, ops, |command| {
             if let Some(text) = file {
-                name_file(command, self.address, text);
+                add_config_file(command, self.address, text);
             }
         })
     }
 
-    /// A process of the node at this address that has only just been started, whoever else serves there; `tell` may tell it more.
-    pub fn begun(
+    /// Spawns a process of the node at `address` without waiting for anything, whichever other process serves
+    /// there. `customize` may change its command.
+    pub fn spawn_at(
         address: SocketAddr,
         config: &Value,
         ops: SocketAddr,
-        tell: impl FnOnce(&mut Command),
+        customize: impl FnOnce(&mut Command),
     ) -> Self {
         let discovery = Server::start();
         let mut command = command(&config.to_string(), address, discovery.address);
         command.env("GW_OPS", ops.to_string());
-        tell(&mut command);
+        customize(&mut command);
         Self::spawn(command, address, discovery)
     }
 
@@ -184,7 +195,7 @@
         Self { address, discovery, child, log }
     }
 
-    fn run(command: Command, address: SocketAddr, discovery: Server) -> Self {
+    fn spawn_until_listening(command: Command, address: SocketAddr, discovery: Server) -> Self {
         let node = Self::spawn(command, address, discovery);
         let since = Instant::now();
         while TcpStream::connect(address).is_err() {
@@ -194,13 +205,13 @@
         node
     }
 
-    /// What it says of its health.
+    /// Returns the response of the health endpoint.
     pub fn health(&self) -> Message {
         self.client().ask("GET /_health HTTP/1.1\r\nhost: n\r\n\r\n")
     }
 
-    /// Starts in front of these servers, named `s0`, `s1` and so on.
-    pub fn before(servers: &[&Server]) -> Self {
+    /// Starts a node whose list holds these servers, named `s0`, `s1` and so on.
+    pub fn with_servers(servers: &[&Server]) -> Self {
         Self::start(&config(&members(servers)))
     }
 
@@ -212,14 +223,14 @@
         self.signal("-TERM");
     }
 
-    /// Replaces the configuration's text, as a whole, and tells the node.
+    /// Atomically replaces the configuration file and sends SIGHUP.
     pub fn reload(&self, config: &str) {
         let (path, new) = (config_path(self.address), config_path(self.address).with_extension("new"));
         std::fs::write(&new, config).and_then(|()| std::fs::rename(&new, path)).expect("replaced");
-        self.hang_up();
+        self.send_sighup();
     }
 
-    pub fn hang_up(&self) {
+    pub fn send_sighup(&self) {
         self.signal("-HUP");
     }
 
@@ -228,51 +239,52 @@
         assert!(sent.expect("sent").success());
     }
 
-    /// Stops the process until [`go_on`](Self::go_on); it stands still when this returns.
-    pub fn stand_still(&self) {
+    /// Stops the process with SIGSTOP until [`resume`](Self::resume) is called. Returns once the process is
+    /// stopped.
+    pub fn pause(&self) {
         self.signal("-STOP");
-        until("the process does not stop", || self.state() == Some('T'));
+        wait_until("the process has not stopped", || self.state() == Some('T'));
     }
 
-    /// What the kernel shows its main thread's state as: `S` where it waits for events, `T` where it is stopped.
+    /// Returns the state of the main thread as the kernel shows it: `S` while it waits for events, `T` while
+    /// it is stopped.
     pub fn state(&self) -> Option<char> {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.pid())).expect("running");
         stat.rsplit(')').next().and_then(|rest| rest.trim_start().chars().next())
     }
 
-    /// Ends its standing still.
-    pub fn go_on(&self) {
+    /// Resumes a stopped process with SIGCONT.
+    pub fn resume(&self) {
         self.signal("-CONT");
     }
 
-    /// Its process.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// Descriptors that it holds.
+    /// Returns the number of file descriptors that the process has open.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("running").count()
     }
 
-    /// Memory that it holds, in bytes.
+    /// Returns the resident memory of the process in bytes.
     pub fn memory(&self) -> u64 {
         let text = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("running");
-        let line = text.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("told");
+        let line = text.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("a VmRSS line");
         line.trim().trim_end_matches(" kB").parse::<u64>().expect("a number") * 1024
     }
 
-    /// The next line of the log.
-    pub fn logged(&mut self) -> String {
+    /// Returns the next line of the log, or an empty string at its end.
+    pub fn next_log_line(&mut self) -> String {
         let mut line = String::new();
         self.log.read_line(&mut line).expect("read");
         line
     }
 
-    /// The next line of the log that says this.
-    pub fn logged_with(&mut self, text: &str) -> String {
+    /// Returns the next log line that contains `text`.
+    pub fn log_line_containing(&mut self, text: &str) -> String {
         loop {
-            let line = self.logged();
+            let line = self.next_log_line();
             assert!(!line.is_empty(), "the log ends without: {text}");
             if line.contains(text) {
                 return line;
@@ -294,14 +306,14 @@
 
 impl Drop for Node {
     fn drop(&mut self) {
-        // It fails where the node has ended already.
+        // Fails if the node has already exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// Asks until it is so; `what` says what does not come otherwise.
-pub fn until(what: &str, mut done: impl FnMut() -> bool) {
+/// Polls until `done` returns true. Panics with `what` after [`LONG`].
+pub fn wait_until(what: &str, mut done: impl FnMut() -> bool) {
     let since = Instant::now();
     while !done() {
         assert!(since.elapsed() < LONG, "{what}");
@@ -309,8 +321,9 @@
     }
 }
 
-/// How many wait for a connection to this address: the kernel shows them as 02, SYN sent.
-pub fn dials(address: SocketAddr) -> usize {
+/// Returns the number of connection attempts to this address that are in progress. The kernel shows them as
+/// state 02, SYN sent.
+pub fn pending_connects(address: SocketAddr) -> usize {
     let SocketAddr::V4(v4) = address else { panic!("IPv4") };
     let remote = format!("{:08X}:{:04X} 02", u32::from_ne_bytes(v4.ip().octets()), v4.port());
     std::fs::read_to_string("/proc/net/tcp").expect("Linux").matches(&remote).count()
@@ -321,7 +334,7 @@
     servers.iter().enumerate().map(name).collect()
 }
 
-/// A sound request of a class, whose client waits so long. Each has an id of its own.
+/// Returns a valid request of a class with `seconds` left in its deadline. Each request has an id of its own.
 pub fn request(class: &str, seconds: f64) -> String {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let id = NEXT.fetch_add(1, Ordering::Relaxed);
--- a/crates/spurdrum/tests/node.rs
+++ b/crates/spurdrum/tests/node.rs
@@ -52,7 +52,7 @@
 #[test]
 fn a_request_goes_on_and_its_answer_comes_back_unchanged() {
     let server = Server::start();
-    let node = Node::before(&[&server]);
+    let node = Node::with_servers(&[&server]);
     let mut client = node.client();
     for _ in 0..2 {
         let sent = request("update", 20.0);
@@ -81,10 +81,10 @@
         [("503 Busy", "x-not-run: 1\r\n"), ("504 Late", "x-not-run: 1\r\nx-load: inflight=3,queue=1\r\n")]
     {
         let servers = [Server::start(), Server::start()];
-        let node = Node::before(&[&servers[0], &servers[1]]);
+        let node = Node::with_servers(&[&servers[0], &servers[1]]);
         let mut client = node.client();
         client.send(&request("pay", 20.0));
-        let (first, got) = either(&servers);
+        let (first, got) = request_at_either(&servers);
         got.answer(status, headers, b"");
         servers[1 - first].request().answer(OK, "", b"done");
         assert_eq!(client.answer().status(), 200, "{status}");
@@ -126,10 +126,10 @@
     ];
     for (name, script) in scripts {
         let servers = [Server::start(), Server::start()];
-        let node = Node::before(&[&servers[0], &servers[1]]);
+        let node = Node::with_servers(&[&servers[0], &servers[1]]);
         let mut client = node.client();
         client.send(&request("pay", 20.0));
-        script(either(&servers).1);
+        script(request_at_either(&servers).1);
         assert_eq!(client.answer().status(), 502, "{name}");
         assert!(!servers[0].has_request() && !servers[1].has_request(), "{name}: it was sent again");
     }
@@ -153,7 +153,7 @@
 #[test]
 fn a_silent_server_is_left_and_its_client_answered_in_time() {
     let server = Server::start();
-    let node = Node::before(&[&server]);
+    let node = Node::with_servers(&[&server]);
     let mut client = node.client();
     let since = Instant::now();
     client.send(&request("pay", 3.0));
@@ -168,7 +168,7 @@
 #[test]
 fn when_a_client_leaves_its_attempt_is_given_up() {
     let server = Server::start();
-    let node = Node::before(&[&server]);
+    let node = Node::with_servers(&[&server]);
     let mut client = node.client();
     client.send(&request("read", 60.0));
     let mut got = server.request();
@@ -187,7 +187,7 @@
 fn an_attempt_given_up_is_closed_before_the_next_begins() {
     for _ in 0..5 {
         let servers = [Server::start(), Server::start()];
-        let node = Node::before(&[&servers[0], &servers[1]]);
+        let node = Node::with_servers(&[&servers[0], &servers[1]]);
         // Both get a connection that is kept, so that the next attempt has nothing to wait for.
         let mut clients = [node.client(), node.client()];
         clients.iter_mut().for_each(|client| client.send(&request("read", 20.0)));
@@ -195,7 +195,7 @@
         clients.iter_mut().for_each(|client| assert_eq!(client.answer().status(), 200));
         let mut client = node.client();
         client.send(&request("read", 20.0));
-        let (at, mut first) = either(&servers);
+        let (at, mut first) = request_at_either(&servers);
         // It cannot be passed on, and is not at its end: the server still has the connection open.
         first.write(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nhalf\r\nnonsense\r\n");
         let next = servers[1 - at].request();
@@ -251,7 +251,7 @@
 fn a_kept_connection_that_is_dead_is_not_used() {
     for headers in ["", "connection: close\r\n"] {
         let server = Server::start();
-        let node = Node::before(&[&server]);
+        let node = Node::with_servers(&[&server]);
         let mut client = node.client();
         for round in 0..5 {
             client.send(&request("pay", 20.0));
@@ -283,7 +283,7 @@
     let watch = node.discovery.request();
     let mut client = node.client();
     client.send(&request("pay", 25.0));
-    until("the node does not connect", || dials(address) > 0);
+    wait_until("the node does not connect", || pending_connects(address) > 0);
     watch.answer(OK, "", news(address).to_string().as_bytes());
     // The next watch shows that the list has been applied.
     assert!(node.discovery.request().request.first.contains("since=2&"));
@@ -298,7 +298,7 @@
 /// A discovery that is cut off says nothing, and its connection stays open: only time tells.
 #[test]
 fn a_silent_watch_is_given_up_and_asked_again() {
-    let node = Node::before(&[]);
+    let node = Node::with_servers(&[]);
     let mut silent = node.discovery.request();
     let again = node.discovery.request();
     assert_ne!(silent.connection, again.connection);
@@ -338,7 +338,7 @@
 #[test]
 fn the_list_is_followed_through_failures() {
     let (old, new) = (Server::start(), Server::start());
-    let node = Node::before(&[&old]);
+    let node = Node::with_servers(&[&old]);
     let ask = || {
         let watch = node.discovery.request();
         assert!(watch.request.first.starts_with("GET /catalog/members?since=1&timeout_ms="));
@@ -365,7 +365,7 @@
 #[test]
 fn a_start_that_the_list_does_not_know_makes_the_node_ask() {
     let server = Server::start();
-    let node = Node::before(&[&server]);
+    let node = Node::with_servers(&[&server]);
     let mut client = node.client();
     let watch = node.discovery.request();
     client.send(&request("read", 20.0));
@@ -385,7 +385,7 @@
 #[test]
 fn successors_under_the_same_addresses_are_servers_of_their_own() {
     let server = Server::start();
-    let node = Node::before(&[&server]);
+    let node = Node::with_servers(&[&server]);
     served_by(&node, &server);
     let whole = list(2, true, &[member("s9", server.address, "active")]);
     node.discovery.request().answer(OK, "", whole.to_string().as_bytes());
@@ -403,7 +403,7 @@
 #[test]
 fn servers_that_have_gone_take_no_memory() {
     let server = Server::start();
-    let node = Node::before(&[&server]);
+    let node = Node::with_servers(&[&server]);
     let stays = member("s0", server.address, "active");
     let mut revision = 1;
     let mut round = |watches: usize| {
@@ -438,7 +438,7 @@
 #[test]
 fn an_answer_outlives_its_server() {
     let server = Server::start();
-    let node = Node::before(&[&server]);
+    let node = Node::with_servers(&[&server]);
     let mut client = node.client();
     client.send(&request("pay", 20.0));
     let got = server.request();
@@ -519,12 +519,12 @@
     let stays = "the configuration stays as it was";
     for (key, text) in [("GW_CONFIG", "{".to_owned()), ("discovery", sound.to_string())] {
         node.reload(&text);
-        let line = node.logged_with(stays);
+        let line = node.log_line_containing(stays);
         assert!(line.contains(&format!("`{key}")), "{key}: {line}");
     }
     std::fs::remove_file(config_path(node.address)).expect("removed");
-    node.hang_up();
-    assert!(node.logged_with(stays).contains("`GW_CONFIG`"));
+    node.send_sighup();
+    assert!(node.log_line_containing(stays).contains("`GW_CONFIG`"));
     assert!(!watch.has_ended());
 }
 
@@ -565,7 +565,7 @@
 /// A refusal promises harmlessness, and says when to come back.
 #[test]
 fn what_is_not_taken_is_refused_with_a_time() {
-    let node = Node::start_ready(&config(&[]));
+    let node = Node::start_without_discovery(&config(&[]));
     let answer = node.client().ask(&request("pay", 20.0));
     assert_eq!((answer.status(), answer.header("retry-after")), (503, Some("0.250")));
 
@@ -595,7 +595,7 @@
     // Until they have been silent for a while, whoever comes next is told to come back.
     let since = Instant::now();
     let mut client = node.client();
-    while !served_within_a_try(&mut client, &server) {
+    while !is_served(&mut client, &server) {
         assert!(since.elapsed() < LONG);
         client = node.client();
     }
@@ -629,7 +629,7 @@
 fn new_clients_are_not_closed_before_they_can_ask() {
     let mut config = config(&[]);
     config["limits"]["sockets"] = json!(40);
-    let node = Node::start_ready(&config);
+    let node = Node::start_without_discovery(&config);
     let health = "GET /_health HTTP/1.1\r\nhost: n\r\n\r\n";
     let mut stay = Vec::new();
     for _ in 0..30 {
@@ -687,12 +687,15 @@
         ("max_attempts", edit(|c| c["settings"]["allowed"]["max_attempts"] = json!("many"))),
     ];
     for (key, text) in cases {
-        ends_naming(key, &mut command(&text, own_address(), own_address()));
+        exits_with_error_naming(key, &mut command(&text, own_address(), own_address()));
     }
     for key in ["GW_NAME", "GW_LISTEN", "GW_DISCOVERY", "GW_CONFIG"] {
-        ends_naming(key, command(&sound.to_string(), own_address(), own_address()).env_remove(key));
+        exits_with_error_naming(
+            key,
+            command(&sound.to_string(), own_address(), own_address()).env_remove(key),
+        );
     }
-    ends_naming(
+    exits_with_error_naming(
         "GW_LISTEN",
         command(&sound.to_string(), own_address(), own_address()).env("GW_LISTEN", "here"),
     );
@@ -701,7 +704,7 @@
 #[test]
 fn a_bad_request_is_answered_and_nothing_goes_on() {
     let server = Server::start();
-    let node = Node::before(&[&server]);
+    let node = Node::with_servers(&[&server]);
     let sound = request("update", 20.0);
     let cases = [
         (400, sound.replace("x-class: update", "x-class: other")),
@@ -741,7 +744,7 @@
 #[test]
 fn a_request_with_two_lengths_ends_its_connection() {
     let server = Server::start();
-    let node = Node::before(&[&server]);
+    let node = Node::with_servers(&[&server]);
     let (length, chunks) = ("content-length: 5\r\n", "transfer-encoding: chunked\r\n");
     for lengths in [[length, chunks], [chunks, length], [chunks, chunks], [length, length]] {
         let hiding = request("update", 20.0).replace("content-length: 4\r\n", &lengths.concat());
@@ -759,7 +762,7 @@
 #[test]
 fn requests_in_unusual_but_sound_forms_are_served() {
     let server = Server::start();
-    let node = Node::before(&[&server]);
+    let node = Node::with_servers(&[&server]);
     let mut client = node.client();
     let pipelined = [request("update", 20.0), request("read", 20.0), request("pay", 20.0)];
     client.send(&pipelined.concat());
@@ -786,7 +789,7 @@
 #[test]
 fn the_id_of_an_open_request_is_not_taken_again() {
     let server = Server::start();
-    let node = Node::before(&[&server]);
+    let node = Node::with_servers(&[&server]);
     let (mut first, again) = (node.client(), request("update", 20.0));
     first.send(&again);
     let got = server.request();
@@ -804,7 +807,7 @@
 #[test]
 fn slow_clients_are_shown_out() {
     let server = Server::start();
-    let node = Node::before(&[&server]);
+    let node = Node::with_servers(&[&server]);
     let whole = request("update", 3600.0);
     let cases = [("", ""), (&whole[..40], "HTTP/1.1 408 "), (&whole[..whole.len() - 1], "HTTP/1.1 408 ")];
     let clients = cases.map(|(part, answer)| {
@@ -835,15 +838,15 @@
         ("500 Broken", "waiting=3,active=5000"),
     ] {
         let servers = [Server::start(), Server::start()];
-        let node = Node::before(&[&servers[0], &servers[1]]);
+        let node = Node::with_servers(&[&servers[0], &servers[1]]);
         let mut client = node.client();
         client.send(&request("pay", 20.0));
-        let (crowded, got) = either(&servers);
+        let (crowded, got) = request_at_either(&servers);
         got.answer(status, &format!("x-load: {load}\r\n"), b"");
         client.answer();
         for _ in 0..6 {
             client.send(&request("pay", 20.0));
-            let (at, got) = either(&servers);
+            let (at, got) = request_at_either(&servers);
             assert_eq!(at, 1 - crowded, "{status}, {load}");
             got.answer(OK, "", b"");
             assert_eq!(client.answer().status(), 200);
@@ -855,7 +858,7 @@
 #[test]
 fn what_comes_behind_a_good_answer_is_not_the_next_one() {
     let server = Server::start();
-    let node = Node::before(&[&server]);
+    let node = Node::with_servers(&[&server]);
     let good = "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nmine";
     for (n, (behind, apart)) in
         [(good, false), (good, true), ("noise", false), ("noise", true)].into_iter().enumerate()
@@ -878,7 +881,7 @@
 #[test]
 fn interim_answers_are_skipped() {
     let server = Server::start();
-    let node = Node::before(&[&server]);
+    let node = Node::with_servers(&[&server]);
     let mut client = node.client();
     for _ in 0..2 {
         client.send(&request("update", 20.0));
@@ -909,7 +912,7 @@
 #[test]
 fn requests_leave_a_server_that_falls_silent() {
     let servers = [Server::start(), Server::start()];
-    let node = Node::before(&[&servers[0], &servers[1]]);
+    let node = Node::with_servers(&[&servers[0], &servers[1]]);
     let mut clients: Vec<Client> = (0..6).map(|_| node.client()).collect();
     clients.iter_mut().for_each(|client| client.send(&request("read", 60.0)));
     let mut unanswered = [(); 3].map(|()| servers[0].request());
@@ -924,7 +927,7 @@
 #[test]
 fn a_malformed_load_report_does_no_harm() {
     let server = Server::start();
-    let node = Node::before(&[&server]);
+    let node = Node::with_servers(&[&server]);
     for load in ["", "inflight", "inflight=NaN,queue=1", "active=-1", "\u{e9}", "active=1,waiting=2"] {
         let mut client = node.client();
         client.send(&request("read", 20.0));
@@ -947,7 +950,7 @@
 }
 
 /// The request that came to one of two servers, and to which.
-fn either(servers: &[Server; 2]) -> (usize, Exchange) {
+fn request_at_either(servers: &[Server; 2]) -> (usize, Exchange) {
     let since = Instant::now();
     loop {
         for (at, server) in servers.iter().enumerate() {
@@ -968,16 +971,16 @@
 }
 
 /// Whether a request is served, rather than refused or its connection closed as it came.
-fn served_within_a_try(client: &mut Client, server: &Server) -> bool {
+fn is_served(client: &mut Client, server: &Server) -> bool {
     // It fails where the connection is closed already.
     let _ = client.stream.get_mut().write_all(request("update", 20.0).as_bytes());
-    let sent_on = sent_on_or_answered(client, server);
+    let sent_on = forwarded_or_answered(client, server);
     let served = sent_on.map(|exchange| exchange.answer(OK, "", b"")).is_some();
     served && client.answer().status() == 200
 }
 
 /// The request as it comes to the server; none where its client is answered, or its connection ended, without that.
-fn sent_on_or_answered(client: &Client, server: &Server) -> Option<Exchange> {
+fn forwarded_or_answered(client: &Client, server: &Server) -> Option<Exchange> {
     let stream = client.stream.get_ref();
     stream.set_nonblocking(true).expect("set");
     let answered = || match stream.peek(&mut [0; 1]) {
@@ -985,7 +988,7 @@
         Ok(_) => true,
     };
     let mut sent_on = None;
-    until("it is neither sent on nor answered", || {
+    wait_until("it is neither sent on nor answered", || {
         sent_on = server.poll();
         sent_on.is_some() || answered()
     });
@@ -993,7 +996,7 @@
     sent_on
 }
 
-fn ends_naming(key: &str, command: &mut std::process::Command) {
+fn exits_with_error_naming(key: &str, command: &mut std::process::Command) {
     let output = command.output().expect("started");
     let said = String::from_utf8_lossy(&output.stderr);
     assert!(!output.status.success(), "{key}");
--- a/crates/spurdrum/tests/node/affinity.rs
+++ b/crates/spurdrum/tests/node/affinity.rs
@@ -6,7 +6,7 @@
 use spurdrum_standin::registry::etcd::Etcd;
 
 use super::net::{own_address, request, Message, Node, Server};
-use super::registry::{key, until, value};
+use super::registry::{key, value, wait_for_health_text};
 
 /// A folder that no other test uses.
 fn folder(name: &str) -> PathBuf {
@@ -71,12 +71,12 @@
         format!("entries = 64\n[affinity.store]\npath = \"{}\"\nwrite_every_ms = 1\n", store.display());
     let start = || {
         let listen = own_address();
-        let node = Node::alone(listen, &file(listen, &registry, &more));
-        until(&node, "of the registry 6,");
+        let node = Node::start_from_file(listen, &file(listen, &registry, &more));
+        wait_for_health_text(&node, "of the registry 6,");
         node
     };
     let mut node = start();
-    until(&node, "store open");
+    wait_for_health_text(&node, "store open");
     let homes: Vec<usize> = (0..40).map(|n| inn(&node, &servers, n)).collect();
     assert!((0..40).all(|n| inn(&node, &servers, n) == homes[n]));
     node.terminate();
@@ -97,7 +97,7 @@
     });
     let node = start();
     // Those of the new process are restored or not, as the file or the list came first; they count in neither case.
-    let told = until(&node, "store open");
+    let told = wait_for_health_text(&node, "store open");
     let lost = homes.iter().filter(|home| **home == renewed).count();
     assert!((40 - lost..=40).any(|n| told.contains(&format!("restored {n}\n"))), "{told}");
     for (n, home) in homes.iter().enumerate() {
@@ -111,22 +111,22 @@
         keys.put(&key(&format!("s{drained}")), &value(servers[drained], "leaving"));
         keys.revision()
     });
-    until(&node, &format!("revision {revision};"));
+    wait_for_health_text(&node, &format!("revision {revision};"));
     assert!((0..40).all(|n| inn(&node, &servers, n) != drained));
     // Many more keys than there is room for, and a node that is killed.
     for n in 1_000..1_200 {
         inn(&node, &servers, n);
     }
-    let told = until(&node, "unwritten 0;");
+    let told = wait_for_health_text(&node, "unwritten 0;");
     let bound = told.split("affinity ").nth(1).and_then(|rest| rest.split(' ').next()).expect("told");
     assert!(bound.parse::<usize>().expect("a number") <= 64, "{told}");
     let homes: Vec<usize> = (0..40).map(|n| inn(&node, &servers, n)).collect();
-    until(&node, "unwritten 0;");
+    wait_for_health_text(&node, "unwritten 0;");
     node.signal("-KILL");
     drop(node);
     registry.with(|keys| keys.put(&key(&format!("s{drained}")), &value(servers[drained], "active")));
     let node = start();
-    until(&node, "store open");
+    wait_for_health_text(&node, "store open");
     let kept = (0..40).filter(|n| inn(&node, &servers, *n) == homes[*n]).count();
     assert!(kept >= 15, "of 64 places for 240 keys: {kept}");
     assert!(std::fs::metadata(&store).expect("there").len() < 8 << 20);
@@ -141,8 +141,8 @@
         registry.with(|keys| keys.put(&key(&format!("s{at}")), &value(servers[at], "active")));
     });
     let listen = own_address();
-    let node = Node::alone(listen, &file(listen, &registry, "answer = \"x-inn\"\n"));
-    until(&node, "of the registry 3,");
+    let node = Node::start_from_file(listen, &file(listen, &registry, "answer = \"x-inn\"\n"));
+    wait_for_health_text(&node, "of the registry 3,");
     let (mut homes, mut session) = (Vec::new(), 0);
     for _ in 0..9 {
         session += 1;
@@ -171,23 +171,23 @@
         format!("[affinity.store]\npath = \"{}\"\nwrite_every_ms = 1\nretry_most_ms = 200\n", path.display());
     let start = || {
         let listen = own_address();
-        let node = Node::alone(listen, &file(listen, &registry, &more));
-        until(&node, "of the registry 1,");
+        let node = Node::start_from_file(listen, &file(listen, &registry, &more));
+        wait_for_health_text(&node, "of the registry 1,");
         node
     };
     let mut old = start();
-    until(&old, "store open");
+    wait_for_health_text(&old, "store open");
     for n in 0..10 {
         inn(&old, &[&server], n);
     }
     let new = start();
-    until(&new, "another process has it open");
+    wait_for_health_text(&new, "another process has it open");
     for n in 5..15 {
         inn(&new, &[&server], n);
     }
     old.terminate();
     assert_eq!(old.wait().code(), Some(0));
     // What it has learned itself goes before what it reads: five of the ten are new to it.
-    let told = until(&new, "store open");
+    let told = wait_for_health_text(&new, "store open");
     assert!(told.contains("affinity 15 of") && told.contains("restored 5\n"), "{told}");
 }
--- a/crates/spurdrum/tests/node/alone.rs
+++ b/crates/spurdrum/tests/node/alone.rs
@@ -20,14 +20,14 @@
 fn a_fleet_needs_no_catalog() {
     let (one, other) = (Server::start(), Server::start());
     let listen = own_address();
-    let node = Node::alone(listen, &file(listen, &[&one]));
+    let node = Node::start_from_file(listen, &file(listen, &[&one]));
     let mut client = Client::connect(listen);
     client.send(&request("read", 20.0));
     one.request().answer("200 OK", "", b"one");
     assert_eq!(client.answer().body, b"one");
     // The list is the file's, as it is read again.
-    node.rewrite(&file(listen, &[&other]));
-    node.hang_up();
+    node.replace_config_file(&file(listen, &[&other]));
+    node.send_sighup();
     loop {
         client.send(&request("read", 20.0));
         // Until the signal has been heard, the old one is asked.
--- a/crates/spurdrum/tests/node/connections.rs
+++ b/crates/spurdrum/tests/node/connections.rs
@@ -385,7 +385,7 @@
         })
         .collect();
     let line = loop {
-        let line = node.logged();
+        let line = node.next_log_line();
         if line.contains("level") {
             break line;
         }
--- a/crates/spurdrum/tests/node/drains.rs
+++ b/crates/spurdrum/tests/node/drains.rs
@@ -9,7 +9,7 @@
 use super::*;
 
 /// A change counts as told so long after discovery had it.
-pub const TOLD_AFTER: Duration = Duration::from_secs(6);
+pub const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
 /// Sends to a server that drains may end so long after that: the grace of the settings and 50 ms for sockets.
 pub const GRACE: Duration = Duration::from_millis(300);
 
@@ -44,7 +44,7 @@
 }
 
 /// Sends requests to a node, one after the other, until it is told to end.
-pub fn client_of(node: usize, address: SocketAddr, ends: &Arc<AtomicBool>) -> thread::JoinHandle<usize> {
+pub fn spawn_client(node: usize, address: SocketAddr, ends: &Arc<AtomicBool>) -> thread::JoinHandle<usize> {
     let ends = Arc::clone(ends);
     thread::spawn(move || {
         let mut served = 0;
--- a/crates/spurdrum/tests/node/edges.rs
+++ b/crates/spurdrum/tests/node/edges.rs
@@ -62,7 +62,7 @@
     let members = [member("s0", own_address(), "active")];
     discovery.request().answer(OK, "", list(u64::from(u32::MAX), true, &members).to_string().as_bytes());
     let health = || Client::connect(address).ask("GET /_health HTTP/1.1\r\nhost: n\r\n\r\n").status();
-    until(case, || health() == 200);
+    wait_until(case, || health() == 200);
     child.kill().and_then(|()| child.wait()).expect("ended");
     true
 }
@@ -142,7 +142,7 @@
                 let mut client = node.client();
                 client.send(&request(class, 20.0));
                 // It is sent on, or answered without that.
-                if let Some(got) = sent_on_or_answered(&client, &server) {
+                if let Some(got) = forwarded_or_answered(&client, &server) {
                     assert!(got.request.header("x-request-id").is_some(), "{case}");
                     got.answer(OK, "", b"");
                 }
--- a/crates/spurdrum/tests/node/endings.rs
+++ b/crates/spurdrum/tests/node/endings.rs
@@ -24,7 +24,7 @@
     for (name, leave) in ways {
         for behind in [&next[..20], &next[..], &format!("{next}{}", "x".repeat(60_000))] {
             let server = Server::start();
-            let node = Node::before(&[&server]);
+            let node = Node::with_servers(&[&server]);
             let mut client = node.client();
             // What comes in one piece with the request is with hyper, and what comes later is not.
             client.send(&format!("{}{}", request("read", 3600.0), &behind[..10]));
@@ -42,7 +42,7 @@
 #[test]
 fn requests_that_come_ahead_of_an_answer_are_served_in_turn() {
     let server = Server::start();
-    let node = Node::before(&[&server]);
+    let node = Node::with_servers(&[&server]);
     let mut client = node.client();
     let ahead: Vec<String> = (0..200).map(|_| request("update", 20.0)).collect();
     let all = ahead.concat();
@@ -69,9 +69,9 @@
     let node = Node::start(&config);
     let mut client = node.client();
     client.send(&request("pay", 3600.0));
-    until("the node connects", || dials(address) == 1);
+    wait_until("the node connects", || pending_connects(address) == 1);
     drop(client);
-    until("the node gives the connection up", || dials(address) == 0);
+    wait_until("the node gives the connection up", || pending_connects(address) == 0);
 }
 
 /// What has begun goes on where the settings forbid to cancel, and its connection is used again.
@@ -93,7 +93,7 @@
     assert!(!got.has_ended(), "it was cancelled");
     got.answer(OK, "", b"");
     // Its connection came last to rest, so it is the next one's.
-    until("both are kept", || {
+    wait_until("both are kept", || {
         next.send(&request("pay", 60.0));
         let got = server.request();
         let connection = got.connection;
@@ -113,7 +113,7 @@
     config["discovery"] = json!(discovery.address.to_string());
     let mut node = Node::start(&config);
     connections::answer_all(discovery, list(1, false, &[]).to_string().into_bytes());
-    while !node.logged().contains("-> fresh") {}
+    while !node.next_log_line().contains("-> fresh") {}
     for behind in [0, 100_000] {
         let before = node.descriptors();
         let mut client = node.client();
@@ -126,7 +126,7 @@
         assert_eq!((answer.status(), &answer.body[..]), (200, &b"the last"[..]));
         assert_eq!(client.stream.read(&mut [0; 1]).ok(), Some(0), "more came");
         // One more than before stays: the connection to the server.
-        until("the node closes it", || node.descriptors() <= before + 1);
+        wait_until("the node closes it", || node.descriptors() <= before + 1);
         let error = client.stream.get_ref().take_error().expect("asked");
         assert!(error.is_none(), "{behind} bytes behind it: {error:?}");
     }
@@ -138,7 +138,7 @@
 #[test]
 fn what_is_owed_an_answer_has_one_before_the_process_ends() {
     let server = Server::start();
-    let mut node = Node::before(&[&server]);
+    let mut node = Node::with_servers(&[&server]);
     let mut client = node.client();
     client.send(&request("pay", 600.0));
     let mut got = server.request();
@@ -197,7 +197,7 @@
             let ahead = if n % 3 == 2 { &behind[..30] } else { "" };
             client.send(&format!("{}{ahead}", request(["pay", "update", "read"][n % 3], 3600.0)));
         }
-        until("all are dialled", || dials(address) == clients.len());
+        wait_until("all are dialled", || pending_connects(address) == clients.len());
         for (n, client) in clients.into_iter().enumerate() {
             if n % 3 == 1 {
                 reset(client)
@@ -205,7 +205,7 @@
                 drop(client)
             }
         }
-        until("all are given up", || dials(address) == 0);
+        wait_until("all are given up", || pending_connects(address) == 0);
         drop(slow.accept().expect("the filler"));
         drop(filler);
         // Whoever asks now is the first that the server hears of: what came before it would show.
@@ -229,7 +229,7 @@
     let server = Server::start();
     let mut config = config(&[]);
     config["limits"]["sockets"] = json!(64);
-    let nodes: Vec<Node> = (0..12).map(|_| Node::start_ready(&config)).collect();
+    let nodes: Vec<Node> = (0..12).map(|_| Node::start_without_discovery(&config)).collect();
     for node in &nodes {
         let silent = node.discovery.request();
         // All ask once and rest; those that find no place are closed, or refused.
@@ -246,8 +246,8 @@
         // The next call shows that the list has been applied.
         let _next = node.discovery.request();
         let mut client = node.client();
-        until("it is served", || {
-            if served_within_a_try(&mut client, &server) {
+        wait_until("it is served", || {
+            if is_served(&mut client, &server) {
                 return true;
             }
             client = node.client();
@@ -264,7 +264,7 @@
     (0..rests).find_map(|_| {
         let mut client = node.client();
         assert_eq!(client.ask("GET /_health HTTP/1.1\r\nhost: n\r\n\r\n").status(), 200);
-        sent_on_or_answered(&client, &node.discovery)
+        forwarded_or_answered(&client, &node.discovery)
     })
 }
 
@@ -272,7 +272,8 @@
 /// for resting clients tells the time: one is over after 5 s, where a pause is 3.5 s at most; two where a call is silent first.
 #[test]
 fn calls_that_tell_nothing_are_followed_by_others_however_long_the_pauses_of_the_settings() {
-    let node = Node::start_ready_with(&config(&[]), "retry_least_ms = 60000\nretry_most_ms = 60000\n");
+    let node =
+        Node::start_without_discovery_with(&config(&[]), "retry_least_ms = 60000\nretry_most_ms = 60000\n");
     let mut call = node.discovery.request();
     for turn in 0..3 {
         call.answer("503 Down", "", b"");
@@ -361,12 +362,12 @@
 /// Clients that ask until the request of the last one waits for a connection to the far server.
 fn clients_until_one_is_sent_far(node: &Node, far: SocketAddr, near: &Server) -> Vec<Client> {
     let mut clients = Vec::new();
-    while dials(far) == 0 {
+    while pending_connects(far) == 0 {
         let mut client = node.client();
         client.send(&request("update", 60.0));
         clients.push(client);
         let sent_near = || near.poll().map(|got| got.answer(OK, "", b"x")).is_some();
-        until("it is sent to neither", || sent_near() || dials(far) > 0);
+        wait_until("it is sent to neither", || sent_near() || pending_connects(far) > 0);
     }
     clients
 }
--- a/crates/spurdrum/tests/node/incoming.rs
+++ b/crates/spurdrum/tests/node/incoming.rs
@@ -10,7 +10,7 @@
 use rustix::net::{recvmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags};
 use spurdrum_handover::{Frames, Identity, Message, FORMAT};
 
-use super::net::{own_directory, LONG};
+use super::net::{node_directory, LONG};
 
 /// The incoming end of a handover.
 pub struct Incoming {
@@ -23,7 +23,7 @@
     /// Calls the process that serves this address, and takes its listening socket. Nothing is confirmed yet.
     pub fn offered(address: SocketAddr) -> (Self, TcpListener) {
         let name = format!("spurdrum-{}.sock", address.to_string().replace(':', "-"));
-        let stream = UnixStream::connect(own_directory(address).join(name)).expect("it can be called");
+        let stream = UnixStream::connect(node_directory(address).join(name)).expect("it can be called");
         stream.set_read_timeout(Some(LONG)).expect("set");
         let mut incoming = Self { stream, frames: Frames::default(), descriptors: VecDeque::new() };
         incoming.say(&Message::Hello(Identity {
--- a/crates/spurdrum/tests/node/outgoing.rs
+++ b/crates/spurdrum/tests/node/outgoing.rs
@@ -12,12 +12,12 @@
 use socket2::{Domain, Socket, Type};
 use spurdrum_handover::{Frames, Message};
 
-use super::net::{own_directory, until, LONG};
+use super::net::{node_directory, wait_until, LONG};
 
 /// Where the process that serves this address is called.
 fn path(address: SocketAddr) -> PathBuf {
     let name = format!("spurdrum-{}.sock", address.to_string().replace(':', "-"));
-    own_directory(address).join(name)
+    node_directory(address).join(name)
 }
 
 /// How many have called the process that serves this address and are not accepted yet: the kernel shows them as 02, under the name
@@ -55,7 +55,7 @@
     /// The next call, and its first word.
     pub fn called(&self) -> Call {
         let mut stream = None;
-        until("nobody calls", || {
+        wait_until("nobody calls", || {
             stream = self.calls.accept().ok();
             stream.is_some()
         });
--- a/crates/spurdrum/tests/node/pauses.rs
+++ b/crates/spurdrum/tests/node/pauses.rs
@@ -5,19 +5,19 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-use super::ops::{figures, operated};
+use super::ops::{config_with_admin, metrics};
 use super::*;
 
 /// Requests that are served before a pause, so that what the node knows of its servers counts.
 const WARM: usize = 24;
 
 /// Stops the node for so long; what others do `meanwhile` is a part of that. Returns once it has been told to go on.
-fn stand_still(node: &Node, pause: Duration, meanwhile: impl FnOnce()) {
-    node.stand_still();
+fn pause_node(node: &Node, pause: Duration, meanwhile: impl FnOnce()) {
+    node.pause();
     let since = Instant::now();
     meanwhile();
     thread::sleep(pause.saturating_sub(since.elapsed()));
-    node.go_on();
+    node.resume();
 }
 
 /// Serves requests of all classes one after the other.
@@ -33,7 +33,7 @@
 /// The next request, whichever server gets it.
 fn any(servers: &[Server]) -> Exchange {
     let mut next = None;
-    until("no request comes", || {
+    wait_until("no request comes", || {
         next = servers.iter().find_map(Server::poll);
         next.is_some()
     });
@@ -65,12 +65,12 @@
 /// slowness of its servers, and refusals before a server that is idle.
 fn answered_during_a_pause(class: &str) {
     let server = Server::start();
-    let node = Node::before(&[&server]);
+    let node = Node::with_servers(&[&server]);
     warm_up(&node, std::slice::from_ref(&server));
     let mut clients: Vec<_> = (0..6).map(|_| node.client()).collect();
     clients.iter_mut().for_each(|client| client.send(&request(class, 20.0)));
     let out: Vec<_> = clients.iter().map(|_| server.request()).collect();
-    stand_still(&node, Duration::from_millis(1_200), || {
+    pause_node(&node, Duration::from_millis(1_200), || {
         out.into_iter().for_each(|got| got.answer(OK, "", b"x"));
     });
     clients.iter_mut().for_each(|client| assert_eq!(client.answer().status(), 200));
@@ -104,19 +104,19 @@
 /// work that is done twice, and servers that are taken out for it.
 fn not_sent_again_after_a_pause(length: usize) {
     let servers = [Server::start(), Server::start()];
-    let (config, ops) = operated(&[&servers[0], &servers[1]]);
+    let (config, ops) = config_with_admin(&[&servers[0], &servers[1]]);
     let node = Node::start(&config);
     warm_up(&node, &servers);
     let mut clients: Vec<_> = (0..8).map(|_| node.client()).collect();
     clients.iter_mut().for_each(|client| client.send(&request("read", 20.0)));
     let out: Vec<_> = clients.iter().map(|_| any(&servers)).collect();
-    stand_still(&node, Duration::from_millis(1_600), || {
+    pause_node(&node, Duration::from_millis(1_600), || {
         out.into_iter().for_each(|got| got.answer_if_wanted(&vec![b'x'; length]));
     });
     // One that is sent again is there by now.
     thread::sleep(Duration::from_millis(300));
     let again = servers.iter().map(|server| std::iter::from_fn(|| server.poll()).count()).sum::<usize>();
-    assert_eq!((again, &figures(ops)["hosts_down"]), (0, &json!(0)), "sent again, and servers taken out");
+    assert_eq!((again, &metrics(ops)["hosts_down"]), (0, &json!(0)), "sent again, and servers taken out");
     for client in &mut clients {
         let answer = client.answer();
         assert_eq!((answer.status(), answer.body.len()), (200, length));
@@ -153,7 +153,7 @@
 fn short_aims_hold_in_a_pause(pause: u64) -> bool {
     const AIM_MS: u64 = 200;
     let servers = [Server::start(), Server::start()];
-    let (mut config, ops) = operated(&[&servers[0], &servers[1]]);
+    let (mut config, ops) = config_with_admin(&[&servers[0], &servers[1]]);
     for class in config["settings"]["classes"].as_array_mut().expect("a list") {
         class["promise_ms"] = json!(AIM_MS);
     }
@@ -175,7 +175,7 @@
         got.answer_if_wanted(b"x");
     };
     let mut in_time = false;
-    stand_still(&node, Duration::from_millis(pause), || {
+    pause_node(&node, Duration::from_millis(pause), || {
         in_time = sent.elapsed() < Duration::from_millis(AIM_MS / 2);
         answer(first);
         std::iter::from_fn(|| servers.iter().find_map(Server::poll)).for_each(&mut answer);
@@ -184,7 +184,7 @@
     thread::sleep(Duration::from_millis(200));
     std::iter::from_fn(|| servers.iter().find_map(Server::poll)).for_each(&mut answer);
     if in_time {
-        assert_eq!((again, &figures(ops)["hosts_down"]), (0, &json!(0)), "after {pause} ms");
+        assert_eq!((again, &metrics(ops)["hosts_down"]), (0, &json!(0)), "after {pause} ms");
     }
     in_time
 }
@@ -194,21 +194,21 @@
 fn what_discovery_told_during_a_pause_counts_before_requests_that_came_in_it() {
     for _ in 0..4 {
         let servers = [Server::start(), Server::start()];
-        let node = Node::before(&[&servers[0], &servers[1]]);
+        let node = Node::with_servers(&[&servers[0], &servers[1]]);
         let watch = node.discovery.request();
         let mut clients: Vec<_> = (0..8).map(|_| node.client()).collect();
         for client in &mut clients {
             client.send(&request("update", 20.0));
-            either(&servers).1.answer(OK, "", b"");
+            request_at_either(&servers).1.answer(OK, "", b"");
             assert_eq!(client.answer().status(), 200);
         }
-        stand_still(&node, Duration::from_millis(500), || {
+        pause_node(&node, Duration::from_millis(500), || {
             clients.iter_mut().for_each(|client| client.send(&request("update", 20.0)));
             let news = list(2, false, &[member("s0", servers[0].address, "leaving")]);
             watch.answer(OK, "", news.to_string().as_bytes());
         });
         for _ in &clients {
-            let (at, exchange) = either(&servers);
+            let (at, exchange) = request_at_either(&servers);
             assert_eq!(at, 1, "it went to the server that leaves");
             exchange.answer(OK, "", b"");
         }
@@ -236,7 +236,7 @@
     stream.write_all(&body[..LENGTH / 2]).expect("half");
     thread::sleep(Duration::from_secs(4));
     let mut writing = None;
-    stand_still(&node, Duration::from_secs(2), || {
+    pause_node(&node, Duration::from_secs(2), || {
         writing = Some(thread::spawn(move || stream.write_all(&body[LENGTH / 2..])));
     });
     let answer = reading.join().expect("a whole answer");
@@ -253,9 +253,9 @@
     let node = Node::start(&config);
     let mut client = node.client();
     client.send(&request("pay", 20.0));
-    until("the node does not connect", || dials(address) > 0);
+    wait_until("the node does not connect", || pending_connects(address) > 0);
     // The system tries again a second after its first try.
-    stand_still(&node, Duration::from_millis(1_500), || {
+    pause_node(&node, Duration::from_millis(1_500), || {
         drop(slow.accept().expect("the filler"));
         drop(filler);
     });
@@ -273,7 +273,7 @@
 #[test]
 fn a_node_that_stands_still_under_load_refuses_nothing_and_breaks_no_connection() {
     let server = Server::start();
-    let node = Node::before(&[&server]);
+    let node = Node::with_servers(&[&server]);
     let over = Arc::new(AtomicBool::new(false));
     let serving = answering(server, &over);
     let (done, failures) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(Vec::new())));
@@ -300,7 +300,7 @@
         })
         .collect();
     for pause in [600, 1_200, 900, 1_800] {
-        stand_still(&node, Duration::from_millis(pause), || {});
+        pause_node(&node, Duration::from_millis(pause), || {});
         thread::sleep(Duration::from_millis(300));
     }
     done.store(true, Ordering::Relaxed);
@@ -317,7 +317,7 @@
     const LENGTH: usize = 24 << 20;
     for reads_meanwhile in [true, false] {
         let server = Server::start();
-        let node = Node::before(&[&server]);
+        let node = Node::with_servers(&[&server]);
         let mut client = node.client();
         client.send(&request("read", 20.0));
         let got = server.request();
@@ -325,7 +325,7 @@
         // The client reads nothing until the buffers are full and the node stops.
         thread::sleep(Duration::from_millis(300));
         let mut came = Vec::new();
-        stand_still(&node, Duration::from_millis(1_200), || {
+        pause_node(&node, Duration::from_millis(1_200), || {
             if reads_meanwhile {
                 client.stream.get_ref().set_read_timeout(Some(Duration::from_millis(200))).expect("set");
                 client.stream.read_to_end(&mut came).expect_err("the buffers hold a part");
@@ -346,7 +346,7 @@
     const ANSWERS: usize = 700;
     const LENGTH: usize = 8 << 10;
     let server = Server::start();
-    let node = Node::before(&[&server]);
+    let node = Node::with_servers(&[&server]);
     let mut client = node.client();
     let ask: String = (0..ANSWERS).map(|_| request("read", 20.0)).collect();
     let mut sending = client.stream.get_ref().try_clone().expect("cloned");
@@ -367,7 +367,7 @@
         }
     }
     let mut came = Vec::new();
-    stand_still(&node, Duration::from_millis(1_750), || {
+    pause_node(&node, Duration::from_millis(1_750), || {
         client.stream.get_ref().set_read_timeout(Some(Duration::from_millis(200))).expect("set");
         client.stream.read_to_end(&mut came).expect_err("the buffers hold a part");
         client.stream.get_ref().set_read_timeout(Some(LONG)).expect("set");
@@ -397,7 +397,7 @@
 /// for slowness of its clients.
 fn rest_comes_during_a_pause(part: impl Fn(usize) -> usize) {
     let server = Server::start();
-    let node = Node::before(&[&server]);
+    let node = Node::with_servers(&[&server]);
     let half_sent = |_| {
         let (mut client, whole) = (node.client(), request("update", 20.0));
         let head = whole.find("\r\n\r\n").expect("a head") + 4;
@@ -408,7 +408,7 @@
     let mut clients: Vec<_> = (0..8).map(half_sent).collect();
     // The node has read that by then.
     thread::sleep(Duration::from_millis(100));
-    stand_still(&node, Duration::from_millis(3_000), || {
+    pause_node(&node, Duration::from_millis(3_000), || {
         clients.iter_mut().for_each(|(client, rest)| client.send(rest));
     });
     let over = Arc::new(AtomicBool::new(false));
--- a/crates/spurdrum/tests/node/registry.rs
+++ b/crates/spurdrum/tests/node/registry.rs
@@ -25,7 +25,7 @@
 }
 
 /// What health tells, once it tells this.
-pub fn until(node: &Node, told: &str) -> String {
+pub fn wait_for_health_text(node: &Node, told: &str) -> String {
     loop {
         let answer = node.client().ask("GET /_health HTTP/1.1\r\nhost: n\r\n\r\n");
         let text = String::from_utf8_lossy(&answer.body).into_owned();
@@ -50,15 +50,15 @@
     let (one, other) = (Server::start(), Server::start());
     registry.with(|keys| keys.put(&key("one"), &value(&one, "active")));
     let listen = own_address();
-    let node = Node::alone(listen, &file(listen, &registry, ""));
-    until(&node, "of the registry 1,");
+    let node = Node::start_from_file(listen, &file(listen, &registry, ""));
+    wait_for_health_text(&node, "of the registry 1,");
     goes_to(&node, &one);
     // What is leaving gets nothing new from the moment on that the node shows the change.
     let revision = registry.with(|keys| {
         keys.put(&key("other"), &value(&other, "active"));
         keys.put(&key("one"), &value(&one, "leaving"))
     });
-    until(&node, &format!("revision {revision};"));
+    wait_for_health_text(&node, &format!("revision {revision};"));
     (0..20).for_each(|_| goes_to(&node, &other));
     // It is gone, back and known by its start, while the node is cut off and history is forgotten.
     for endpoint in 0..2 {
@@ -74,8 +74,8 @@
         registry.break_streams(endpoint);
         registry.pause(endpoint, false);
     }
-    until(&node, "compactions 1");
-    until(&node, "of the registry 1,");
+    wait_for_health_text(&node, "compactions 1");
+    wait_for_health_text(&node, "of the registry 1,");
     (0..20).for_each(|_| goes_to(&node, &one));
 }
 
@@ -88,20 +88,20 @@
         keys.put(&key("other"), &value(&other, "asleep"));
     });
     let listen = own_address();
-    let mut node = Node::alone(listen, &file(listen, &registry, "value_bytes = 200\n"));
-    until(&node, "of the registry 1,");
+    let mut node = Node::start_from_file(listen, &file(listen, &registry, "value_bytes = 200\n"));
+    wait_for_health_text(&node, "of the registry 1,");
     (0..5).for_each(|_| goes_to(&node, &one));
     let revision = registry.with(|keys| {
         keys.put(&key("other"), &value(&other, "active"));
         keys.put(&key("one"), &"x".repeat(1 << 20))
     });
-    until(&node, &format!("revision {revision};"));
+    wait_for_health_text(&node, &format!("revision {revision};"));
     (0..20).for_each(|_| goes_to(&node, &other));
     let mut faults = Vec::new();
     node.terminate();
     assert_eq!(node.wait().code(), Some(0));
     loop {
-        let line = node.logged();
+        let line = node.next_log_line();
         if line.is_empty() {
             break;
         }
@@ -123,18 +123,18 @@
         }
     });
     let listen = own_address();
-    let node = Node::alone(listen, &file(listen, &registry, ""));
-    until(&node, "of the registry 5,");
+    let node = Node::start_from_file(listen, &file(listen, &registry, ""));
+    wait_for_health_text(&node, "of the registry 5,");
     let emptied: Vec<_> = (0..5).map(|n| (key(&n.to_string()).into_bytes(), None, 0)).collect();
     registry.with(|keys| keys.commit(&emptied));
-    until(&node, "kept in doubt 5");
+    wait_for_health_text(&node, "kept in doubt 5");
     let revision = registry.with(|keys| {
         for (n, server) in servers.iter().enumerate().skip(1) {
             keys.put(&key(&n.to_string()), &value(server, "leaving"));
         }
         keys.revision()
     });
-    until(&node, &format!("revision {revision};"));
+    wait_for_health_text(&node, &format!("revision {revision};"));
     (0..10).for_each(|_| goes_to(&node, &servers[0]));
 }
 
@@ -145,7 +145,7 @@
     registry.with(|keys| keys.put(&key("one"), &value(&server, "active")));
     let listen = own_address();
     let more = "[sources.registry.register]\nkey = \"/nodes/n0\"\nttl_ms = 2000\ndrain_ms = 300\n";
-    let mut node = Node::alone(listen, &file(listen, &registry, more));
+    let mut node = Node::start_from_file(listen, &file(listen, &registry, more));
     let phase = || {
         let state = registry.with(|keys| keys.state(keys.revision()));
         let value =
@@ -166,7 +166,7 @@
         registry.with(|keys| keys.revoke(lease));
     }
     stands(Some(false));
-    until(&node, "of the registry 1,");
+    wait_for_health_text(&node, "of the registry 1,");
     node.terminate();
     stands(Some(true));
     // It still serves while others hear of it.
--- a/crates/spurdrum/tests/node/replace.rs
+++ b/crates/spurdrum/tests/node/replace.rs
@@ -1,7 +1,7 @@
 //! One process takes over from another.
 
 use super::incoming::Incoming;
-use super::ops::{call, figures, operated, until};
+use super::ops::{admin_call, config_with_admin, metrics, wait_until};
 use super::*;
 
 struct Pair {
@@ -15,18 +15,18 @@
 /// A node before one server, and a second process of it that is ready.
 fn pair(before: impl FnOnce(&Node)) -> Pair {
     let server = Server::start();
-    let (config, _) = operated(&[&server]);
+    let (config, _) = config_with_admin(&[&server]);
     let old = Node::start(&config);
     before(&old);
     let ops = own_address();
-    let new = old.beside(&config, ops);
+    let new = old.start_second_process(&config, ops);
     ready(ops);
     Pair { server, old, new, ops }
 }
 
 /// Waits until a process says yes.
 fn ready(ops: SocketAddr) {
-    until(|| TcpStream::connect(ops).is_ok() && call(ops, "readyz").starts_with("YES"));
+    wait_until(|| TcpStream::connect(ops).is_ok() && admin_call(ops, "readyz").starts_with("YES"));
 }
 
 fn serve(server: &Server, client: &mut Client) {
@@ -51,7 +51,7 @@
         serve(&server, client);
     }
     serve(&server, &mut new.client());
-    until(|| figures(ops)["calls"]["update"]["success"].as_u64() >= Some(5));
+    wait_until(|| metrics(ops)["calls"]["update"]["success"].as_u64() >= Some(5));
 }
 
 #[test]
@@ -64,8 +64,8 @@
     let open = server.request();
     old.terminate();
     // Others are served meanwhile, by the new one alone: the old one accepts no more.
-    until(|| {
-        figures(ops)["calls"]["update"]["success"].as_u64() >= Some(3) || {
+    wait_until(|| {
+        metrics(ops)["calls"]["update"]["success"].as_u64() >= Some(3) || {
             serve(&server, &mut new.client());
             false
         }
@@ -101,7 +101,7 @@
         serve(&server, &mut old.client());
     }
     let (config, ops) = (config(&members(&[&server])), own_address());
-    let next = old.beside(&config, ops);
+    let next = old.start_second_process(&config, ops);
     ready(ops);
     old.terminate();
     assert!(old.wait().success());
@@ -121,25 +121,25 @@
 #[test]
 fn the_new_process_knows_what_the_old_one_was_told_and_has_learned() {
     let servers = [Server::start(), Server::start()];
-    let (mut config, ops) = operated(&[&servers[0], &servers[1]]);
+    let (mut config, ops) = config_with_admin(&[&servers[0], &servers[1]]);
     let dead = own_address();
     config["known"]["members"].as_array_mut().expect("a list").push(member("dead", dead, "active"));
     let old = Node::start(&config);
     let mut client = old.client();
-    until(|| {
+    wait_until(|| {
         client.send(&request("read", 20.0));
-        either(&servers).1.answer(OK, "", b"x");
+        request_at_either(&servers).1.answer(OK, "", b"x");
         assert_eq!(client.answer().status(), 200);
-        figures(ops)["hosts_down"] == 1
+        metrics(ops)["hosts_down"] == 1
     });
     // The first server leaves.
     let told = list(9, false, &[member("s0", servers[0].address, "left")]);
     old.discovery.request().answer(OK, "", told.to_string().as_bytes());
-    until(|| figures(ops)["hosts_listed"] == 2);
+    wait_until(|| metrics(ops)["hosts_listed"] == 2);
     let next = own_address();
-    let new = old.beside(&config, next);
+    let new = old.start_second_process(&config, next);
     ready(next);
-    let shown = figures(next);
+    let shown = metrics(next);
     assert_eq!((&shown["hosts_listed"], &shown["hosts_down"]), (&json!(2), &json!(1)), "{shown}");
     assert!(new.discovery.request().request.first.contains("since=9&"), "it goes on from that version");
     drop(old);
@@ -156,34 +156,34 @@
 #[test]
 fn a_process_that_replaces_one_that_is_still_starting_waits_for_discovery_too() {
     let servers = [Server::start(), Server::start()];
-    let (config, ops) = operated(&[&servers[0], &servers[1]]);
+    let (config, ops) = config_with_admin(&[&servers[0], &servers[1]]);
     let long_start = Some("[sources.catalog]\nready_within_ms = 60000\n");
     let old = Node::start_unconfirmed(&config, long_start);
     let next = own_address();
-    let mut new = old.beside_with(&config, next, long_start);
+    let mut new = old.start_second_process_with(&config, next, long_start);
     let first = new.discovery.request();
     for ops in [ops, next] {
-        let answer = call(ops, "readyz");
+        let answer = admin_call(ops, "readyz");
         assert!(answer.starts_with("NO starting"), "{answer}");
     }
     let removal = list(9, false, &[member("s0", servers[0].address, "left")]);
     first.answer(OK, "", removal.to_string().as_bytes());
-    assert!(new.logged_with("the start: ").contains("discovery has confirmed the list"));
+    assert!(new.log_line_containing("the start: ").contains("discovery has confirmed the list"));
     ready(next);
 }
 
 #[test]
 fn a_directory_or_socket_that_is_no_use_only_costs_the_passing_on() {
     let server = Server::start();
-    let (config, _) = operated(&[&server]);
+    let (config, _) = config_with_admin(&[&server]);
     let old = Node::start(&config);
     // Somebody has taken the file away, and put something else there.
-    for entry in std::fs::read_dir(own_directory(old.address)).expect("read") {
+    for entry in std::fs::read_dir(node_directory(old.address)).expect("read") {
         let path = entry.expect("read").path();
         std::fs::remove_file(&path).and_then(|()| std::fs::write(&path, "not a socket")).expect("replaced");
     }
     let ops = own_address();
-    let mut new = old.beside(&config, ops);
+    let mut new = old.start_second_process(&config, ops);
     ready(ops);
     for _ in 0..4 {
         serve(&server, &mut new.client());
@@ -197,7 +197,7 @@
 #[test]
 fn replaced_over_and_over_under_load_no_request_is_lost_or_run_twice() {
     let server = Server::start();
-    let (config, _) = operated(&[&server]);
+    let (config, _) = config_with_admin(&[&server]);
     let mut node = Node::start(&config);
     let (address, stop) = (node.address, std::sync::Arc::new(std::sync::atomic::AtomicBool::new(false)));
     let done = |stop: &std::sync::atomic::AtomicBool| stop.load(std::sync::atomic::Ordering::Relaxed);
@@ -241,13 +241,13 @@
     });
     for _ in 0..4 {
         let ops = own_address();
-        let next = node.beside(&config, ops);
+        let next = node.start_second_process(&config, ops);
         ready(ops);
         let before = *over.lock().expect("counted");
         node.terminate();
         assert!(node.wait().success());
         node = next;
-        until(|| *over.lock().expect("counted") > before + 50);
+        wait_until(|| *over.lock().expect("counted") > before + 50);
     }
     stop.store(true, std::sync::atomic::Ordering::Relaxed);
     let served: usize = clients.into_iter().map(|client| client.join().expect("each is answered 200")).sum();
@@ -270,7 +270,7 @@
 #[test]
 fn a_confirmation_that_is_read_after_the_signal_hands_over_all_the_same() {
     let server = Server::start();
-    let (config, _) = operated(&[&server]);
+    let (config, _) = config_with_admin(&[&server]);
     let mut old = Node::start(&config);
     let (mut resting, mut asking) = (old.client(), old.client());
     serve(&server, &mut resting);
@@ -297,7 +297,7 @@
     next.send(&request("update", 20.0));
     // The socket is shared, and so is that it does not block.
     let mut accepted = None;
-    until(|| {
+    wait_until(|| {
         accepted = listener.accept().ok();
         accepted.is_some()
     });
@@ -311,17 +311,17 @@
 #[test]
 fn requests_that_are_half_sent_at_the_handover_reach_their_servers() {
     let server = Server::start();
-    let (config, _) = operated(&[&server]);
+    let (config, _) = config_with_admin(&[&server]);
     let mut old = Node::start(&config);
     let mut clients: Vec<_> = (0..16).map(|_| (old.client(), request("pay", 20.0))).collect();
     for (client, whole) in &mut clients {
         client.send(&whole[..20]);
     }
     let ops = own_address();
-    let _new = old.beside(&config, ops);
+    let _new = old.start_second_process(&config, ops);
     ready(ops);
     old.terminate();
-    assert!(old.logged_with("the end: ").contains("handed over"));
+    assert!(old.log_line_containing("the end: ").contains("handed over"));
     for (client, whole) in &mut clients {
         client.send(&whole[20..]);
     }
@@ -339,14 +339,14 @@
 #[test]
 fn a_process_whose_successor_never_confirms_ends_by_itself() {
     let server = Server::start();
-    let (config, _) = operated(&[&server]);
+    let (config, _) = config_with_admin(&[&server]);
     let mut old = Node::start(&config);
     let mut client = old.client();
     client.send(&request("pay", 20.0));
     let open = server.request();
     let (_incoming, _listener) = Incoming::offered(old.address);
     old.terminate();
-    assert!(old.logged_with("the end: ").contains("no other process takes over"));
+    assert!(old.log_line_containing("the end: ").contains("no other process takes over"));
     serve(&server, &mut old.client());
     open.answer(OK, "", b"late");
     let answer = client.answer();
@@ -363,15 +363,15 @@
     client.send(&request("pay", 20.0));
     let open = server.request();
     old.terminate();
-    assert!(old.logged_with("the end: ").contains("handed over"));
+    assert!(old.log_line_containing("the end: ").contains("handed over"));
     let (config, last_ops) = (config(&members(&[&server])), own_address());
-    let last = middle.beside(&config, last_ops);
+    let last = middle.start_second_process(&config, last_ops);
     ready(last_ops);
     middle.terminate();
-    assert!(middle.logged_with("the end: ").contains("handed over"));
+    assert!(middle.log_line_containing("the end: ").contains("handed over"));
     let since = Instant::now();
     while since.elapsed() < Duration::from_millis(100) {
-        assert_eq!(call(ops, "readyz"), "NO ending\n");
+        assert_eq!(admin_call(ops, "readyz"), "NO ending\n");
     }
     open.answer(OK, "", b"late");
     assert_eq!(client.answer().status(), 200);
@@ -385,7 +385,7 @@
 #[test]
 fn a_process_that_hands_over_gives_what_still_waits_its_last_answer() {
     let server = Server::start();
-    let (mut config, _) = operated(&[&server]);
+    let (mut config, _) = config_with_admin(&[&server]);
     for class in config["settings"]["classes"].as_array_mut().expect("a list") {
         class["deadline_ms"] = json!(300.0);
     }
@@ -394,7 +394,7 @@
     client.send(&request("pay", 20.0));
     let _unanswered = server.request();
     let ops = own_address();
-    let _new = old.beside(&config, ops);
+    let _new = old.start_second_process(&config, ops);
     ready(ops);
     old.terminate();
     assert_eq!(client.answer().status(), 504);
@@ -411,17 +411,17 @@
     let old = Node::start(config);
     let mut client = old.client();
     client.send(&request("pay", 20.0));
-    until(|| dials(address) > 0);
+    wait_until(|| pending_connects(address) > 0);
     (old, client, slow, filler)
 }
 
 /// Guards against a last answer that promises nothing where no server has been sent the request.
 #[test]
 fn what_no_server_has_been_sent_as_a_process_ends_is_served_by_the_new_one() {
-    let (server, (mut old_config, _)) = (Server::start(), operated(&[]));
+    let (server, (mut old_config, _)) = (Server::start(), config_with_admin(&[]));
     let (mut old, mut client, _slow, _filler) = unsent(&mut old_config);
     let ops = own_address();
-    let new = old.beside(&old_config, ops);
+    let new = old.start_second_process(&old_config, ops);
     // The new process is told of another server.
     let told = list(9, true, &[member("s0", server.address, "active")]);
     new.discovery.request().answer(OK, "", told.to_string().as_bytes());
@@ -439,7 +439,7 @@
 /// The same where no other process is there: trying again is harmless.
 #[test]
 fn what_no_server_has_been_sent_as_a_process_ends_is_refused_where_no_other_takes_over() {
-    let (mut config, _) = operated(&[]);
+    let (mut config, _) = config_with_admin(&[]);
     let (mut old, mut client, _slow, _filler) = unsent(&mut config);
     old.terminate();
     assert_eq!(client.answer().status(), 503);
@@ -467,15 +467,15 @@
 #[test]
 fn a_process_that_starts_when_the_old_one_is_ending_starts_alone() {
     let server = Server::start();
-    let (config, old_ops) = operated(&[&server]);
+    let (config, old_ops) = config_with_admin(&[&server]);
     let mut old = Node::start(&config);
     let mut client = old.client();
     client.send(&request("pay", 20.0));
     let open = server.request();
     old.terminate();
-    until(|| call(old_ops, "readyz") == "NO ending\n");
+    wait_until(|| admin_call(old_ops, "readyz") == "NO ending\n");
     let ops = own_address();
-    let new = old.beside(&config, ops);
+    let new = old.start_second_process(&config, ops);
     ready(ops);
     open.answer(OK, "", b"late");
     assert_eq!(client.answer().status(), 200);
@@ -486,12 +486,12 @@
 #[test]
 fn of_several_that_start_at_once_each_serves() {
     let server = Server::start();
-    let (config, _) = operated(&[&server]);
+    let (config, _) = config_with_admin(&[&server]);
     let mut old = Node::start(&config);
     let starts: Vec<(Node, SocketAddr)> = (0..3)
         .map(|_| {
             let ops = own_address();
-            (old.beside(&config, ops), ops)
+            (old.start_second_process(&config, ops), ops)
         })
         .collect();
     starts.iter().for_each(|(_, ops)| ready(*ops));
@@ -506,22 +506,22 @@
 #[test]
 fn new_settings_and_a_drain_in_the_middle_hold_for_both() {
     let servers = [Server::start(), Server::start()];
-    let (mut config, old_ops) = operated(&[&servers[0], &servers[1]]);
+    let (mut config, old_ops) = config_with_admin(&[&servers[0], &servers[1]]);
     let mut old = Node::start(&config);
     let ops = own_address();
-    let new = old.beside(&config, ops);
+    let new = old.start_second_process(&config, ops);
     ready(ops);
     let mut fresh = config["settings"]["classes"][0].clone();
     fresh["name"] = json!("look");
     config["settings"]["classes"].as_array_mut().expect("a list").push(fresh);
     old.reload(&config.to_string());
-    new.hang_up();
-    until(|| figures(old_ops)["reconfig_ok"] == 1 && figures(ops)["reconfig_ok"] == 1);
+    new.send_sighup();
+    wait_until(|| metrics(old_ops)["reconfig_ok"] == 1 && metrics(ops)["reconfig_ok"] == 1);
     let told = list(9, false, &[member("s0", servers[0].address, "left")]).to_string();
     for process in [&old, &new] {
         process.discovery.request().answer(OK, "", told.as_bytes());
     }
-    until(|| figures(old_ops)["hosts_listed"] == 1 && figures(ops)["hosts_listed"] == 1);
+    wait_until(|| metrics(old_ops)["hosts_listed"] == 1 && metrics(ops)["hosts_listed"] == 1);
     for _ in 0..8 {
         let mut client = new.client();
         client.send(&request("read", 20.0).replace("x-class: read", "x-class: look"));
--- a/crates/spurdrum/tests/node/retune.rs
+++ b/crates/spurdrum/tests/node/retune.rs
@@ -1,20 +1,20 @@
 //! New settings while the node serves.
 
-use super::ops::{figures, operated, until};
+use super::ops::{config_with_admin, metrics, wait_until};
 use super::*;
 
 /// A node before one server, its configuration, and where operators call.
 fn node() -> (Server, Node, Value, SocketAddr) {
     let server = Server::start();
-    let (config, ops) = operated(&[&server]);
+    let (config, ops) = config_with_admin(&[&server]);
     let node = Node::start(&config);
     (server, node, config, ops)
 }
 
 fn reload(node: &Node, config: &str, ops: SocketAddr, key: &str) {
-    let before = figures(ops)[key].as_u64().expect("a count");
+    let before = metrics(ops)[key].as_u64().expect("a count");
     node.reload(config);
-    until(|| figures(ops)[key].as_u64() == Some(before + 1));
+    wait_until(|| metrics(ops)[key].as_u64() == Some(before + 1));
 }
 
 fn served(server: &Server, node: &Node, class: &str) {
@@ -53,7 +53,7 @@
     open.answer("500 Broken", "", b"");
     assert_eq!(client.answer().status(), 502);
     assert!(!server.has_request());
-    let shown = figures(ops);
+    let shown = metrics(ops);
     assert_eq!(shown["calls"]["write"]["success"], 1);
     assert_eq!(
         (&shown["calls"]["pay"]["success"], &shown["calls"]["pay"]["failure"]),
@@ -99,7 +99,7 @@
     }
     for (at, text) in bad.iter().enumerate() {
         reload(&node, text, ops, "reconfig_failed");
-        let shown = figures(ops);
+        let shown = metrics(ops);
         assert_eq!(shown["reconfig_ok"], 0, "file {at} was taken: {text}");
         assert_eq!(shown["calls"].get("other"), None, "a part of file {at} was taken");
     }
@@ -109,7 +109,7 @@
     // Each has its line, which names what is wrong.
     let mut lines = 0;
     while lines < bad.len() {
-        let line = node.logged();
+        let line = node.next_log_line();
         assert!(!line.is_empty(), "{lines} lines for {} files", bad.len());
         if line.contains("the configuration stays as it was") {
             assert!(line.contains('`'), "{line}");
--- a/crates/spurdrum/tests/node/slow_discovery.rs
+++ b/crates/spurdrum/tests/node/slow_discovery.rs
@@ -10,7 +10,7 @@
 
 use spurdrum_standin::queued::QueuedDiscovery;
 
-use super::drains::{answering, client_of, first_written, GRACE, TOLD_AFTER};
+use super::drains::{answering, first_written, spawn_client, GRACE, NOTIFIED_AFTER};
 use super::*;
 
 /// Replaces the configuration by one that names another discovery.
@@ -22,10 +22,10 @@
 /// Lets requests pass until eight in a row were served by this server.
 fn served_by_none_but(node: &Node, servers: &[Server; 2], staying: usize) {
     let mut in_a_row = 0;
-    until("requests still go to the server that drains", || {
+    wait_until("requests still go to the server that drains", || {
         let mut client = node.client();
         client.send(&request("update", 20.0));
-        let (at, exchange) = either(servers);
+        let (at, exchange) = request_at_either(servers);
         exchange.answer(OK, "", b"");
         assert_eq!(client.answer().status(), 200);
         in_a_row = if at == staying { in_a_row + 1 } else { 0 };
@@ -114,8 +114,8 @@
         .collect();
     let arrivals = answering(servers);
     let ends = Arc::new(AtomicBool::new(false));
-    let clients: Vec<_> = (0..NODES).map(|at| client_of(at, nodes[at].0.address, &ends)).collect();
-    until("each node is answered", || {
+    let clients: Vec<_> = (0..NODES).map(|at| spawn_client(at, nodes[at].0.address, &ends)).collect();
+    wait_until("each node is answered", || {
         let written = discovery.written();
         (0..NODES).all(|node| written.iter().any(|answer| answer.node == node))
     });
@@ -140,9 +140,9 @@
         .collect();
     let nodes: Vec<Node> = reloads.into_iter().map(|reload| reload.join().expect("reloaded")).collect();
     // Until the first drain has been told to all by the clock, and then for as long with the second one.
-    thread::sleep((TOLD_AFTER + Duration::from_secs(4)).saturating_sub(made[0].0.elapsed()));
+    thread::sleep((NOTIFIED_AFTER + Duration::from_secs(4)).saturating_sub(made[0].0.elapsed()));
     made.push((Instant::now(), discovery.set(&drains[1]), [2, 3]));
-    thread::sleep(TOLD_AFTER + Duration::from_secs(2));
+    thread::sleep(NOTIFIED_AFTER + Duration::from_secs(2));
     ends.store(true, Ordering::Relaxed);
     let served: usize = clients.into_iter().map(|client| client.join().expect("a client")).sum();
     assert!(served > 1_000, "{served} were served");
@@ -152,7 +152,7 @@
     for (since, revision, drained) in made {
         for arrival in arrivals.lock().expect("no panic").iter().filter(|a| drained.contains(&a.server)) {
             let told = first_written(&written, arrival.node, revision);
-            let told = told.map_or(since + TOLD_AFTER, |told| told.min(since + TOLD_AFTER));
+            let told = told.map_or(since + NOTIFIED_AFTER, |told| told.min(since + NOTIFIED_AFTER));
             if arrival.at > told + GRACE {
                 *broken.entry((arrival.node, revision)).or_default() += 1;
             }
--- a/crates/spurdrum/tests/node/stalled.rs
+++ b/crates/spurdrum/tests/node/stalled.rs
@@ -2,7 +2,7 @@
 //! has neither gone nor been slow to answer. The order of events is forced; times are the least that the order needs.
 
 use super::incoming::Incoming;
-use super::ops::{call, operated};
+use super::ops::{admin_call, config_with_admin};
 use super::outgoing::{calls_waiting, Call, Outgoing, Ran};
 use super::*;
 
@@ -16,7 +16,7 @@
 /// A node's configuration with aims as long as its clients wait: what stands still here is the node, and no request is to be
 /// refused for that.
 fn patient(servers: &[&Server]) -> (Value, SocketAddr) {
-    let (mut config, ops) = operated(servers);
+    let (mut config, ops) = config_with_admin(servers);
     for class in config["settings"]["classes"].as_array_mut().expect("a list") {
         (class["deadline_ms"], class["promise_ms"]) = (json!(20_000.0), json!(20_000.0));
     }
@@ -25,7 +25,9 @@
 
 /// Waits until a process says yes.
 fn ready(ops: SocketAddr) {
-    until("it is not ready", || TcpStream::connect(ops).is_ok() && call(ops, "readyz").starts_with("YES"));
+    wait_until("it is not ready", || {
+        TcpStream::connect(ops).is_ok() && admin_call(ops, "readyz").starts_with("YES")
+    });
 }
 
 /// Told to a process that is to take over: it needs no answer of discovery.
@@ -33,7 +35,8 @@
 
 /// The request of a client that has sent one, at the server; a client that is refused or cut off fails the test at once.
 fn arrived(client: &Client, server: &Server, ran: &mut Ran, who: &str) -> Exchange {
-    let exchange = sent_on_or_answered(client, server).unwrap_or_else(|| panic!("{who}: it is not sent on"));
+    let exchange =
+        forwarded_or_answered(client, server).unwrap_or_else(|| panic!("{who}: it is not sent on"));
     ran.count(&exchange.request);
     exchange
 }
@@ -99,13 +102,13 @@
     let (config, _) = patient(&[&server]);
     let old = Node::start(&config);
     let clients = Clients::of(&old, server);
-    old.stand_still();
+    old.pause();
     let ops = own_address();
-    let _new = old.beside(&config, ops);
-    until("the new process does not call", || calls_waiting(old.address) > 0);
+    let _new = old.start_second_process(&config, ops);
+    wait_until("the new process does not call", || calls_waiting(old.address) > 0);
     let anew = (0..2).map(|_| old.client()).collect();
     std::thread::sleep(stall);
-    old.go_on();
+    old.resume();
     ready(ops);
     clients.go_on_past(old, anew);
 }
@@ -135,7 +138,7 @@
 impl Scripted {
     fn start() -> Self {
         let address = own_address();
-        Self::start_with(address, |command| name_file(command, address, AT_ONCE))
+        Self::start_with(address, |command| add_config_file(command, address, AT_ONCE))
     }
 
     fn start_with(address: SocketAddr, tell: impl FnOnce(&mut std::process::Command)) -> Self {
@@ -144,7 +147,7 @@
         let outgoing = Outgoing::start(address);
         let client = Client::connect(address);
         let (connection, _) = outgoing.listener.accept().expect("accepted");
-        let new = Node::begun(address, &config, ops, tell);
+        let new = Node::spawn_at(address, &config, ops, tell);
         Self { server, outgoing, client, connection, new, ops }
     }
 
@@ -163,7 +166,7 @@
 
     fn takes_over_what_was_offered(&mut self, mut call: Call, offered: bool) {
         let confirmed = if offered { call.next() } else { None };
-        assert_eq!(confirmed, Some(Handover::Confirm), "it says: {}", self.new.logged());
+        assert_eq!(confirmed, Some(Handover::Confirm), "it says: {}", self.new.next_log_line());
         ready(self.ops);
         call.pass(&self.connection);
         let (server, mut ran) = (&self.server, Ran::default());
@@ -180,11 +183,11 @@
     let mut scripted = Scripted::start();
     let mut call = scripted.greeted();
     // Stopped in its wait for events, it hears of the time before it hears of the answer.
-    until("it does not wait", || scripted.new.state() == Some('S'));
-    scripted.new.stand_still();
+    wait_until("it does not wait", || scripted.new.state() == Some('S'));
+    scripted.new.pause();
     std::thread::sleep(LONG_STALL);
     let offered = call.offer(&scripted.outgoing.listener);
-    scripted.new.go_on();
+    scripted.new.resume();
     scripted.takes_over_what_was_offered(call, offered);
 }
 
@@ -193,9 +196,9 @@
 fn an_incoming_process_that_stood_still_waits_for_an_answer_afterwards() {
     let scripted = Scripted::start();
     let call = scripted.greeted();
-    scripted.new.stand_still();
+    scripted.new.pause();
     std::thread::sleep(LONG_STALL);
-    scripted.new.go_on();
+    scripted.new.resume();
     std::thread::sleep(Duration::from_millis(50));
     scripted.takes_over(call);
 }
@@ -204,7 +207,7 @@
 #[test]
 fn an_incoming_process_that_stands_still_before_its_call_takes_over() {
     let address = own_address();
-    let pipe = own_directory(address).join("told.toml");
+    let pipe = node_directory(address).join("told.toml");
     let made = std::process::Command::new("mkfifo").arg(&pipe).status();
     assert!(made.expect("made").success());
     let scripted = Scripted::start_with(address, |command| {
@@ -212,12 +215,12 @@
     });
     // It opens when the process reads.
     let mut told = std::fs::OpenOptions::new().write(true).open(&pipe).expect("opened");
-    scripted.new.stand_still();
+    scripted.new.pause();
     told.write_all(AT_ONCE.as_bytes()).expect("told");
     drop(told);
     std::thread::sleep(LONG_STALL);
     assert_eq!(calls_waiting(address), 0);
-    scripted.new.go_on();
+    scripted.new.resume();
     let call = scripted.greeted();
     scripted.takes_over(call);
 }
@@ -236,7 +239,7 @@
 fn a_call_that_is_accepted_late_is_waited_for() {
     let scripted = Scripted::start();
     let address = scripted.new.address;
-    until("the new process does not call", || calls_waiting(address) > 0);
+    wait_until("the new process does not call", || calls_waiting(address) > 0);
     std::thread::sleep(Duration::from_millis(2_500));
     let call = scripted.greeted();
     scripted.takes_over(call);
@@ -248,16 +251,16 @@
     let (config, _) = patient(&[&server]);
     let old = Node::start(&config);
     let clients = Clients::of(&old, server);
-    old.stand_still();
+    old.pause();
     let ops = own_address();
-    let new = old.beside(&config, ops);
-    until("the new process does not call", || calls_waiting(old.address) > 0);
-    new.stand_still();
+    let new = old.start_second_process(&config, ops);
+    wait_until("the new process does not call", || calls_waiting(old.address) > 0);
+    new.pause();
     std::thread::sleep(STALL);
     let (first, second) = if old_first { (&old, &new) } else { (&new, &old) };
-    first.go_on();
+    first.resume();
     std::thread::sleep(Duration::from_millis(100));
-    second.go_on();
+    second.resume();
     ready(ops);
     clients.go_on_past(old, Vec::new());
 }
@@ -296,7 +299,7 @@
 /// The next connection is handed over, and it is this client's.
 fn handed_over(incoming: &mut Incoming, client: &mut Client, who: &str) {
     let mut connection = None;
-    until("it is not handed over", || {
+    wait_until("it is not handed over", || {
         connection = incoming.poll_connection();
         assert!(connection.is_some() || !has_ended(client), "{who}: it is closed, not handed over");
         connection.is_some()
@@ -316,15 +319,15 @@
     let mut old = Node::start(&config);
     let mut clients = Clients::of(&old, server);
     let (mut incoming, _listener) = Incoming::offered(old.address);
-    old.stand_still();
+    old.pause();
     old.terminate();
     std::thread::sleep(Duration::from_millis(400));
-    old.go_on();
+    old.resume();
     std::thread::sleep(Duration::from_millis(50));
-    old.stand_still();
+    old.pause();
     incoming.confirm();
     std::thread::sleep(Duration::from_millis(400));
-    old.go_on();
+    old.resume();
     handed_over(&mut incoming, &mut clients.resting, "who rested");
     clients.open.take().expect("open").answer(OK, "", b"late");
     goes_on(&mut clients.asking, "who asked before the signal");
@@ -338,15 +341,15 @@
 #[test]
 fn who_connects_while_an_ending_process_stands_still_is_answered() {
     let server = Server::start();
-    let (config, ops) = operated(&[&server]);
+    let (config, ops) = config_with_admin(&[&server]);
     let mut node = Node::start(&config);
     node.terminate();
-    until("it is not ending", || call(ops, "readyz") == "NO ending\n");
-    node.stand_still();
+    wait_until("it is not ending", || admin_call(ops, "readyz") == "NO ending\n");
+    node.pause();
     let mut clients: Vec<_> = (0..4).map(|_| node.client()).collect();
     clients.iter_mut().for_each(|client| client.send(&request("update", 20.0)));
     std::thread::sleep(Duration::from_millis(900));
-    node.go_on();
+    node.resume();
     let mut ran = Ran::default();
     for client in &clients {
         arrived(client, &server, &mut ran, "who connected meanwhile").answer(OK, "", b"served");
@@ -365,17 +368,17 @@
 #[test]
 fn a_process_that_stands_still_past_its_end_hands_over_and_gives_its_last_answers() {
     let server = Server::start();
-    let (config, ops) = operated(&[&server]);
+    let (config, ops) = config_with_admin(&[&server]);
     let mut old = Node::start(&config);
     let mut clients = Clients::of(&old, server);
     let (mut incoming, _listener) = Incoming::offered(old.address);
     old.terminate();
     // It has begun to count, and waits for the confirmation still.
-    until("it is not ending", || call(ops, "readyz") == "NO ending\n");
-    old.stand_still();
+    wait_until("it is not ending", || admin_call(ops, "readyz") == "NO ending\n");
+    old.pause();
     incoming.confirm();
     std::thread::sleep(PAST_THE_END);
-    old.go_on();
+    old.resume();
     handed_over(&mut incoming, &mut clients.resting, "who rested");
     // The server says nothing: it may have run.
     let last = Message::read(&mut clients.asking.stream).expect("a last answer");
@@ -388,7 +391,7 @@
 #[test]
 fn a_process_that_stands_still_past_its_end_hands_over_unread_what_has_come_meanwhile() {
     let server = Server::start();
-    let (config, ops) = operated(&[&server]);
+    let (config, ops) = config_with_admin(&[&server]);
     let mut old = Node::start(&config);
     let mut clients = Clients::of(&old, server);
     let mut anew = old.client();
@@ -396,16 +399,16 @@
     serve(&mut clients.resting, &clients.server, &mut clients.ran, "who rested");
     let (mut incoming, _listener) = Incoming::offered(old.address);
     old.terminate();
-    until("it is not ending", || call(ops, "readyz") == "NO ending\n");
-    old.stand_still();
+    wait_until("it is not ending", || admin_call(ops, "readyz") == "NO ending\n");
+    old.pause();
     incoming.confirm();
     clients.resting.send(&request("pay", 20.0));
     anew.send(&request("pay", 20.0));
     std::thread::sleep(PAST_THE_END);
-    old.go_on();
+    old.resume();
     for who in ["who asks again", "who asks for the first time"] {
         let mut connection = None;
-        until("it is not handed over", || {
+        wait_until("it is not handed over", || {
             connection = incoming.poll_connection();
             assert!(!clients.server.has_request(), "{who}: it is begun here");
             connection.is_some()
@@ -426,22 +429,22 @@
 #[test]
 fn a_process_that_stands_still_past_its_end_hands_over_what_no_server_has_been_sent() {
     let (slow, address, filler) = full_listener();
-    let (mut config, ops) = operated(&[]);
+    let (mut config, ops) = config_with_admin(&[]);
     config["known"] = list(1, true, &[member("slow", address, "active")]);
     let mut old = Node::start(&config);
     let mut client = old.client();
     client.send(&request("pay", 20.0));
-    until("the node does not connect", || dials(address) > 0);
+    wait_until("the node does not connect", || pending_connects(address) > 0);
     let (mut incoming, _listener) = Incoming::offered(old.address);
     old.terminate();
-    until("it is not ending", || call(ops, "readyz") == "NO ending\n");
-    old.stand_still();
+    wait_until("it is not ending", || admin_call(ops, "readyz") == "NO ending\n");
+    old.pause();
     incoming.confirm();
     drop(slow.accept().expect("the filler"));
     drop(filler);
     let (mut upstream, _) = slow.accept().expect("the node's connection");
     std::thread::sleep(PAST_THE_END);
-    old.go_on();
+    old.resume();
     let (mut connection, read) = incoming.request();
     let text = String::from_utf8(read).expect("text");
     let handed = Message::read(&mut std::io::BufReader::new(text.as_bytes())).expect("a whole request");
@@ -459,19 +462,19 @@
 #[test]
 fn a_process_that_stands_still_past_its_end_passes_on_an_answer_that_has_come() {
     let server = Server::start();
-    let (config, _) = operated(&[&server]);
+    let (config, _) = config_with_admin(&[&server]);
     let mut old = Node::start(&config);
     let mut clients = Clients::of(&old, server);
     let ops = own_address();
-    let _new = old.beside(&config, ops);
+    let _new = old.start_second_process(&config, ops);
     ready(ops);
     old.terminate();
-    old.logged_with("the end: connections are handed over");
+    old.log_line_containing("the end: connections are handed over");
     serve(&mut clients.resting, &clients.server, &mut clients.ran, "who rested");
-    old.stand_still();
+    old.pause();
     clients.open.take().expect("open").answer(OK, "", b"late");
     std::thread::sleep(PAST_THE_END);
-    old.go_on();
+    old.resume();
     let last = Message::read(&mut clients.asking.stream).expect("a last answer");
     assert_eq!(last.status(), 200);
     assert!(old.wait().success());
@@ -520,12 +523,12 @@
 #[test]
 fn a_process_that_is_slow_as_it_ends_gives_its_last_answers() {
     let server = Server::start();
-    let (config, ops) = operated(&[&server]);
+    let (config, ops) = config_with_admin(&[&server]);
     let mut old = Node::start(&config);
     let mut clients = Clients::of(&old, server);
     old.terminate();
     let since = Instant::now();
-    until("it is not ending", || call(ops, "readyz") == "NO ending\n");
+    wait_until("it is not ending", || admin_call(ops, "readyz") == "NO ending\n");
     std::thread::sleep(Duration::from_millis(1_900).saturating_sub(since.elapsed()));
     let slowed = Slowed::begin(&old, 130, 5);
     let last = Message::read(&mut clients.asking.stream).expect("a last answer");
@@ -541,7 +544,7 @@
     let _call = scripted.greeted();
     let since = Instant::now();
     let slowed = Slowed::begin(&scripted.new, 180, 60);
-    until("it does not serve", || TcpStream::connect(scripted.ops).is_ok());
+    wait_until("it does not serve", || TcpStream::connect(scripted.ops).is_ok());
     drop(slowed);
     assert!(since.elapsed() < Duration::from_secs(6), "{:?}", since.elapsed());
 }
--- a/crates/spurdrum/tests/node/starts.rs
+++ b/crates/spurdrum/tests/node/starts.rs
@@ -20,7 +20,7 @@
 
 use spurdrum_standin::queued::QueuedDiscovery;
 
-use super::drains::{answering, client_of, first_written, GRACE, TOLD_AFTER};
+use super::drains::{answering, first_written, spawn_client, GRACE, NOTIFIED_AFTER};
 use super::*;
 
 /// Six of 300 processes are started with the list of before: three shortly before a removal counts as told, three after it.
@@ -68,7 +68,7 @@
                 thread::sleep(after.saturating_sub(removed_at.elapsed()));
                 let started = Instant::now();
                 let node = Node::start(&config);
-                let client = client_of(me, node.address, &ends);
+                let client = spawn_client(me, node.address, &ends);
                 (me, started, node, client)
             })
         })
@@ -84,7 +84,7 @@
         let served = client.join().expect("a client");
         assert!(served > 50, "{served} were served at {me}");
         drop(node);
-        let by_clock = (removed_at + TOLD_AFTER).max(started);
+        let by_clock = (removed_at + NOTIFIED_AFTER).max(started);
         let told = first_written(&written, me, removed).map_or(by_clock, |told| told.min(by_clock));
         let arrivals = arrivals.lock().expect("no panic");
         let to_removed = arrivals.iter().filter(|a| a.node == me && REMOVED.contains(&a.server));
@@ -140,7 +140,7 @@
         assert_eq!(client.answer().status(), 200);
     }
     assert!(!servers[0].has_request(), "the removed server was sent a request");
-    assert!(node.logged_with("the start: ").contains("discovery has confirmed the list"));
+    assert!(node.log_line_containing("the start: ").contains("discovery has confirmed the list"));
 }
 
 /// A discovery that breaks the first calls of a process is asked again soon, however many nodes there are.
@@ -154,8 +154,8 @@
     assert!(asked_for_news(&second), "{}", second.request.first);
     assert_eq!(node.health().status(), 503);
     second.answer(OK, "", list(1, false, &[]).to_string().as_bytes());
-    assert!(node.logged_with("the start: ").contains("discovery has confirmed the list"));
-    until("the node is healthy", || node.health().status() == 200);
+    assert!(node.log_line_containing("the start: ").contains("discovery has confirmed the list"));
+    wait_until("the node is healthy", || node.health().status() == 200);
 }
 
 /// A discovery that does not answer keeps nobody from serving by the list of before.
@@ -164,10 +164,10 @@
     let servers = [Server::start(), Server::start()];
     let mut node = just_started(&servers);
     let _silent = node.discovery.request();
-    assert!(node.logged_with("the start: ").contains("not answered in time"));
-    until("the node is healthy", || node.health().status() == 200);
+    assert!(node.log_line_containing("the start: ").contains("not answered in time"));
+    wait_until("the node is healthy", || node.health().status() == 200);
     let mut client = node.client();
     client.send(&request("update", 20.0));
-    either(&servers).1.answer(OK, "", b"");
+    request_at_either(&servers).1.answer(OK, "", b"");
     assert_eq!(client.answer().status(), 200);
 }
--- a/crates/spurdrum/tests/node/streams.rs
+++ b/crates/spurdrum/tests/node/streams.rs
@@ -309,7 +309,7 @@
 #[test]
 fn a_connection_goes_on_behind_a_chunked_body() {
     let server = Server::start();
-    let node = Node::before(&[&server]);
+    let node = Node::with_servers(&[&server]);
     let mut client = node.client();
     let first =
         [upload("update", "transfer-encoding: chunked\r\n").as_bytes(), &chunked(b"work", 3)].concat();
@@ -337,7 +337,7 @@
 #[test]
 fn a_request_that_never_came_whole_is_not_counted() {
     let server = Server::start();
-    let (config, ops) = ops::operated(&[&server]);
+    let (config, ops) = ops::config_with_admin(&[&server]);
     let node = Node::start(&config);
     let whole = request("update", 20.0);
     let mut client = node.client();
@@ -348,8 +348,8 @@
     client.send(&request("update", 20.0));
     server.request().answer(OK, "", b"");
     assert_eq!(client.answer().status(), 200);
-    ops::until(|| ops::figures(ops)["calls"]["update"]["success"] == 1);
-    let shown = ops::figures(ops);
+    ops::wait_until(|| ops::metrics(ops)["calls"]["update"]["success"] == 1);
+    let shown = ops::metrics(ops);
     assert_eq!((&shown["calls"]["update"]["failure"], &shown["inflight"]), (&json!(0), &json!(0)));
 }
 
@@ -357,7 +357,7 @@
 #[test]
 fn long_requests_are_counted_once() {
     let server = Server::start();
-    let (config, ops) = ops::operated(&[&server]);
+    let (config, ops) = ops::config_with_admin(&[&server]);
     let node = Node::start(&config);
     let mut client = node.client();
     client.send(&upload("pay", "content-length: 300000\r\n"));
@@ -365,14 +365,14 @@
     server.request().answer(OK, "", &pattern(500_000));
     assert!(client.answer().body == pattern(500_000));
     let counted = || {
-        let shown = ops::figures(ops);
+        let shown = ops::metrics(ops);
         (
             shown["calls"]["pay"]["success"].as_u64(),
             shown["backend_calls"].as_u64(),
             shown["inflight"].as_u64(),
         )
     };
-    ops::until(|| counted() == (Some(1), Some(1), Some(0)));
+    ops::wait_until(|| counted() == (Some(1), Some(1), Some(0)));
     // The connections on both sides go on.
     client.send(&request("pay", 20.0));
     let got = server.request();
--- a/crates/spurdrum/tests/node/unread.rs
+++ b/crates/spurdrum/tests/node/unread.rs
@@ -11,10 +11,10 @@
 
 /// Sends this while the node stands still.
 fn sent_during_a_pause(node: &Node, client: &mut Client, text: &str) {
-    node.stand_still();
+    node.pause();
     client.send(text);
     thread::sleep(PAUSE);
-    node.go_on();
+    node.resume();
 }
 
 /// How long the node will wait, as it tells a server.
@@ -28,7 +28,7 @@
 fn a_server_is_told_what_is_left_of_a_clients_time_when_its_request_is_read_late() {
     for class in ["read", "update", "pay"] {
         let server = Server::start();
-        let node = Node::before(&[&server]);
+        let node = Node::with_servers(&[&server]);
         let mut client = node.client();
         sent_during_a_pause(&node, &mut client, &request(class, 5.0));
         let got = server.request();
@@ -44,7 +44,7 @@
 fn a_request_that_is_read_when_its_clients_time_is_over_is_refused_at_once_and_sent_to_nobody() {
     for class in ["read", "update", "pay"] {
         let server = Server::start();
-        let node = Node::before(&[&server]);
+        let node = Node::with_servers(&[&server]);
         let mut client = node.client();
         sent_during_a_pause(&node, &mut client, &request(class, PAUSE.as_secs_f64() / 2.0));
         assert_eq!(client.answer().status(), 503, "{class}");
