--- a/crates/spurdrum/src/affinity.rs
+++ b/crates/spurdrum/src/affinity.rs
@@ -9,11 +9,11 @@
 use std::time::Duration;
 
 use serde::Deserialize;
-use spurdrum_affinity::record::{self, Stored, Write, PLACES, RUNS};
-use spurdrum_affinity::{Affinity, First, Keyer, Settings};
+use spurdrum_affinity::record::{self, PendingWrite, StoredBinding, BINDINGS_TABLE, RUNS_TABLE};
+use spurdrum_affinity::{Affinity, InitialPlacement, KeyHasher, Settings};
 use spurdrum_http::keys::{AffinityKeySettings, Owner};
-use spurdrum_store::shell::Keeper;
-use spurdrum_store::{About, Disk, Row};
+use spurdrum_store::shell::StoreWriter;
+use spurdrum_store::{FileIdentity, Row, StoreFile};
 use tokio::time::sleep;
 
 use crate::set::{set, set_time};
@@ -120,15 +120,15 @@
             return Err(("affinity", "slack", "is under 1"));
         }
         let mut settings = Settings::default();
-        set(&mut settings.entries, self.entries);
-        set(&mut settings.idle_ms, self.idle_ms);
-        set(&mut settings.most_ms, self.most_ms);
-        set(&mut settings.return_within_ms, self.return_within_ms);
-        set(&mut settings.moves_after, self.moves_after);
-        set(&mut settings.settle_ms, self.settle_ms);
-        settings.first = match self.first {
-            Some(FirstName::Ring) => First::Ring,
-            Some(FirstName::Lowest) | None => First::Lowest,
+        set(&mut settings.max_bindings, self.entries);
+        set(&mut settings.idle_timeout_ms, self.idle_ms);
+        set(&mut settings.max_age_ms, self.most_ms);
+        set(&mut settings.return_timeout_ms, self.return_within_ms);
+        set(&mut settings.rebind_after, self.moves_after);
+        set(&mut settings.rebind_min_age_ms, self.settle_ms);
+        settings.initial_placement = match self.first {
+            Some(FirstName::Ring) => InitialPlacement::Ring,
+            Some(FirstName::Lowest) | None => InitialPlacement::LowestCount,
         };
         settings.validate().map_err(|(key, reason)| ("affinity", key, reason))?;
         let store = self.store.as_ref().map(StoreTable::to_config).transpose()?;
@@ -161,13 +161,13 @@
     /// Validates the table.
     fn to_config(&self) -> Result<StoreConfig, ConfigError> {
         let mut settings = spurdrum_store::Settings::default();
-        set_time(&mut settings.every, self.write_every_ms);
-        set(&mut settings.share, self.share);
-        set_time(&mut settings.aim, self.aim_ms);
-        set(&mut settings.batch, self.batch);
-        set_time(&mut settings.retry_least, self.retry_least_ms);
-        set_time(&mut settings.retry_most, self.retry_most_ms);
-        set_time(&mut settings.flush_most, self.flush_most_ms);
+        set_time(&mut settings.write_interval, self.write_every_ms);
+        set(&mut settings.write_time_share, self.share);
+        set_time(&mut settings.batch_time_target, self.aim_ms);
+        set(&mut settings.max_batch_rows, self.batch);
+        set_time(&mut settings.min_retry_delay, self.retry_least_ms);
+        set_time(&mut settings.max_retry_delay, self.retry_most_ms);
+        set_time(&mut settings.max_flush_time, self.flush_most_ms);
         settings.validate().map_err(|(key, reason)| ("affinity.store", key, reason))?;
         Ok(StoreConfig { path: self.path.clone(), trial: self.trial.clone(), settings })
     }
@@ -195,20 +195,20 @@
     }
 
     /// Creates the table of bindings, for servers with this slow-start time.
-    pub fn start(&self, now: f64, cold_ms: f64) -> Result<Rc<RefCell<Affinity>>, String> {
-        let settings = Settings { cold_ms, ..self.settings.clone() };
+    pub fn start(&self, now: f64, slow_start_ms: f64) -> Result<Rc<RefCell<Affinity>>, String> {
+        let settings = Settings { slow_start_ms, ..self.settings.clone() };
         let affinity =
             Affinity::new(settings, now).map_err(|(key, reason)| format!("`affinity.{key}`: {reason}"))?;
         Ok(Rc::new(RefCell::new(affinity)))
     }
 
-    /// Returns the keyer with the secret by which keys are hashed: the secret in the store's own file, or a
-    /// new random one if nothing is stored.
-    pub fn keyer(&self) -> Result<Keyer, String> {
-        let Some(StoreConfig { path, .. }) = &self.store else { return random_secret().map(Keyer::new) };
+    /// Returns the key hasher with the secret by which keys are hashed: the secret in the store's own file,
+    /// or a new random one if nothing is stored.
+    pub fn key_hasher(&self) -> Result<KeyHasher, String> {
+        let Some(StoreConfig { path, .. }) = &self.store else { return random_secret().map(KeyHasher::new) };
         let mut secret_path = path.as_os_str().to_owned();
         secret_path.push(".secret");
-        read_or_create_secret(Path::new(&secret_path)).map(Keyer::new).map_err(|error| {
+        read_or_create_secret(Path::new(&secret_path)).map(KeyHasher::new).map_err(|error| {
             format!(
                 "`affinity.store.path`: {} cannot be read or created: {error}",
                 Path::new(&secret_path).display()
@@ -263,57 +263,59 @@
     now: Box<dyn Fn() -> f64>,
 }
 
-impl Keeper for BindingRows {
-    const TABLES: &'static [&'static str] = &[RUNS, PLACES];
+impl StoreWriter for BindingRows {
+    const TABLES: &'static [&'static str] = &[RUNS_TABLE, BINDINGS_TABLE];
 
     fn unwritten(&self) -> usize {
         self.affinity.borrow().unwritten()
     }
 
-    fn take(&mut self, most: usize) -> Vec<Row> {
-        let writes = self.affinity.borrow_mut().take_writes(most);
-        let row = |write: Write| {
+    fn take_rows(&mut self, max_rows: usize) -> Vec<Row> {
+        let writes = self.affinity.borrow_mut().take_writes(max_rows);
+        let row = |write: PendingWrite| {
             let (table, key, value) = write.to_row();
             Row { table, key, value }
         };
         let mut rows: Vec<Row> = writes.into_iter().map(row).collect();
         // Sorted by table; within a table the rows keep their order.
-        rows.sort_by_key(|row| row.table != RUNS);
+        rows.sort_by_key(|row| row.table != RUNS_TABLE);
         rows
     }
 
-    fn not_written(&mut self, rows: Vec<Row>) {
+    fn requeue_rows(&mut self, rows: Vec<Row>) {
         let write = |row: Row| match row.table {
-            RUNS => Some(Write::Run(row.key, row.value.as_deref().and_then(record::run_from_bytes))),
-            _ => u32::try_from(row.key).ok().map(|index| Write::Place(index, None)),
+            RUNS_TABLE => {
+                Some(PendingWrite::Run(row.key, row.value.as_deref().and_then(record::run_from_bytes)))
+            }
+            _ => u32::try_from(row.key).ok().map(|index| PendingWrite::Slot(index, None)),
         };
-        self.affinity.borrow_mut().not_written(rows.into_iter().filter_map(write).collect());
+        self.affinity.borrow_mut().requeue_writes(rows.into_iter().filter_map(write).collect());
     }
 
-    fn restore(&mut self, table: &'static str, rows: Vec<(u64, Vec<u8>)>) {
+    fn restore_rows(&mut self, table: &'static str, rows: Vec<(u64, Vec<u8>)>) {
         let now = (self.now)();
         let mut affinity = self.affinity.borrow_mut();
         for (key, value) in rows {
-            if table == RUNS {
+            if table == RUNS_TABLE {
                 match record::run_from_bytes(&value) {
                     Some((id, started_at)) => drop(affinity.restore_run(now, key, &id, started_at)),
-                    None => affinity.not_written(vec![Write::Run(key, None)]),
+                    None => affinity.requeue_writes(vec![PendingWrite::Run(key, None)]),
                 }
             } else if let Ok(index) = u32::try_from(key) {
-                match Stored::from_bytes(&value) {
-                    Some(stored) => affinity.restore_place(now, index, &stored),
-                    None => affinity.not_written(vec![Write::Place(index, None)]),
+                match StoredBinding::from_bytes(&value) {
+                    Some(stored) => affinity.restore_binding(now, index, &stored),
+                    None => affinity.requeue_writes(vec![PendingWrite::Slot(index, None)]),
                 }
             }
         }
     }
 
-    fn rewrite(&mut self) {
-        self.affinity.borrow_mut().rewrite();
+    fn queue_rewrite(&mut self) {
+        self.affinity.borrow_mut().queue_rewrite();
     }
 
-    fn note(&self, what: &str) {
-        tracing::warn!("the bindings' store: {what}");
+    fn log_warning(&self, warning: &str) {
+        tracing::warn!("the bindings' store: {warning}");
     }
 }
 
@@ -329,23 +331,24 @@
 /// Stores bindings in their file until `stop` completes.
 pub async fn store_bindings(
     store: StoreConfig,
-    keyer: Keyer,
+    key_hasher: KeyHasher,
     affinity: Rc<RefCell<Affinity>>,
     status: Rc<RefCell<spurdrum_store::Status>>,
     now: impl Fn() -> f64 + 'static,
     stop: impl Future<Output = ()>,
 ) {
-    let about = About { format: record::FORMAT, mark: keyer.mark() };
+    let file_identity =
+        FileIdentity { format: record::FORMAT_VERSION, fingerprint: key_hasher.fingerprint() };
     let StoreConfig { path, trial, settings } = store;
     let rows = Rc::new(RefCell::new(BindingRows { affinity, now: Box::new(now) }));
     // Nodes that start at the same time must not write at the same time: the seed differs between processes.
     let mut random = fastrand::Rng::with_seed(u64::from(std::process::id()));
     let random_fraction = move || random.f64();
     let open = move || match &trial {
-        None => Disk::open(&path, about),
-        Some(faults) => Disk::open_on_trial(&path, about, faults),
+        None => StoreFile::open(&path, file_identity),
+        Some(faults) => StoreFile::open_with_faults(&path, file_identity, faults),
     };
-    if let Err(error) = spurdrum_store::keep(open, settings, rows, status, random_fraction, stop).await {
+    if let Err(error) = spurdrum_store::run_store(open, settings, rows, status, random_fraction, stop).await {
         tracing::warn!("the bindings' store: cannot start its thread: {error}");
     }
 }
--- a/crates/spurdrum/src/main.rs
+++ b/crates/spurdrum/src/main.rs
@@ -12,7 +12,7 @@
 
 use clap::{Parser, Subcommand};
 use serde_json::Value;
-use spurdrum_affinity::{Affinity, Keyer};
+use spurdrum_affinity::{Affinity, KeyHasher};
 use spurdrum_core::{unix_ms, Connections, Node, NodeMetrics};
 use spurdrum_http::{AffinityKeys, Front, IncomingProcess, Upstream};
 use spurdrum_sources::catalog::Catalog;
@@ -218,10 +218,10 @@
         None => None,
         Some(affinity_config) => {
             config.settings.preference_slack = affinity_config.slack;
-            let (key_settings, keyer) =
-                (affinity_config.key_settings(&config.names)?, affinity_config.keyer()?);
+            let (key_settings, key_hasher) =
+                (affinity_config.key_settings(&config.names)?, affinity_config.key_hasher()?);
             let affinity = affinity_config.start(unix_ms()?, config.settings.slow_start_ms)?;
-            Some((affinity, Rc::new(AffinityKeys::new(key_settings, keyer)), keyer))
+            Some((affinity, Rc::new(AffinityKeys::new(key_settings, key_hasher)), key_hasher))
         }
     };
     let affinity = affinity_parts.as_ref().map(|(affinity, ..)| Rc::clone(affinity));
@@ -409,10 +409,10 @@
 fn start_affinity(
     node: &Rc<Node<Upstream>>,
     config: &Option<affinity::AffinityConfig>,
-    affinity_parts: Option<(Rc<RefCell<Affinity>>, Rc<AffinityKeys>, Keyer)>,
+    affinity_parts: Option<(Rc<RefCell<Affinity>>, Rc<AffinityKeys>, KeyHasher)>,
     stop: oneshot::Receiver<()>,
 ) -> (StoreStatus, Option<tokio::task::JoinHandle<()>>) {
-    let Some((affinity, _, keyer)) = affinity_parts else { return (None, None) };
+    let Some((affinity, _, key_hasher)) = affinity_parts else { return (None, None) };
     let clock = |node: &Rc<Node<Upstream>>| {
         let node = Rc::clone(node);
         move || node.now()
@@ -425,7 +425,7 @@
         // A dropped sender stops the store as well.
         let _ = stop.await;
     };
-    let stored = affinity::store_bindings(store, keyer, affinity, Rc::clone(&status), clock(node), stop);
+    let stored = affinity::store_bindings(store, key_hasher, affinity, Rc::clone(&status), clock(node), stop);
     (Some(status), Some(tokio::task::spawn_local(stored)))
 }
 
