--- a/crates/spurdrum/src/main.rs
+++ b/crates/spurdrum/src/main.rs
@@ -78,7 +78,7 @@
     /// Roll out a change to a fleet in stages.
     Rollout {
         #[command(subcommand)]
-        command: rollout::RolloutCommand,
+        what: rollout::RolloutCommand,
     },
 }
 
@@ -87,7 +87,7 @@
     let result = match cli.command {
         Some(Command::Check { file }) => check(&file),
         Some(Command::Keeper { file }) => rollout::supervise(&file),
-        Some(Command::Rollout { command }) => rollout::run(command),
+        Some(Command::Rollout { what }) => rollout::run(what),
         None => start(cli.config, cli.ops),
     };
     match result {
