--- a/crates/spurdrum-bench/src/main.rs
+++ b/crates/spurdrum-bench/src/main.rs
@@ -231,7 +231,7 @@
     target: SocketAddr,
     closed: Option<(usize, Duration)>,
 ) -> Result<Report, String> {
-    let options = Options { target, seed: 1, closed, most: Duration::from_secs(120), threads };
+    let options = Options { target, seed: 1, closed, max_duration: Duration::from_secs(120), threads };
     run(plan, Box::new(Schedule::new(plan, 1).map(Ok)), &options, std::future::pending(), |_| {})
 }
 
--- a/crates/spurdrum-demo/src/main.rs
+++ b/crates/spurdrum-demo/src/main.rs
@@ -86,8 +86,13 @@
         Node::start(&config(&fleet, &["harborline-hotels", "millpond-inn"], 1024, 4096), Stdio::inherit())?;
     println!("catalog {}, node {}, {} servers", fleet.catalog, node.address, fleet.servers.len());
     println!("at 5 s large0 works five times slower, for 10 s; at 12 s and 16 s two servers are replaced by cold ones");
-    let options =
-        Options { target: node.address, seed: 7, closed: None, most: Duration::from_secs(60), threads: 1 };
+    let options = Options {
+        target: node.address,
+        seed: 7,
+        closed: None,
+        max_duration: Duration::from_secs(60),
+        threads: 1,
+    };
     let arrivals = Box::new(Schedule::new(&plan, options.seed).map(Ok));
     let mut before = fleet.tally();
     let report = run(&plan, arrivals, &options, std::future::pending(), |line| {
--- a/crates/spurdrum-fleet/src/clients.rs
+++ b/crates/spurdrum-fleet/src/clients.rs
@@ -91,7 +91,7 @@
 /// Starts the threads of all clients; they begin at once, and end with the scenario or with `stop`.
 pub fn start(scenario: &Scenario, nodes: &[SocketAddr], start: Instant, stop: &Arc<AtomicBool>) -> Playing {
     let rate = scenario.capacity() * scenario.load;
-    let (shape, arrivals) = (Shape::Constant, spurdrum_load::plan::Arrivals::Poisson);
+    let (shape, arrivals) = (Shape::Constant, spurdrum_load::plan::ArrivalProcess::Poisson);
     let phase = Phase {
         for_s: scenario.for_s,
         shape,
@@ -202,7 +202,7 @@
         let deadline = arrival.due_us as f64 / 1e6 + class.deadline_s;
         let at = |seconds: f64| self.start + Duration::from_secs_f64(seconds);
         let left = (deadline - self.start.elapsed().as_secs_f64()).max(LEFT_LEAST);
-        let mut asked = pin!(pool.ask_traced(request(arrival, class, left), true, progress));
+        let mut asked = pin!(pool.send_with_progress(request(arrival, class, left), true, progress));
         let overdue = at(deadline + self.slack / 2.0);
         if let Ok(outcome) = timeout_at(overdue.into(), &mut asked).await {
             return End::of(outcome);
@@ -250,9 +250,9 @@
     let at = |time: Instant| time.saturating_duration_since(start).as_secs_f64();
     match progress {
         Progress::Unsent => "no connection".to_owned(),
-        Progress::Dialing(since) => format!("connecting since {:.3} s", at(since)),
+        Progress::Connecting(since) => format!("connecting since {:.3} s", at(since)),
         Progress::Sent(seen) => {
-            let (dialed, connected) = (at(seen.dialed_at), at(seen.connected_at));
+            let (dialed, connected) = (at(seen.connect_started_at), at(seen.connected_at));
             let (client, answered) = (seen.client, seen.answered);
             format!("{client}, dialed at {dialed:.3} s, up at {connected:.3} s, {answered} answers before")
         }
--- a/crates/spurdrum-fleet/src/files.rs
+++ b/crates/spurdrum-fleet/src/files.rs
@@ -38,7 +38,7 @@
             Effect::Unsafe => ("unsafe", String::new()),
             Effect::Keyed => ("keyed", format!("group = \"all\"\nwindow_ms = {:.1}\n", scenario.window_ms)),
         };
-        let (aim, deadline) = (class.aim_s * 1000.0, class.deadline_s * 1000.0);
+        let (aim, deadline) = (class.latency_objective_s * 1000.0, class.deadline_s * 1000.0);
         let _ = write!(
             file,
             "[[class]]\nname = {:?}\neffect = \"{effect}\"\n{group}aim_ms = {aim:.1}\ndeadline_ms = {deadline:.1}\n",
--- a/crates/spurdrum-fleet/src/scenario.rs
+++ b/crates/spurdrum-fleet/src/scenario.rs
@@ -191,7 +191,7 @@
 
 fn update() -> Vec<Class> {
     let (name, effect) = ("update".into(), Effect::Keyed);
-    vec![Class { name, share: 1.0, effect, aim_s: 0.4, deadline_s: 0.8, bytes: (200, 200) }]
+    vec![Class { name, share: 1.0, effect, latency_objective_s: 0.4, deadline_s: 0.8, bytes: (200, 200) }]
 }
 
 impl Scenario {
--- a/crates/spurdrum-fleet/src/witness.rs
+++ b/crates/spurdrum-fleet/src/witness.rs
@@ -52,7 +52,7 @@
     pub fn look(&self, request: u64, node: SocketAddr, progress: Progress) {
         let client = match progress {
             Progress::Sent(seen) => Some(seen.client),
-            Progress::Unsent | Progress::Dialing(_) => None,
+            Progress::Unsent | Progress::Connecting(_) => None,
         };
         // With many at once, the first tell enough.
         let _ = self.0.try_send(Question { request, node, client });
--- a/crates/spurdrum-load/src/client.rs
+++ b/crates/spurdrum-load/src/client.rs
@@ -32,7 +32,13 @@
 ///
 /// `tries` have been made; `left` is what remains until the deadline, counted from when the first try was due; `draw`
 /// is random, from 0 to 1.
-pub fn again(clients: &Clients, outcome: Outcome, tries: u32, left: Duration, draw: f64) -> Option<Duration> {
+pub fn retry_delay(
+    clients: &Clients,
+    outcome: Outcome,
+    tries: u32,
+    left: Duration,
+    draw: f64,
+) -> Option<Duration> {
     let retry_after = match outcome {
         Outcome::Served | Outcome::Left | Outcome::NotSent => return None,
         Outcome::Refused { retry_after } => retry_after.filter(|_| draw < clients.honour),
@@ -64,21 +70,21 @@
     #[test]
     fn clients_try_again_as_often_as_they_may_and_while_there_is_time() {
         let twice = clients(2, Backoff::Fixed);
-        let next = |tries, left| again(&twice, Outcome::Failed, tries, left, 0.9);
+        let next = |tries, left| retry_delay(&twice, Outcome::Failed, tries, left, 0.9);
         assert_eq!(
             (next(1, 500 * MS), next(2, 500 * MS), next(3, 500 * MS)),
             (Some(20 * MS), Some(20 * MS), None)
         );
         assert_eq!(next(1, 20 * MS), None, "its time would be over");
         for last in [Outcome::Served, Outcome::Left, Outcome::NotSent] {
-            assert_eq!(again(&twice, last, 1, 500 * MS, 0.9), None);
+            assert_eq!(retry_delay(&twice, last, 1, 500 * MS, 0.9), None);
         }
     }
 
     #[test]
     fn who_honours_retry_after_waits_for_it() {
         let refused = Outcome::Refused { retry_after: Some(200 * MS) };
-        let next = |backoff, draw, left| again(&clients(2, backoff), refused, 1, left, draw);
+        let next = |backoff, draw, left| retry_delay(&clients(2, backoff), refused, 1, left, draw);
         assert_eq!(next(Backoff::None, 0.4, 500 * MS), Some(200 * MS));
         assert_eq!(next(Backoff::None, 0.6, 500 * MS), Some(Duration::ZERO));
         assert_eq!(next(Backoff::None, 0.4, 100 * MS), None);
@@ -87,7 +93,7 @@
     #[test]
     fn exponential_waits_double_and_are_spread() {
         let exp = clients(9, Backoff::Exp);
-        let next = |tries, draw| again(&exp, Outcome::GaveUp, tries, 3_600_000 * MS, draw);
+        let next = |tries, draw| retry_delay(&exp, Outcome::GaveUp, tries, 3_600_000 * MS, draw);
         assert_eq!(
             (next(1, 1.0), next(2, 1.0), next(4, 1.0)),
             (Some(20 * MS), Some(40 * MS), Some(160 * MS))
--- a/crates/spurdrum-load/src/firsts.rs
+++ b/crates/spurdrum-load/src/firsts.rs
@@ -8,7 +8,7 @@
 
 /// What became of a request, over all its tries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Final {
+pub enum RequestOutcome {
     /// Served this many microseconds after its first try was due.
     Served(u64),
     /// Its last try was refused.
@@ -35,16 +35,16 @@
 
 /// Requests whose tries may not all be known: as many as are due within a deadline.
 #[derive(Default)]
-pub struct Firsts {
+pub struct RequestTracker {
     open: HashMap<u64, Open>,
     by_until: BTreeSet<(u64, u64)>,
     /// Retries whose first try was never seen, or was over long before.
     orphans: u64,
 }
 
-impl Firsts {
+impl RequestTracker {
     /// Room for so many from the start.
-    pub fn with_room(requests: usize) -> Self {
+    pub fn with_capacity(requests: usize) -> Self {
         Self { open: HashMap::with_capacity(requests), ..Self::default() }
     }
 
@@ -75,7 +75,7 @@
     }
 
     /// Those that are settled by now: no try of them is out, and no further one can count.
-    pub fn settle(&mut self, now_us: u64, mut each: impl FnMut(&Arrival, Final)) {
+    pub fn settle(&mut self, now_us: u64, mut each: impl FnMut(&Arrival, RequestOutcome)) {
         let mut waiting = Vec::new();
         while let Some((until, first)) = self.by_until.first().copied().filter(|(until, _)| *until <= now_us)
         {
@@ -108,15 +108,15 @@
 }
 
 impl Open {
-    fn outcome(&self) -> Final {
+    fn outcome(&self) -> RequestOutcome {
         let in_time = |at: &u64| *at <= self.until_us;
         match (self.served_us.filter(in_time), self.last) {
-            (Some(at), _) => Final::Served(at.saturating_sub(self.arrival.due_us)),
-            (None, Some(Outcome::Refused { .. })) => Final::Refused,
-            (None, Some(Outcome::Failed | Outcome::Broken | Outcome::Unreached)) => Final::Failed,
-            (None, Some(Outcome::Left)) => Final::Left,
-            (None, Some(Outcome::NotSent)) => Final::NotSent,
-            (None, Some(Outcome::Served | Outcome::GaveUp) | None) => Final::Lost,
+            (Some(at), _) => RequestOutcome::Served(at.saturating_sub(self.arrival.due_us)),
+            (None, Some(Outcome::Refused { .. })) => RequestOutcome::Refused,
+            (None, Some(Outcome::Failed | Outcome::Broken | Outcome::Unreached)) => RequestOutcome::Failed,
+            (None, Some(Outcome::Left)) => RequestOutcome::Left,
+            (None, Some(Outcome::NotSent)) => RequestOutcome::NotSent,
+            (None, Some(Outcome::Served | Outcome::GaveUp) | None) => RequestOutcome::Lost,
         }
     }
 }
@@ -129,7 +129,7 @@
         Arrival { due_us, id, first, class: 0, tenant: 0, key: 0, bytes: 0 }
     }
 
-    fn settled(firsts: &mut Firsts, now: u64) -> Vec<(u64, Final)> {
+    fn settled(firsts: &mut RequestTracker, now: u64) -> Vec<(u64, RequestOutcome)> {
         let mut all = Vec::new();
         firsts.settle(now, |arrival, outcome| all.push((arrival.id, outcome)));
         all
@@ -137,27 +137,27 @@
 
     #[test]
     fn a_retry_that_is_served_counts_from_the_first_try() {
-        let mut firsts = Firsts::default();
+        let mut firsts = RequestTracker::default();
         let (one, two) = (try_of(1, None, 1000), try_of(2, Some(1), 300_000));
         firsts.begin(one, 800_000);
         firsts.end(&one, Outcome::Refused { retry_after: None }, 5000, false);
         assert_eq!(settled(&mut firsts, 700_000), []);
         firsts.begin(two, 800_000);
         firsts.end(&two, Outcome::Served, 350_000, false);
-        assert_eq!(settled(&mut firsts, 801_000), [(1, Final::Served(349_000))]);
+        assert_eq!(settled(&mut firsts, 801_000), [(1, RequestOutcome::Served(349_000))]);
         assert!(firsts.is_empty());
     }
 
     #[test]
     fn a_retry_that_is_served_after_the_first_tries_deadline_does_not_count() {
-        let mut firsts = Firsts::default();
+        let mut firsts = RequestTracker::default();
         let (one, two) = (try_of(1, None, 0), try_of(2, Some(1), 700_000));
         firsts.begin(one, 800_000);
         firsts.end(&one, Outcome::Failed, 10, false);
         firsts.begin(two, 800_000);
         assert_eq!(settled(&mut firsts, 800_001), [], "a try is still out");
         firsts.end(&two, Outcome::Served, 900_000, false);
-        assert_eq!(settled(&mut firsts, 900_000), [(1, Final::Lost)]);
+        assert_eq!(settled(&mut firsts, 900_000), [(1, RequestOutcome::Lost)]);
         let late = try_of(3, Some(1), 950_000);
         firsts.begin(late, 800_000);
         assert_eq!((firsts.orphans(), firsts.len()), (1, 0));
@@ -165,13 +165,13 @@
 
     #[test]
     fn the_end_settles_all() {
-        let mut firsts = Firsts::default();
+        let mut firsts = RequestTracker::default();
         for id in 1..100 {
             firsts.begin(try_of(id, None, id), 800_000);
         }
         firsts.end(&try_of(50, None, 50), Outcome::NotSent, 60, false);
         let all = settled(&mut firsts, u64::MAX);
         assert_eq!(all.len(), 99);
-        assert_eq!(all.iter().filter(|(_, outcome)| *outcome == Final::NotSent).count(), 1);
+        assert_eq!(all.iter().filter(|(_, outcome)| *outcome == RequestOutcome::NotSent).count(), 1);
     }
 }
--- a/crates/spurdrum-load/src/main.rs
+++ b/crates/spurdrum-load/src/main.rs
@@ -131,7 +131,7 @@
         target: options.target,
         seed: options.seed,
         closed: options.closed.map(|clients| (clients, Duration::from_secs_f64(length))),
-        most,
+        max_duration: most,
         threads: options.threads,
     };
     let stop = async {
--- a/crates/spurdrum-load/src/plan.rs
+++ b/crates/spurdrum-load/src/plan.rs
@@ -50,7 +50,7 @@
     pub burst: Option<u32>,
     /// How requests are spread at a given rate.
     #[serde(default)]
-    pub arrivals: Arrivals,
+    pub arrivals: ArrivalProcess,
 }
 
 /// What the rate does.
@@ -72,7 +72,7 @@
 /// How requests are spread.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
-pub enum Arrivals {
+pub enum ArrivalProcess {
     /// At even distances.
     Even,
     /// Independent of one another.
@@ -93,7 +93,8 @@
     #[serde(default)]
     pub effect: Effect,
     /// When the answer is wanted, in seconds from when the request was due.
-    pub aim_s: f64,
+    #[serde(rename = "aim_s")]
+    pub latency_objective_s: f64,
     /// When its client gives up.
     pub deadline_s: f64,
     /// Length of its body: least and most.
@@ -247,7 +248,10 @@
             return Err(("class", 0, "needs 1 to 1,000 classes and up to 10,000 tenants".into()));
         }
         for (n, class) in self.classes.iter().enumerate() {
-            if !(positive(class.share) && positive(class.aim_s) && class.aim_s <= class.deadline_s) {
+            if !(positive(class.share)
+                && positive(class.latency_objective_s)
+                && class.latency_objective_s <= class.deadline_s)
+            {
                 return Err(("aim_s", n, "needs 0 < aim_s <= deadline_s, and a share above 0".into()));
             }
             if class.deadline_s > 3600.0 {
--- a/crates/spurdrum-load/src/report.rs
+++ b/crates/spurdrum-load/src/report.rs
@@ -10,7 +10,7 @@
 use serde::Serialize;
 
 use crate::client::Outcome;
-use crate::firsts::Final;
+use crate::firsts::RequestOutcome;
 use crate::plan::Plan;
 use crate::Arrival;
 
@@ -48,16 +48,16 @@
         self.in_time as f64 / self.due.max(1) as f64
     }
 
-    fn note(&mut self, outcome: Final, aim_us: u64) {
+    fn note(&mut self, outcome: RequestOutcome, aim_us: u64) {
         self.due += 1;
         *match outcome {
-            Final::Served(us) if us <= aim_us => &mut self.in_time,
-            Final::Served(_) => &mut self.late,
-            Final::Refused => &mut self.refused,
-            Final::Failed => &mut self.failed,
-            Final::Lost => &mut self.lost,
-            Final::Left => &mut self.left,
-            Final::NotSent => &mut self.not_sent,
+            RequestOutcome::Served(us) if us <= aim_us => &mut self.in_time,
+            RequestOutcome::Served(_) => &mut self.late,
+            RequestOutcome::Refused => &mut self.refused,
+            RequestOutcome::Failed => &mut self.failed,
+            RequestOutcome::Lost => &mut self.lost,
+            RequestOutcome::Left => &mut self.left,
+            RequestOutcome::NotSent => &mut self.not_sent,
         } += 1;
     }
 }
@@ -164,9 +164,9 @@
         Self { name: name.to_owned(), counts: Counts::default(), latency: histogram() }
     }
 
-    fn note(&mut self, outcome: Final, aim_us: u64) {
+    fn note(&mut self, outcome: RequestOutcome, aim_us: u64) {
         self.counts.note(outcome, aim_us);
-        if let Final::Served(us) = outcome {
+        if let RequestOutcome::Served(us) = outcome {
             self.latency.saturating_record(us);
         }
     }
@@ -199,7 +199,7 @@
     /// Nothing is counted yet.
     pub fn new(plan: &Plan) -> Self {
         Self {
-            aims_us: plan.classes.iter().map(|class| (class.aim_s * 1e6) as u64).collect(),
+            aims_us: plan.classes.iter().map(|class| (class.latency_objective_s * 1e6) as u64).collect(),
             all: Kind::new("all"),
             classes: plan.classes.iter().map(|class| Kind::new(&class.name)).collect(),
             tenants: plan.tenants.iter().map(|tenant| Kind::new(&tenant.name)).collect(),
@@ -249,14 +249,14 @@
     }
 
     /// A request is settled.
-    pub fn settled(&mut self, arrival: &Arrival, outcome: Final) {
+    pub fn settled(&mut self, arrival: &Arrival, outcome: RequestOutcome) {
         let aim = self.aims_us[usize::from(arrival.class)];
         self.all.note(outcome, aim);
         self.classes[usize::from(arrival.class)].note(outcome, aim);
         if let Some(tenant) = self.tenants.get_mut(usize::from(arrival.tenant)) {
             tenant.note(outcome, aim);
         }
-        if let Final::Served(us) = outcome {
+        if let RequestOutcome::Served(us) = outcome {
             let bin = self.bin(arrival.due_us);
             bin.served += 1;
             bin.in_time += u64::from(us <= aim);
@@ -519,7 +519,10 @@
                 Arrival { due_us, id: n as u64, first: None, class: 0, tenant: 0, key: 0, bytes: 0 };
             recorder.due(&arrival);
             recorder.sent(Duration::from_micros(50));
-            recorder.settled(&arrival, if *us > 800_000 { Final::Lost } else { Final::Served(*us) });
+            recorder.settled(
+                &arrival,
+                if *us > 800_000 { RequestOutcome::Lost } else { RequestOutcome::Served(*us) },
+            );
         }
         recorder.report(Duration::from_secs(2), 1, 0, latencies_us.len() as u64)
     }
--- a/crates/spurdrum-load/src/run.rs
+++ b/crates/spurdrum-load/src/run.rs
@@ -16,8 +16,8 @@
 use tokio::task::LocalSet;
 use tokio::time::{interval, sleep, timeout, MissedTickBehavior};
 
-use crate::client::{again, Outcome};
-use crate::firsts::Firsts;
+use crate::client::{retry_delay, Outcome};
+use crate::firsts::RequestTracker;
 use crate::plan::{Effect, Phase, Plan};
 use crate::report::{Recorder, Report};
 use crate::transport::Pool;
@@ -43,7 +43,7 @@
     /// Its latencies hide what a stalled target does to those that would have come: it is here to show that.
     pub closed: Option<(usize, Duration)>,
     /// The run is cut off after so long.
-    pub most: Duration,
+    pub max_duration: Duration,
     /// Event loops that send; what clients hold (connections, requests under way) is dealt out among them.
     pub threads: usize,
 }
@@ -74,7 +74,7 @@
 struct Context {
     shared: Arc<Shared>,
     pool: Pool,
-    firsts: RefCell<Firsts>,
+    firsts: RefCell<RequestTracker>,
     rng: RefCell<fastrand::Rng>,
     in_flight: Cell<usize>,
     in_flight_most: usize,
@@ -169,7 +169,7 @@
     let room = 1.5 * longest * shared.plan.phases.iter().map(rates).fold(0.0, f64::max);
     let context = Rc::new(Context {
         pool: Pool::new(shared.options.target, share(clients.connections).max(1)),
-        firsts: RefCell::new(Firsts::with_room((room.min(ROOM_MOST) / threads as f64) as usize)),
+        firsts: RefCell::new(RequestTracker::with_capacity((room.min(ROOM_MOST) / threads as f64) as usize)),
         rng: RefCell::new(fastrand::Rng::with_seed(shared.options.seed ^ 0x5bd1_e995 ^ ((n as u64) << 32))),
         in_flight: Cell::new(0),
         in_flight_most: share(clients.in_flight).max(1),
@@ -187,7 +187,7 @@
         });
         loop {
             let over = workers.as_ref().is_some_and(|all| all.iter().all(|worker| worker.is_finished()));
-            let most = shared.start.elapsed() > shared.options.most;
+            let most = shared.start.elapsed() > shared.options.max_duration;
             if most || over || shared.stopped.load(Ordering::Relaxed) {
                 break;
             }
@@ -209,7 +209,7 @@
         }
         context.settle(u64::MAX);
     });
-    shared.connections.fetch_add(context.pool.made.get(), Ordering::Relaxed);
+    shared.connections.fetch_add(context.pool.connections_opened.get(), Ordering::Relaxed);
     shared.orphans.fetch_add(context.firsts.borrow().orphans(), Ordering::Relaxed);
     Ok(())
 }
@@ -224,7 +224,7 @@
             Err(why) => return (count, Some(why)),
         };
         let at = Duration::from_micros(arrival.due_us);
-        if at > shared.options.most {
+        if at > shared.options.max_duration {
             break;
         }
         loop {
@@ -330,7 +330,7 @@
             let outcome = self.attempt(&arrival, deadline, tries > 1 || first.first.is_some()).await;
             let left = deadline.saturating_duration_since(Instant::now());
             let draw = self.rng.borrow_mut().f64();
-            let wait = again(&self.shared.plan.clients, outcome, tries, left, draw);
+            let wait = retry_delay(&self.shared.plan.clients, outcome, tries, left, draw);
             self.end(&arrival, outcome, wait.is_some());
             let Some(wait) = wait else { break };
             due = self.shared.start.elapsed() + wait;
@@ -361,7 +361,7 @@
             true => (patience.mul_f64(leave_at), Outcome::Left),
             false => (patience, Outcome::GaveUp),
         };
-        timeout(limit, self.pool.ask(request, keep)).await.unwrap_or(at_limit)
+        timeout(limit, self.pool.send(request, keep)).await.unwrap_or(at_limit)
     }
 
     fn request(&self, arrival: &Arrival, patience: Duration, repeat: bool) -> Request<Full<Bytes>> {
--- a/crates/spurdrum-load/src/schedule.rs
+++ b/crates/spurdrum-load/src/schedule.rs
@@ -1,7 +1,7 @@
 //! When requests are due, and what they are: from a plan and a seed, with no clock. The same seed gives the same
 //! schedule, byte for byte, on every machine.
 
-use crate::plan::{Arrivals, Phase, Plan, Shape};
+use crate::plan::{ArrivalProcess, Phase, Plan, Shape};
 use crate::Arrival;
 
 /// The requests of a plan, in the order in which they are due.
@@ -128,8 +128,8 @@
 
     fn draw(&mut self, phase: &Phase) -> Option<f64> {
         let step = match phase.arrivals {
-            Arrivals::Even => 1.0,
-            Arrivals::Poisson => -(1.0 - self.rng.f64()).ln(),
+            ArrivalProcess::Even => 1.0,
+            ArrivalProcess::Poisson => -(1.0 - self.rng.f64()).ln(),
         };
         self.passed += step;
         if self.passed >= integral(phase, phase.for_s) {
--- a/crates/spurdrum-load/src/transport.rs
+++ b/crates/spurdrum-load/src/transport.rs
@@ -27,17 +27,17 @@
 struct Connection {
     sender: SendRequest<Full<Bytes>>,
     stream: SharedStream,
-    seen: ConnectionSeen,
+    seen: ConnectionInfo,
     _slot: Slot,
 }
 
 /// A connection as its client sees it when it sends a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ConnectionSeen {
+pub struct ConnectionInfo {
     /// The client's end, by which the system's table of sockets names it.
     pub client: SocketAddr,
     /// When connecting began.
-    pub dialed_at: Instant,
+    pub connect_started_at: Instant,
     /// When it came up.
     pub connected_at: Instant,
     /// Requests that were answered on it before.
@@ -51,9 +51,9 @@
     #[default]
     Unsent,
     /// A connection is being made since then.
-    Dialing(Instant),
+    Connecting(Instant),
     /// It has been given to this connection.
-    Sent(ConnectionSeen),
+    Sent(ConnectionInfo),
 }
 
 /// The connections of all clients together.
@@ -63,14 +63,14 @@
     open: Rc<Cell<usize>>,
     idle: RefCell<Vec<Connection>>,
     /// Connections that were made.
-    pub made: Cell<u64>,
+    pub connections_opened: Cell<u64>,
 }
 
 impl Pool {
     /// To this target, so many at once.
     #[must_use]
     pub fn new(target: SocketAddr, most: usize) -> Self {
-        Self { target, most, open: Rc::default(), idle: RefCell::default(), made: Cell::new(0) }
+        Self { target, most, open: Rc::default(), idle: RefCell::default(), connections_opened: Cell::new(0) }
     }
 
     /// Where its connections go.
@@ -80,12 +80,12 @@
     }
 
     /// Sends a request and reads its whole answer. Dropped, it closes its connection.
-    pub async fn ask(&self, request: Request<Full<Bytes>>, keep: bool) -> Outcome {
-        self.ask_traced(request, keep, &Cell::default()).await
+    pub async fn send(&self, request: Request<Full<Bytes>>, keep: bool) -> Outcome {
+        self.send_with_progress(request, keep, &Cell::default()).await
     }
 
     /// The same, and tells how far it has come: also one that is dropped.
-    pub async fn ask_traced(
+    pub async fn send_with_progress(
         &self,
         mut request: Request<Full<Bytes>>,
         keep: bool,
@@ -160,16 +160,16 @@
         }
         self.open.set(self.open.get() + 1);
         let slot = Slot(Rc::clone(&self.open));
-        let dialed_at = Instant::now();
-        progress.set(Progress::Dialing(dialed_at));
+        let connect_started_at = Instant::now();
+        progress.set(Progress::Connecting(connect_started_at));
         let stream = TcpStream::connect(self.target).await.ok()?;
         stream.set_nodelay(true).ok()?;
         let client = stream.local_addr().ok()?;
-        let seen = ConnectionSeen { client, dialed_at, connected_at: Instant::now(), answered: 0 };
+        let seen = ConnectionInfo { client, connect_started_at, connected_at: Instant::now(), answered: 0 };
         let stream = SharedStream::new(stream);
         let (sender, connection) = http1::handshake(TokioIo::new(stream.clone())).await.ok()?;
         tokio::task::spawn_local(connection);
-        self.made.set(self.made.get() + 1);
+        self.connections_opened.set(self.connections_opened.get() + 1);
         Some(Connection { sender, stream, seen, _slot: slot })
     }
 }
--- a/crates/spurdrum-load/tests/engine.rs
+++ b/crates/spurdrum-load/tests/engine.rs
@@ -93,7 +93,13 @@
 }
 
 fn options(server: &Server) -> Options {
-    Options { target: server.address, seed: 1, closed: None, most: Duration::from_secs(60), threads: 1 }
+    Options {
+        target: server.address,
+        seed: 1,
+        closed: None,
+        max_duration: Duration::from_secs(60),
+        threads: 1,
+    }
 }
 
 fn play(plan: &Plan, arrivals: Arrivals, options: &Options) -> Report {
--- a/crates/spurdrum-load/tests/transport.rs
+++ b/crates/spurdrum-load/tests/transport.rs
@@ -58,7 +58,7 @@
         let mut outcomes = Vec::new();
         for _ in 0..times {
             let request = Request::get("/").header("host", "origin").body(Full::new(Bytes::new()));
-            outcomes.push(pool.ask(request.expect("sound"), true).await);
+            outcomes.push(pool.send(request.expect("sound"), true).await);
         }
         outcomes
     })
@@ -111,17 +111,17 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let pool = Pool::new(address, 10);
     let outcomes = LocalSet::new().block_on(&runtime, async {
-        let first = pool.ask(request(), true).await;
+        let first = pool.send(request(), true).await;
         let stand_still = || {
             end.send(()).expect("heard");
             has_ended.recv().expect("told");
         };
         if !looks_first {
             stand_still();
-            return (first, pool.ask(request(), true).await);
+            return (first, pool.send(request(), true).await);
         }
         // The first of these runs until it has handed its request to the task that writes it.
-        let (second, ()) = tokio::join!(pool.ask(request(), true), async { stand_still() });
+        let (second, ()) = tokio::join!(pool.send(request(), true), async { stand_still() });
         (first, second)
     });
     drop(pool);
