--- a/crates/spurdrum-bench/src/chaos.rs
+++ b/crates/spurdrum-bench/src/chaos.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use spurdrum_fleet::history::End;
-use spurdrum_fleet::kept::{hasty, play as played, Kept};
+use spurdrum_fleet::kept::{impossible_deadlines, play as played, SupervisedFleet};
 use spurdrum_fleet::run::Options;
 use spurdrum_fleet::scenario::{Kind, Scenario};
 use spurdrum_fleet::verdict;
@@ -43,7 +43,7 @@
     let (history, counts) = played(&Scenario::parse(&scenario)?, &options, |kept| {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut counts = Counts::default();
-        while kept.at() < for_s {
+        while kept.elapsed_s() < for_s {
             one(kept, &mut rng, &mut counts, nodes)
                 .map_err(|why| format!("rollout {} of seed {seed}: {why}", counts.rollouts))?;
         }
@@ -53,8 +53,8 @@
     println!("{rollouts} rollouts: {done} done, {back} taken back; faults: {faults:?}");
     println!("not as they should be: {}", wrong.len());
     wrong.iter().for_each(|wrong| println!("  {wrong}"));
-    let harmed = history.asked.iter().filter(|asked| asked.end != End::Served).count();
-    println!("{} requests, {harmed} not served", history.asked.len());
+    let harmed = history.requests.iter().filter(|asked| asked.end != End::Served).count();
+    println!("{} requests, {harmed} not served", history.requests.len());
     let broken = verdict::judge(&history);
     println!("requests for which a rule was broken: {}", broken.len());
     broken.iter().take(10).for_each(|broken| println!("  {broken}"));
@@ -65,24 +65,31 @@
 }
 
 /// One rollout, with faults until it is over.
-fn one(kept: &mut Kept, rng: &mut fastrand::Rng, counts: &mut Counts, nodes: usize) -> Result<(), String> {
+fn one(
+    kept: &mut SupervisedFleet,
+    rng: &mut fastrand::Rng,
+    counts: &mut Counts,
+    nodes: usize,
+) -> Result<(), String> {
     counts.rollouts += 1;
     let good = rng.f64() < 0.6;
     // Another content each time.
     let text = format!("# {}\nexec {{program}} \"$@\"", counts.rollouts);
     let build = kept.build(&format!("build{}", counts.rollouts), &text)?;
-    let settings =
-        kept.settings(&format!("settings{}", counts.rollouts), if good { |text| text } else { hasty })?;
+    let settings = kept.settings(
+        &format!("settings{}", counts.rollouts),
+        if good { |text| text } else { impossible_deadlines },
+    )?;
     let plan = kept.plan(&build, &settings, "replace", TIMES, STAGES)?;
-    let mut conductor = kept.conduct(&plan)?;
+    let mut conductor = kept.start_rollout(&plan)?;
     let began = Instant::now();
     let (done, said) = loop {
         let rest = Duration::from_millis(rng.u64(200..2500));
-        if let Ok(ended) = conductor.ended(rest) {
+        if let Ok(ended) = conductor.wait_until_exit(rest) {
             break ended;
         }
         if began.elapsed() > LONGEST {
-            return Err(format!("it does not end: {}", conductor.said()));
+            return Err(format!("it does not end: {}", conductor.output()));
         }
         // It must be able to end.
         if began.elapsed() > LONGEST / 2 {
@@ -92,34 +99,34 @@
         match rng.u8(..4) {
             0 => {
                 *counts.faults.entry("keeper killed").or_default() += 1;
-                kept.kill_keeper(node);
+                kept.kill_supervisor(node);
                 std::thread::sleep(Duration::from_millis(rng.u64(0..800)));
-                kept.start_keeper(node)?;
+                kept.start_supervisor(node)?;
             }
             1 => {
                 *counts.faults.entry("conductor killed").or_default() += 1;
                 drop(conductor);
                 std::thread::sleep(Duration::from_millis(rng.u64(0..800)));
-                conductor = kept.conduct(&plan)?;
+                conductor = kept.start_rollout(&plan)?;
             }
             2 => {
                 *counts.faults.entry("conductor stopped").or_default() += 1;
-                conductor.stop(true);
+                conductor.set_paused(true);
                 std::thread::sleep(Duration::from_millis(rng.u64(100..3000)));
-                conductor.stop(false);
+                conductor.set_paused(false);
             }
             _ => {
                 *counts.faults.entry("links broken").or_default() += 1;
                 let kind = [Kind::Stall, Kind::Cut, Kind::OneWay][rng.usize(..3)];
                 let some: Vec<usize> = (0..nodes).filter(|_| rng.f64() < 0.4).collect();
-                kept.links(some.iter().copied(), kind, true);
+                kept.set_link_fault(some.iter().copied(), kind, true);
                 std::thread::sleep(Duration::from_millis(rng.u64(100..3000)));
-                kept.links(some, kind, false);
+                kept.set_link_fault(some, kind, false);
             }
         }
     };
     let last = said.lines().last().unwrap_or_default().to_owned();
-    println!("{:>7.1} s  {}: {last}", kept.at(), if good { "good" } else { "bad" });
+    println!("{:>7.1} s  {}: {last}", kept.elapsed_s(), if good { "good" } else { "bad" });
     match done {
         true => counts.done += 1,
         false => counts.back += 1,
@@ -135,7 +142,7 @@
 }
 
 /// All nodes run one version: the change where it is done, another where it is not.
-fn one_version(kept: &Kept, nodes: usize, build: &Path, done: bool) -> Result<(), String> {
+fn one_version(kept: &SupervisedFleet, nodes: usize, build: &Path, done: bool) -> Result<(), String> {
     let since = Instant::now();
     let wanted = spurdrum_rollout::version::Hash::of_file(build).map_err(|error| error.to_string())?;
     loop {
@@ -152,7 +159,7 @@
 }
 
 /// The program that a node's keeper says it runs.
-fn runs(kept: &Kept, node: usize) -> Option<String> {
+fn runs(kept: &SupervisedFleet, node: usize) -> Option<String> {
     let status = kept.status(node)?;
     let settled = status["busy"].is_null() && status["ready"] == true;
     status["runs"]["program"].as_str().filter(|_| settled).map(str::to_owned)
--- a/crates/spurdrum-bench/src/rollout.rs
+++ b/crates/spurdrum-bench/src/rollout.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use spurdrum_fleet::history::{End, History};
-use spurdrum_fleet::kept::{hasty, play as played, Kept};
+use spurdrum_fleet::kept::{impossible_deadlines, play as played, SupervisedFleet};
 use spurdrum_fleet::run::Options;
 use spurdrum_fleet::scenario::Scenario;
 use spurdrum_fleet::verdict;
@@ -66,7 +66,7 @@
                      exec {program} --config \"$2.elsewhere\" --ops \"$4\"";
     vec![
         build("a good build", format!("# another\n{SOUND}")),
-        settings("settings with a deadline of 5 ms", hasty),
+        settings("settings with a deadline of 5 ms", impossible_deadlines),
         settings("settings with two servers of forty", |text| keep_servers(&text, 2)),
         build("a build that ends after 20 s", format!("{CHECKED}exec timeout -s KILL 20 {{program}} \"$@\"")),
         build("a build that is ready and listens elsewhere", format!("{CHECKED}{elsewhere}")),
@@ -116,45 +116,55 @@
     Ok(())
 }
 
-fn staged(kept: &mut Kept, change: &Change, files: (&Path, &Path), nodes: usize) -> Result<Did, String> {
+fn staged(
+    kept: &mut SupervisedFleet,
+    change: &Change,
+    files: (&Path, &Path),
+    nodes: usize,
+) -> Result<Did, String> {
     let plan = kept.plan(files.0, files.1, change.how, TIMES, STAGES)?;
-    let from = kept.at();
-    let mut conductor = kept.conduct(&plan)?;
+    let from = kept.elapsed_s();
+    let mut conductor = kept.start_rollout(&plan)?;
     let (mut began, mut stopped, mut reached) = (f64::NAN, f64::NAN, 0);
     let done = conductor.follow(LONG, |line| {
         println!("  {line}");
         if line.contains("runs the change") && began.is_nan() {
-            began = kept.at();
+            began = kept.elapsed_s();
         }
         if line.contains("going back: ") && stopped.is_nan() {
-            stopped = kept.at();
+            stopped = kept.elapsed_s();
         }
         let changed = line.split_once(&format!(" of {nodes} changed"));
         let changed = changed.and_then(|(line, _)| line.rsplit(' ').next()?.parse().ok());
         reached = reached.max(changed.unwrap_or(0));
     })?;
-    let said = conductor.said().lines().last().unwrap_or_default().to_owned();
+    let said = conductor.output().lines().last().unwrap_or_default().to_owned();
     if done {
-        stopped = kept.at();
+        stopped = kept.elapsed_s();
     }
     std::thread::sleep(REST);
-    Ok(Did { name: change.name.to_owned(), from, began, stopped, to: kept.at(), reached, said })
+    Ok(Did { name: change.name.to_owned(), from, began, stopped, to: kept.elapsed_s(), reached, said })
 }
 
-fn at_once(kept: &mut Kept, change: &Change, files: (&Path, &Path), nodes: usize) -> Result<Did, String> {
+fn at_once(
+    kept: &mut SupervisedFleet,
+    change: &Change,
+    files: (&Path, &Path),
+    nodes: usize,
+) -> Result<Did, String> {
     let times = format!("{AT_ONCE_TIMES}{nodes}\n");
     let plan = kept.plan(files.0, files.1, change.how, &times, AT_ONCE)?;
-    let from = kept.at();
-    let mut conductor = kept.conduct(&plan)?;
-    conductor.until("stage 1 of 1", LONG)?;
+    let from = kept.elapsed_s();
+    let mut conductor = kept.start_rollout(&plan)?;
+    conductor.wait_for("stage 1 of 1", LONG)?;
     std::thread::sleep(SEES);
-    let stopped = kept.at();
+    let stopped = kept.elapsed_s();
     drop(conductor);
-    let (_, said) = kept.back(&plan)?.ended(LONG)?;
+    let (_, said) = kept.start_rollback(&plan)?.wait_until_exit(LONG)?;
     std::thread::sleep(REST);
     let said = said.lines().last().unwrap_or_default().to_owned();
     let name = "to all at once, seen after 20 s".to_owned();
-    Ok(Did { name, from, began: from, stopped, to: kept.at(), reached: nodes, said })
+    Ok(Did { name, from, began: from, stopped, to: kept.elapsed_s(), reached: nodes, said })
 }
 
 fn table(history: &History, did: &[Did], nodes: usize) {
@@ -163,7 +173,7 @@
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
     for did in did {
-        let within = history.asked.iter().filter(|asked| (did.from..did.to).contains(&asked.due));
+        let within = history.requests.iter().filter(|asked| (did.from..did.to).contains(&asked.due));
         let (within, harmed): (Vec<_>, Vec<_>) = within.partition(|asked| asked.end == End::Served);
         let all = within.len() + harmed.len();
         let first = harmed.iter().map(|asked| asked.due).find(|due| *due >= did.began);
--- a/crates/spurdrum-demo/src/rollout.rs
+++ b/crates/spurdrum-demo/src/rollout.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use spurdrum_fleet::history::End;
-use spurdrum_fleet::kept::{hasty, play as played, Kept};
+use spurdrum_fleet::kept::{impossible_deadlines, play as played, SupervisedFleet};
 use spurdrum_fleet::run::Options;
 use spurdrum_fleet::scenario::Scenario;
 
@@ -58,14 +58,14 @@
         let same = kept.settings("same", |text| text)?;
         change(kept, &good, &same, "replace")?;
         println!("\nnew settings, legal and bad: a deadline of 5 ms:\n");
-        let from = kept.at();
-        let bad = kept.settings("bad", hasty)?;
+        let from = kept.elapsed_s();
+        let bad = kept.settings("bad", impossible_deadlines)?;
         change(kept, &good, &bad, "reload")?;
-        Ok((from, kept.at()))
+        Ok((from, kept.elapsed_s()))
     })?;
-    let bad = |asked: &&spurdrum_fleet::history::Asked| asked.end != End::Served;
+    let bad = |asked: &&spurdrum_fleet::history::RequestRecord| asked.end != End::Served;
     let (before, after): (Vec<_>, Vec<_>) =
-        history.asked.iter().filter(|asked| asked.due < to).partition(|asked| asked.due < from);
+        history.requests.iter().filter(|asked| asked.due < to).partition(|asked| asked.due < from);
     println!(
         "\nwhile the good one was rolled out {} of {} requests were not served; while the bad one was, {} of {}",
         before.iter().filter(|asked| bad(asked)).count(),
@@ -77,11 +77,11 @@
 }
 
 fn change(
-    kept: &mut Kept,
+    kept: &mut SupervisedFleet,
     program: &std::path::Path,
     settings: &std::path::Path,
     how: &str,
 ) -> Result<(), String> {
     let plan = kept.plan(program, settings, how, "before_s = 5\nclaims_s = 3", PLAN)?;
-    kept.conduct(&plan)?.follow(MOST, |line| println!("  {line}")).map(drop)
+    kept.start_rollout(&plan)?.follow(MOST, |line| println!("  {line}")).map(drop)
 }
--- a/crates/spurdrum-fleet/src/chart.rs
+++ b/crates/spurdrum-fleet/src/chart.rs
@@ -12,7 +12,7 @@
 pub fn page(title: &str, history: &History, table: &str) -> Result<String, String> {
     let seconds = history.length.ceil().max(1.0) as usize;
     let mut begun = vec![vec![0.0; seconds]; history.servers.len()];
-    for worked in history.worked.iter().filter(|worked| worked.begun >= 0.0) {
+    for worked in history.attempts.iter().filter(|worked| worked.begun >= 0.0) {
         if let Some(cell) = begun[worked.server].get_mut(worked.begun as usize) {
             *cell += history.servers[worked.server].work / history.servers[worked.server].workers as f64;
         }
--- a/crates/spurdrum-fleet/src/clients.rs
+++ b/crates/spurdrum-fleet/src/clients.rs
@@ -20,9 +20,9 @@
 use tokio::task::LocalSet;
 use tokio::time::{sleep_until, timeout_at};
 
-use crate::history::{Asked, End};
+use crate::history::{End, RequestRecord};
 use crate::scenario::Scenario;
-use crate::witness::{Statement, Witness};
+use crate::witness::{SocketObserver, SocketReport};
 
 /// Event loops of the clients.
 const LOOPS: usize = 4;
@@ -84,8 +84,8 @@
 
 /// The threads of clients that play.
 pub struct Playing {
-    threads: Vec<JoinHandle<Result<Vec<Asked>, String>>>,
-    statements: JoinHandle<Vec<Statement>>,
+    threads: Vec<JoinHandle<Result<Vec<RequestRecord>, String>>>,
+    statements: JoinHandle<Vec<SocketReport>>,
 }
 
 /// Starts the threads of all clients; they begin at once, and end with the scenario or with `stop`.
@@ -112,7 +112,7 @@
         let node = deal.deal(arrival.due_us as f64 / 1e6);
         shares[n % LOOPS].push((arrival, node));
     }
-    let (witness, statements) = Witness::start();
+    let (witness, statements) = SocketObserver::start();
     let begin = |(n, share): (usize, Vec<(Arrival, usize)>)| {
         let (nodes, scenario, seed) = (nodes.to_vec(), scenario.clone(), scenario.seed + n as u64);
         let (stop, witness) = (Arc::clone(stop), witness.clone());
@@ -132,13 +132,13 @@
 /// # Errors
 ///
 /// A client's thread could not play.
-pub fn gather(playing: Playing) -> Result<Vec<Asked>, String> {
+pub fn gather(playing: Playing) -> Result<Vec<RequestRecord>, String> {
     let mut asked = Vec::new();
     for thread in playing.threads {
         asked.extend(thread.join().map_err(|_| "a client's thread died".to_owned())??);
     }
     let statements = playing.statements.join().map_err(|_| "the witness's thread died".to_owned())?;
-    for Statement { request, sockets } in statements {
+    for SocketReport { request, sockets } in statements {
         let of = asked.iter_mut().filter(|asked| asked.id == request);
         of.for_each(|asked| asked.connection.get_or_insert_default().push_str(&format!("; {sockets}")));
     }
@@ -154,8 +154,8 @@
     start: Instant,
     seed: u64,
     stop: &AtomicBool,
-    witness: Witness,
-) -> Vec<Asked> {
+    witness: SocketObserver,
+) -> Vec<RequestRecord> {
     let pools: Vec<Pool> = nodes.iter().map(|node| Pool::new(*node, CONNECTIONS)).collect();
     let rng = RefCell::new(fastrand::Rng::with_seed(seed));
     let clients = Rc::new(Clients {
@@ -192,7 +192,7 @@
     slack: f64,
     rng: RefCell<fastrand::Rng>,
     start: Instant,
-    witness: Witness,
+    witness: SocketObserver,
 }
 
 impl Clients {
@@ -210,12 +210,12 @@
         // While its connection is still there.
         self.witness.look(arrival.id, pool.target(), progress.get());
         let ends = at(deadline + self.slack);
-        timeout_at(ends.into(), asked).await.map_or(End::Nothing, End::of)
+        timeout_at(ends.into(), asked).await.map_or(End::NoAnswer, End::of)
     }
 }
 
 /// Sends a request to its node, or to others where that cannot be reached. What became of it.
-async fn ask(arrival: Arrival, mut node: usize, clients: &Clients) -> Asked {
+async fn ask(arrival: Arrival, mut node: usize, clients: &Clients) -> RequestRecord {
     let (class, start) = (&clients.classes[usize::from(arrival.class)], clients.start);
     let now = || start.elapsed().as_secs_f64();
     let due = arrival.due_us as f64 / 1e6;
@@ -230,9 +230,9 @@
         // What stands before nodes notices that one is dead, and asks another.
         node = clients.rng.borrow_mut().usize(..clients.pools.len());
     }
-    let is_unanswered = matches!(end, End::Broken | End::Nothing);
+    let is_unanswered = matches!(end, End::Broken | End::NoAnswer);
     let connection = is_unanswered.then(|| shown(progress.get(), start));
-    Asked {
+    RequestRecord {
         id: arrival.id,
         node,
         effect: class.effect,
--- a/crates/spurdrum-fleet/src/figures.rs
+++ b/crates/spurdrum-fleet/src/figures.rs
@@ -5,7 +5,7 @@
 
 use hdrhistogram::Histogram;
 
-use crate::history::{Asked, End, History, Server};
+use crate::history::{End, History, RequestRecord, Server};
 
 /// Latencies are counted up to this many microseconds.
 const MOST: u64 = 600_000_000;
@@ -85,7 +85,7 @@
 #[must_use]
 pub fn between(history: &History, from: f64, to: f64) -> Figures {
     let within = |at: f64| (from..to).contains(&at);
-    let asked: Vec<_> = history.asked.iter().filter(|asked| within(asked.due)).collect();
+    let asked: Vec<_> = history.requests.iter().filter(|asked| within(asked.due)).collect();
     let part =
         |end: End| asked.iter().filter(|asked| asked.end == end).count() as f64 / asked.len().max(1) as f64;
     let hist = |values: &mut dyn Iterator<Item = f64>| {
@@ -99,7 +99,7 @@
     let ms = |hist: &Histogram<u64>, part: f64| hist.value_at_quantile(part) as f64 / 1000.0;
     let mut begun: Vec<Vec<f64>> = vec![Vec::new(); history.servers.len()];
     history
-        .worked
+        .attempts
         .iter()
         .filter(|worked| within(worked.begun))
         .for_each(|worked| begun[worked.server].push(worked.begun));
@@ -121,7 +121,7 @@
         offered: asked.len(),
         refused: part(End::Refused),
         failed: part(End::Failed) + part(End::Broken) + part(End::Unreached),
-        nothing: part(End::Nothing),
+        nothing: part(End::NoAnswer),
         attempts: sent as f64 / asked.len().max(1) as f64,
         least,
         most,
@@ -162,7 +162,7 @@
 /// Part of the server-seconds with a free worker while some server has two or more waiting.
 fn idle(history: &History, from: f64, to: f64) -> f64 {
     let mut steps: Vec<(f64, usize, i64)> = Vec::new();
-    for worked in &history.worked {
+    for worked in &history.attempts {
         steps.push((worked.begun, worked.server, 1));
         steps.extend(worked.ended.map(|at| (at, worked.server, -1)));
     }
@@ -218,7 +218,7 @@
 /// Seconds from the end of the last fault until sends in a second stay within this many times the spread before the first
 /// fault; none where that does not come within the run, or there was no fault.
 #[must_use]
-pub fn even_again(history: &History, times: f64) -> Option<f64> {
+pub fn recovery_s(history: &History, times: f64) -> Option<f64> {
     let first = history.faults.iter().map(|(from, _)| *from).reduce(f64::min)?;
     let last = history.faults.iter().map(|(_, to)| to.min(history.length)).reduce(f64::max)?;
     let before = between(history, (history.length / 5.0).min(first / 2.0), first).by_second;
@@ -243,7 +243,7 @@
     for server in &history.servers {
         sums.entry(key(server)).or_default().0 += size(server) * server.up(from, to);
     }
-    for worked in history.worked.iter().filter(|worked| (from..to).contains(&worked.begun)) {
+    for worked in history.attempts.iter().filter(|worked| (from..to).contains(&worked.begun)) {
         sums.entry(key(&history.servers[worked.server])).or_default().1 += 1.0;
     }
     let (sizes, sent) = sums.values().fold((0.0, 0.0), |all, sum| (all.0 + sum.0, all.1 + sum.1));
@@ -253,14 +253,14 @@
 
 /// The greatest herd in the second after a fault began or ended.
 #[must_use]
-pub fn herd_after(history: &History) -> f64 {
+pub fn max_herd_at_faults(history: &History) -> f64 {
     let edges = history.faults.iter().flat_map(|(from, to)| [*from, *to]).filter(|at| *at < history.length);
     edges.map(|at| between(history, at, at + 1.0).herd).fold(0.0, f64::max)
 }
 
 /// How many requests were not served of how many, a row for each second and a column for each node.
 #[must_use]
-pub fn not_served(asked: &[Asked]) -> String {
+pub fn not_served(asked: &[RequestRecord]) -> String {
     let mut counts: BTreeMap<u64, BTreeMap<usize, (u32, u32)>> = BTreeMap::new();
     for asked in asked {
         let count = counts.entry(asked.due as u64).or_default().entry(asked.node).or_default();
@@ -281,7 +281,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::history::{Asked, Worked};
+    use crate::history::{RequestRecord, ServerAttempt};
     use spurdrum_load::plan::Effect;
 
     fn server(name: &str, workers: usize) -> Server {
@@ -290,14 +290,14 @@
             workers,
             work: 0.04,
             drains_at: None,
-            cold: None,
-            still: Vec::new(),
-            lives: (0.0, f64::MAX),
+            slow_start: None,
+            paused: Vec::new(),
+            alive: (0.0, f64::MAX),
         }
     }
 
     fn history(worked: &[(usize, f64, f64)]) -> History {
-        let worked = worked.iter().enumerate().map(|(id, (server, begun, ended))| Worked {
+        let worked = worked.iter().enumerate().map(|(id, (server, begun, ended))| ServerAttempt {
             id: id as u64,
             server: *server,
             begun: *begun,
@@ -305,7 +305,7 @@
         });
         History {
             length: 10.0,
-            worked: worked.collect(),
+            attempts: worked.collect(),
             servers: vec![server("a", 1), server("b", 1)],
             ..History::default()
         }
@@ -318,7 +318,7 @@
         let idle = between(&history, 2.0, 10.0).idle;
         assert!((idle - 3.0 / 16.0).abs() < 1e-9, "{idle}");
         let mut still = history.clone();
-        still.servers[1].still.push((0.0, 20.0));
+        still.servers[1].paused.push((0.0, 20.0));
         assert_eq!(between(&still, 2.0, 10.0).idle, 0.0);
     }
 
@@ -327,8 +327,8 @@
         let mut history = history(&[]);
         history.servers = vec![server("a", 1), server("b", 3)];
         let at = |n: usize| 2.0 + n as f64 * 0.01;
-        history.worked = (0..400)
-            .map(|n| Worked {
+        history.attempts = (0..400)
+            .map(|n| ServerAttempt {
                 id: n as u64,
                 server: usize::from(n % 4 > 0),
                 begun: at(n),
@@ -337,7 +337,7 @@
             .collect();
         let even = between(&history, 2.0, 10.0);
         assert!(even.variation < 1e-9 && (even.least - 1.0).abs() < 1e-9);
-        history.worked.iter_mut().for_each(|worked| worked.server = usize::from(worked.id % 2 > 0));
+        history.attempts.iter_mut().for_each(|worked| worked.server = usize::from(worked.id % 2 > 0));
         let uneven = between(&history, 2.0, 10.0);
         assert!((uneven.most - 2.0).abs() < 1e-9 && (uneven.least - 2.0 / 3.0).abs() < 1e-9, "{uneven}");
     }
@@ -354,8 +354,8 @@
 
     #[test]
     fn answers_are_counted_by_their_ends() {
-        let ends = [End::Served, End::Served, End::Refused, End::Failed, End::Nothing];
-        let asked = ends.iter().enumerate().map(|(n, end)| Asked {
+        let ends = [End::Served, End::Served, End::Refused, End::Failed, End::NoAnswer];
+        let asked = ends.iter().enumerate().map(|(n, end)| RequestRecord {
             id: n as u64,
             node: 0,
             effect: Effect::Safe,
@@ -366,7 +366,7 @@
             deadline: 0.8,
             connection: None,
         });
-        let figures = of(&History { asked: asked.collect(), ..history(&[]) });
+        let figures = of(&History { requests: asked.collect(), ..history(&[]) });
         assert_eq!((figures.offered, figures.refused, figures.failed, figures.nothing), (5, 0.2, 0.2, 0.2));
         assert!((figures.p50 - 100.0).abs() < 1.0 && (figures.p99 - 200.0).abs() < 1.0, "{figures}");
     }
--- a/crates/spurdrum-fleet/src/history.rs
+++ b/crates/spurdrum-fleet/src/history.rs
@@ -17,7 +17,7 @@
     /// A connection that ended without one.
     Broken,
     /// No answer while its client waited, and a moment more.
-    Nothing,
+    NoAnswer,
     /// No node could be reached.
     Unreached,
 }
@@ -38,7 +38,7 @@
 
 /// One request, as its client saw it. Times are seconds from the start of the run.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Asked {
+pub struct RequestRecord {
     /// Its id.
     pub id: u64,
     /// The node that was asked.
@@ -61,7 +61,7 @@
 
 /// One attempt, as its server saw it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Worked {
+pub struct ServerAttempt {
     /// The request's id.
     pub id: u64,
     /// Place of the server in [`History::servers`].
@@ -84,16 +84,16 @@
     /// From when it takes nothing new by the list, where that comes, and discovery could be asked for it.
     pub drains_at: Option<f64>,
     /// While it warms up, where it started cold.
-    pub cold: Option<Cold>,
+    pub slow_start: Option<SlowStart>,
     /// Seconds in which it does nothing: from and to.
-    pub still: Vec<(f64, f64)>,
+    pub paused: Vec<(f64, f64)>,
     /// From when until when it is there, in seconds.
-    pub lives: (f64, f64),
+    pub alive: (f64, f64),
 }
 
 /// What a server can do while it is cold.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Cold {
+pub struct SlowStart {
     /// Requests a second once it is warm.
     pub rate: f64,
     /// Part of that at its start.
@@ -110,15 +110,15 @@
     /// Seconds of a stretch in which it could work.
     #[must_use]
     pub fn up(&self, from: f64, to: f64) -> f64 {
-        let (from, to) = (from.max(self.lives.0), to.min(self.lives.1));
-        let still = self.still.iter().map(|(a, b)| (b.min(to) - a.max(from)).max(0.0)).sum::<f64>();
+        let (from, to) = (from.max(self.alive.0), to.min(self.alive.1));
+        let still = self.paused.iter().map(|(a, b)| (b.min(to) - a.max(from)).max(0.0)).sum::<f64>();
         (to - from - still).max(0.0)
     }
 }
 
 /// What a node was told of a server, as its trace has it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Told {
+pub struct AvailabilityNotice {
     /// The node.
     pub node: usize,
     /// Place of the server in [`History::servers`].
@@ -131,7 +131,7 @@
 
 /// A server that a node chose, as its trace has it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Chosen {
+pub struct ServerChoice {
     /// The node.
     pub node: usize,
     /// The request's id.
@@ -144,7 +144,7 @@
 
 /// A stretch in which a node could not do what it has to: killed or stopped.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Away {
+pub struct NodeOutage {
     /// The node.
     pub node: usize,
     /// From.
@@ -155,7 +155,7 @@
 
 /// Links through which a server does not hear in time that a node has closed its connection.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Blind {
+pub struct ImpairedLinks {
     /// Nodes.
     pub nodes: Vec<usize>,
     /// Places of servers in [`History::servers`].
@@ -172,27 +172,27 @@
     /// Its length in seconds; the first fifth is left out of the figures.
     pub length: f64,
     /// Requests, in the order in which they were due.
-    pub asked: Vec<Asked>,
+    pub requests: Vec<RequestRecord>,
     /// Attempts, in the order in which they were begun.
-    pub worked: Vec<Worked>,
+    pub attempts: Vec<ServerAttempt>,
     /// The servers.
     pub servers: Vec<Server>,
     /// Stretches without a node.
-    pub away: Vec<Away>,
+    pub outages: Vec<NodeOutage>,
     /// Links that hide a close: by them, servers cannot tell whether an attempt was over.
-    pub blind: Vec<Blind>,
+    pub impaired_links: Vec<ImpairedLinks>,
     /// Faults: from and to.
     pub faults: Vec<(f64, f64)>,
     /// Connections that servers accepted.
     pub connections: u64,
     /// What nodes were told of servers, in the order of time; nothing where they keep no trace.
-    pub told: Vec<Told>,
+    pub notices: Vec<AvailabilityNotice>,
     /// What nodes chose, in the order of time; nothing where they keep no trace.
-    pub chosen: Vec<Chosen>,
+    pub choices: Vec<ServerChoice>,
     /// Lines that the nodes' traces lost.
-    pub lost: u64,
+    pub lost_trace_lines: u64,
     /// Attempts that the servers could not log, for want of room.
-    pub untold: u64,
+    pub unlogged_attempts: u64,
     /// Sums of the nodes' own figures, where they could be asked.
     pub telemetry: BTreeMap<String, u64>,
     /// What clocks, sockets and busy cores may be late by, in seconds.
--- a/crates/spurdrum-fleet/src/kept.rs
+++ b/crates/spurdrum-fleet/src/kept.rs
@@ -16,9 +16,9 @@
 use crate::clients;
 use crate::figures::not_served;
 use crate::files::{node_part, shared_part};
-use crate::history::{Away, History};
+use crate::history::{History, NodeOutage};
 use crate::links::Relays;
-use crate::process::{beside, call, held, sweep, Node};
+use crate::process::{kill_processes_naming, query, sibling_program, spawn_bound, Node};
 use crate::run::{history, Folder, Options};
 use crate::scenario::{Kind, Scenario};
 use crate::verdict;
@@ -32,7 +32,7 @@
 
 /// Settings that are legal and bad: aims of 4 ms and deadlines of 5 ms, in which no server can answer.
 #[must_use]
-pub fn hasty(settings: String) -> String {
+pub fn impossible_deadlines(settings: String) -> String {
     let line = |line: &str| match line.split_once(" = ") {
         Some(("aim_ms", _)) => "aim_ms = 4.0\n".to_owned(),
         Some(("deadline_ms", _)) => "deadline_ms = 5.0\n".to_owned(),
@@ -42,7 +42,7 @@
 }
 
 /// A fleet that is being played.
-pub struct Kept {
+pub struct SupervisedFleet {
     scenario: Scenario,
     folder: Folder,
     program: PathBuf,
@@ -55,7 +55,7 @@
     servers: Vec<(String, SocketAddr)>,
     catalog: SocketAddr,
     plans: usize,
-    away: Vec<Away>,
+    away: Vec<NodeOutage>,
     /// Ends what is left when the rig has gone.
     sweeper: Child,
 }
@@ -68,15 +68,15 @@
 }
 
 /// A conductor that runs, until it is dropped.
-pub struct Conductor {
+pub struct RolloutController {
     process: Node,
     log: PathBuf,
 }
 
-impl Conductor {
+impl RolloutController {
     /// What it has said.
     #[must_use]
-    pub fn said(&self) -> String {
+    pub fn output(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
 
@@ -85,15 +85,15 @@
     /// # Errors
     ///
     /// See above.
-    pub fn until(&mut self, what: &str, most: Duration) -> Result<(), String> {
+    pub fn wait_for(&mut self, what: &str, most: Duration) -> Result<(), String> {
         let since = Instant::now();
         loop {
-            let ended = self.process.status().is_some();
-            if self.said().contains(what) {
+            let ended = self.process.exit_status().is_some();
+            if self.output().contains(what) {
                 return Ok(());
             }
             if ended || since.elapsed() > most {
-                return Err(format!("it does not say `{what}` but\n{}", self.said()));
+                return Err(format!("it does not say `{what}` but\n{}", self.output()));
             }
             std::thread::sleep(LOOK);
         }
@@ -107,8 +107,8 @@
     pub fn follow(&mut self, most: Duration, mut show: impl FnMut(&str)) -> Result<bool, String> {
         let (since, mut shown) = (Instant::now(), 0);
         loop {
-            let status = self.process.status();
-            let said = self.said();
+            let status = self.process.exit_status();
+            let said = self.output();
             let whole = said.rfind('\n').map_or(0, |end| end + 1);
             said[shown..whole].lines().for_each(&mut show);
             shown = whole;
@@ -125,17 +125,17 @@
     /// # Errors
     ///
     /// The time is up.
-    pub fn ended(&mut self, most: Duration) -> Result<(bool, String), String> {
+    pub fn wait_until_exit(&mut self, most: Duration) -> Result<(bool, String), String> {
         let done = self.follow(most, |_| {})?;
-        Ok((done, self.said()))
+        Ok((done, self.output()))
     }
 
     /// Stops it in the middle of whatever it does, or lets it go on.
-    pub fn stop(&self, stops: bool) {
+    pub fn set_paused(&self, stops: bool) {
         if stops {
-            self.process.stop();
+            self.process.pause();
         } else {
-            self.process.go_on();
+            self.process.resume();
         }
     }
 }
@@ -148,10 +148,10 @@
 pub fn play<T>(
     scenario: &Scenario,
     options: &Options,
-    script: impl FnOnce(&mut Kept) -> Result<T, String>,
+    script: impl FnOnce(&mut SupervisedFleet) -> Result<T, String>,
 ) -> Result<(History, T), String> {
     let fleet = Fleet::start(&scenario.standins())?;
-    let mut kept = Kept::start(scenario, options, &fleet)?;
+    let mut kept = SupervisedFleet::start(scenario, options, &fleet)?;
     let begins = fleet.elapsed().as_secs_f64();
     kept.start = Instant::now();
     let stop = Arc::new(AtomicBool::new(false));
@@ -160,7 +160,7 @@
     stop.store(true, Ordering::Relaxed);
     let asked = clients::gather(playing)?;
     let said = said.map_err(|why| format!("{why}\n{}{}", not_served(&asked), kept.logs()))?;
-    let length = kept.at();
+    let length = kept.elapsed_s();
     let away = std::mem::take(&mut kept.away);
     let logs = kept.logs();
     drop(kept);
@@ -174,12 +174,12 @@
     Ok((seen, said))
 }
 
-impl Kept {
+impl SupervisedFleet {
     fn start(scenario: &Scenario, options: &Options, fleet: &Fleet) -> Result<Self, String> {
         let folder = Folder::make(options)?;
         let servers: Vec<(String, SocketAddr)> =
             fleet.servers.iter().map(|(name, at)| (name.clone(), *at)).collect();
-        let sweeper = Command::new(beside("spurdrum-fleet")?)
+        let sweeper = Command::new(sibling_program("spurdrum-fleet")?)
             .arg("sweep")
             .arg(&folder.path)
             .stdin(Stdio::piped())
@@ -207,7 +207,7 @@
         let wanted = kept.keepers.iter().enumerate().map(|(me, keeper)| ((me, vec![me]), keeper.address));
         kept.relays = Relays::start(address(0)?, wanted.collect::<Vec<_>>());
         for me in 0..scenario.nodes {
-            kept.start_keeper(me)?;
+            kept.start_supervisor(me)?;
         }
         let since = Instant::now();
         while let Some(me) = kept.nodes.iter().position(|node| !healthy(*node)) {
@@ -256,7 +256,7 @@
 
     /// Seconds since clients began.
     #[must_use]
-    pub fn at(&self) -> f64 {
+    pub fn elapsed_s(&self) -> f64 {
         self.start.elapsed().as_secs_f64()
     }
 
@@ -322,7 +322,7 @@
     /// # Errors
     ///
     /// It cannot be started.
-    pub fn conduct(&mut self, plan: &Path) -> Result<Conductor, String> {
+    pub fn start_rollout(&mut self, plan: &Path) -> Result<RolloutController, String> {
         self.rollout("start", plan)
     }
 
@@ -331,20 +331,20 @@
     /// # Errors
     ///
     /// It cannot be started.
-    pub fn back(&mut self, plan: &Path) -> Result<Conductor, String> {
+    pub fn start_rollback(&mut self, plan: &Path) -> Result<RolloutController, String> {
         self.rollout("back", plan)
     }
 
-    fn rollout(&mut self, what: &str, plan: &Path) -> Result<Conductor, String> {
+    fn rollout(&mut self, what: &str, plan: &Path) -> Result<RolloutController, String> {
         self.plans += 1;
         let log = self.folder.path.join(format!("conductor{}.log", self.plans));
         let args: Vec<OsString> = ["rollout".into(), what.into(), plan.as_os_str().to_owned()].into();
-        let process = held(&self.program, &args, &self.folder.path, &log)?;
-        Ok(Conductor { process, log })
+        let process = spawn_bound(&self.program, &args, &self.folder.path, &log)?;
+        Ok(RolloutController { process, log })
     }
 
     /// Has a keeper die.
-    pub fn kill_keeper(&mut self, me: usize) {
+    pub fn kill_supervisor(&mut self, me: usize) {
         self.keepers[me].process = None;
     }
 
@@ -353,11 +353,11 @@
     /// # Errors
     ///
     /// It cannot be started.
-    pub fn start_keeper(&mut self, me: usize) -> Result<(), String> {
+    pub fn start_supervisor(&mut self, me: usize) -> Result<(), String> {
         let keeper = &mut self.keepers[me];
         let args: Vec<OsString> = ["keeper".into(), keeper.file.clone().into_os_string()].into();
         let log = self.folder.path.join(format!("keeper{me}.log"));
-        keeper.process = Some(held(&self.program, &args, &self.folder.path, &log)?);
+        keeper.process = Some(spawn_bound(&self.program, &args, &self.folder.path, &log)?);
         Ok(())
     }
 
@@ -370,18 +370,18 @@
     /// What a keeper says of its node, asked past all relays; none where it does not answer.
     #[must_use]
     pub fn status(&self, me: usize) -> Option<Value> {
-        serde_json::from_str(&call(self.keepers[me].address, "\"ask\"")?).ok()
+        serde_json::from_str(&query(self.keepers[me].address, "\"ask\"")?).ok()
     }
 
     /// Links between conductors and these keepers break so, or are mended.
-    pub fn links(&self, nodes: impl IntoIterator<Item = usize>, kind: Kind, breaks: bool) {
+    pub fn set_link_fault(&self, nodes: impl IntoIterator<Item = usize>, kind: Kind, breaks: bool) {
         nodes.into_iter().for_each(|me| self.relays.step(me, kind, breaks, Duration::ZERO));
     }
 
     /// A node is known not to answer from now on, for so long: what it leaves unanswered breaks no rule.
-    pub fn excuse(&mut self, me: usize, seconds: f64) {
-        let from = self.at();
-        self.away.push(Away { node: me, from, to: from + seconds });
+    pub fn allow_unanswered(&mut self, me: usize, seconds: f64) {
+        let from = self.elapsed_s();
+        self.away.push(NodeOutage { node: me, from, to: from + seconds });
     }
 
     /// The last lines of all keepers' logs.
@@ -400,10 +400,10 @@
     }
 }
 
-impl Drop for Kept {
+impl Drop for SupervisedFleet {
     fn drop(&mut self) {
         self.keepers.iter_mut().for_each(|keeper| keeper.process = None);
-        sweep(&self.folder.path);
+        kill_processes_naming(&self.folder.path);
         // Its end is the sign for the sweeper, which has nothing left to do.
         drop(self.sweeper.stdin.take());
         let _ = self.sweeper.wait();
--- a/crates/spurdrum-fleet/src/main.rs
+++ b/crates/spurdrum-fleet/src/main.rs
@@ -99,14 +99,16 @@
 
 fn main() -> ExitCode {
     let done = match Cli::parse().command {
-        Command::Hold { parent, program, args } => return process::hold(parent, &program, &args),
+        Command::Hold { parent, program, args } => {
+            return process::exec_bound_to_parent(parent, &program, &args)
+        }
         Command::Sweep { folder } => {
-            process::sweep_after(&folder);
+            process::kill_after_parent(&folder);
             Ok(true)
         }
         Command::Check { scenario } => Scenario::read(&scenario).map(|_| true),
         Command::Measure { scenarios, seeds, nodes, loads, beside, references } => {
-            process::beside("spurdrum").and_then(|program| {
+            process::sibling_program("spurdrum").and_then(|program| {
                 let builds = builds(program, &beside);
                 let what = Measure { builds, seeds: (1..=seeds).collect(), nodes, loads, references };
                 let mut kept = true;
@@ -129,7 +131,7 @@
                     scenario.faults =
                         self::chaos(scenario.seed, count, scenario.for_s, scenario.catalog.is_none());
                 }
-                let program = program.map_or_else(|| process::beside("spurdrum"), Ok)?;
+                let program = program.map_or_else(|| process::sibling_program("spurdrum"), Ok)?;
                 let options = Options { keep, playing: Some(playing), ..Options::new(program) };
                 let again = format!(
                     "spurdrum-fleet run {} --seed {} --nodes {} --load {}{}",
@@ -205,7 +207,7 @@
             .iter()
             .for_each(|(capacity, part)| table += &format!("to {capacity:>5.0}/s {part:>10.3}\n"));
     }
-    if let Some(seconds) = figures::even_again(history, 1.2) {
+    if let Some(seconds) = figures::recovery_s(history, 1.2) {
         table += &format!("{:<12}{seconds:>10.1}\n", "even again");
     }
     table += &format!("{:<12}{:>10}\n", "connections", history.connections);
--- a/crates/spurdrum-fleet/src/measure.rs
+++ b/crates/spurdrum-fleet/src/measure.rs
@@ -84,8 +84,8 @@
 fn columns(history: &History) -> Vec<(&'static str, f64)> {
     let mut columns = Figures::columns(&figures::of(history)).to_vec();
     if !history.faults.is_empty() {
-        columns.push(("herd after", figures::herd_after(history)));
-        columns.push(("even again", figures::even_again(history, 1.2).unwrap_or(f64::INFINITY)));
+        columns.push(("herd after", figures::max_herd_at_faults(history)));
+        columns.push(("even again", figures::recovery_s(history, 1.2).unwrap_or(f64::INFINITY)));
     }
     columns.push(("connections", history.connections as f64));
     columns
--- a/crates/spurdrum-fleet/src/process.rs
+++ b/crates/spurdrum-fleet/src/process.rs
@@ -19,7 +19,7 @@
 
 /// What is needed to start a node, also again.
 #[derive(Clone, Debug)]
-pub struct Start {
+pub struct NodeSpec {
     /// Its name, for messages.
     pub name: String,
     /// The program.
@@ -50,14 +50,14 @@
 /// # Errors
 ///
 /// It cannot be started.
-pub fn held(program: &Path, args: &[OsString], folder: &Path, log: &Path) -> Result<Node, String> {
+pub fn spawn_bound(program: &Path, args: &[OsString], folder: &Path, log: &Path) -> Result<Node, String> {
     let open = || File::options().create(true).append(true).open(log);
     let (out, err) = (open(), open());
     let shown = |error| format!("{}: {error}", log.display());
     let own = std::env::current_exe().map_err(|error| error.to_string())?;
     let holds = own.file_stem().is_some_and(|name| name == "spurdrum-fleet");
     // In tests the rig is not the program that holds: the command beside it is.
-    let holder = if holds { own } else { beside("spurdrum-fleet")? };
+    let holder = if holds { own } else { sibling_program("spurdrum-fleet")? };
     let mut command = Command::new(holder);
     command.args(["hold", &std::process::id().to_string()]).arg(program).args(args);
     command.env("TMPDIR", folder).stdin(Stdio::null());
@@ -66,11 +66,12 @@
     Ok(Node { child })
 }
 
-impl Start {
+impl NodeSpec {
     /// Starts the process. It dies with the rig, however that ends.
     pub fn start(&self) -> Result<Node, String> {
         let args = ["--config".into(), self.file.clone().into_os_string()];
-        held(&self.program, &args, &self.folder, &self.log).map_err(|error| format!("{}: {error}", self.name))
+        spawn_bound(&self.program, &args, &self.folder, &self.log)
+            .map_err(|error| format!("{}: {error}", self.name))
     }
 
     /// Waits until it answers that it is healthy.
@@ -89,13 +90,13 @@
 
     /// Its figures, where it answers.
     pub fn telemetry(&self) -> Option<serde_json::Value> {
-        serde_json::from_str(&call(self.ops, "telemetry")?).ok()
+        serde_json::from_str(&query(self.ops, "telemetry")?).ok()
     }
 }
 
 /// Says a line to an address, and hears one; none where nobody answers within a second.
 #[must_use]
-pub fn call(at: SocketAddr, line: &str) -> Option<String> {
+pub fn query(at: SocketAddr, line: &str) -> Option<String> {
     let mut stream = TcpStream::connect_timeout(&at, Duration::from_secs(1)).ok()?;
     stream.set_read_timeout(Some(Duration::from_secs(1))).ok()?;
     stream.write_all(format!("{line}\n").as_bytes()).ok()?;
@@ -119,7 +120,7 @@
     }
 
     /// Stops it in the middle of whatever it does.
-    pub fn stop(&self) {
+    pub fn pause(&self) {
         self.signal(Signal::STOP);
     }
 
@@ -129,17 +130,17 @@
     }
 
     /// Lets it go on.
-    pub fn go_on(&self) {
+    pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
     /// How it ended, if it has.
-    pub fn status(&mut self) -> Option<ExitStatus> {
+    pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
     /// Whether it has ended by itself.
-    pub fn ended(&mut self) -> bool {
+    pub fn has_exited(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(Some(_)))
     }
 }
@@ -153,8 +154,8 @@
 }
 
 /// A program that has been built beside this one.
-pub fn beside(name: &str) -> Result<PathBuf, String> {
-    let program = spurdrum_harness::beside(name)?;
+pub fn sibling_program(name: &str) -> Result<PathBuf, String> {
+    let program = spurdrum_harness::program_path(name)?;
     match program.exists() {
         true => Ok(program),
         false => Err(format!("{} is not there: build it first", program.display())),
@@ -163,7 +164,7 @@
 
 /// Becomes a program that dies with the process that asked for it. Returns only where that fails.
 #[must_use]
-pub fn hold(parent: i32, program: &Path, args: &[String]) -> ExitCode {
+pub fn exec_bound_to_parent(parent: i32, program: &Path, args: &[String]) -> ExitCode {
     let set = set_parent_process_death_signal(Some(Signal::KILL));
     // It may have died before the signal was asked for.
     let alive = getppid().is_some_and(|pid| pid.as_raw_nonzero().get() == parent);
@@ -176,7 +177,7 @@
 }
 
 /// Ends every process whose command line names this folder, but for this one: those that outlive who started them.
-pub fn sweep(folder: &Path) {
+pub fn kill_processes_naming(folder: &Path) {
     let name = folder.as_os_str().as_encoded_bytes();
     let Ok(entries) = std::fs::read_dir("/proc") else { return };
     let numbers = entries.flatten().filter_map(|entry| entry.file_name().to_str()?.parse::<i32>().ok());
@@ -191,9 +192,9 @@
 }
 
 /// Waits until whoever started this has gone, and then sweeps.
-pub fn sweep_after(folder: &Path) {
+pub fn kill_after_parent(folder: &Path) {
     let mut said = Vec::new();
     // It says nothing; its end closes the pipe.
     let _ = std::io::stdin().read_to_end(&mut said);
-    sweep(folder);
+    kill_processes_naming(folder);
 }
--- a/crates/spurdrum-fleet/src/references.rs
+++ b/crates/spurdrum-fleet/src/references.rs
@@ -6,7 +6,7 @@
 
 use spurdrum_standin::scenario::Distribution;
 
-use crate::history::{Asked, End, History, Server, Worked};
+use crate::history::{End, History, RequestRecord, Server, ServerAttempt};
 use crate::scenario::Scenario;
 
 /// How the next server is chosen.
@@ -39,30 +39,30 @@
 }
 
 /// Something that ends: a request's work at a server.
-struct Ends {
+struct Completion {
     at: f64,
     server: usize,
-    asked: usize,
+    request: usize,
 }
 
-impl PartialEq for Ends {
+impl PartialEq for Completion {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other) == Ordering::Equal
     }
 }
 
-impl Eq for Ends {}
+impl Eq for Completion {}
 
-impl PartialOrd for Ends {
+impl PartialOrd for Completion {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Ends {
+impl Ord for Completion {
     fn cmp(&self, other: &Self) -> Ordering {
         // The heap gives the earliest first.
-        other.at.total_cmp(&self.at).then(other.asked.cmp(&self.asked))
+        other.at.total_cmp(&self.at).then(other.request.cmp(&self.request))
     }
 }
 
@@ -79,19 +79,24 @@
     let servers: Vec<Server> = history
         .servers
         .iter()
-        .filter(|server| server.lives.0 <= 0.0)
-        .map(|server| Server { still: Vec::new(), lives: (0.0, f64::MAX), drains_at: None, ..server.clone() })
+        .filter(|server| server.alive.0 <= 0.0)
+        .map(|server| Server {
+            paused: Vec::new(),
+            alive: (0.0, f64::MAX),
+            drains_at: None,
+            ..server.clone()
+        })
         .collect();
     let mut rng = fastrand::Rng::with_seed(scenario.seed);
     let sizes: Vec<f64> = servers.iter().map(|s| s.workers as f64 / s.work.max(1e-9)).collect();
     let all: f64 = sizes.iter().sum();
     let mut queues: Vec<Queue> = servers.iter().map(|_| Queue::default()).collect();
-    let nodes = history.asked.iter().map(|asked| asked.node + 1).max().unwrap_or(0);
+    let nodes = history.requests.iter().map(|request| request.node + 1).max().unwrap_or(0);
     let mut out: Vec<Vec<u32>> = vec![vec![0; servers.len()]; nodes];
     let mut turns: Vec<usize> = (0..nodes).map(|node| node * 7).collect();
-    let mut worked: Vec<Worked> = Vec::with_capacity(history.asked.len());
-    let mut asked: Vec<Asked> = history.asked.clone();
-    let mut ends: BinaryHeap<Ends> = BinaryHeap::new();
+    let mut attempts: Vec<ServerAttempt> = Vec::with_capacity(history.requests.len());
+    let mut requests: Vec<RequestRecord> = history.requests.clone();
+    let mut ends: BinaryHeap<Completion> = BinaryHeap::new();
     let by_size = |rng: &mut fastrand::Rng| {
         let mut draw = rng.f64() * all;
         sizes.iter().position(|size| {
@@ -99,23 +104,23 @@
             draw < 0.0
         })
     };
-    for n in 0..asked.len() {
-        let now = asked[n].due;
+    for n in 0..requests.len() {
+        let now = requests[n].due;
         while ends.peek().is_some_and(|next| next.at <= now) {
             let Some(end) = ends.pop() else { break };
             finish(
                 &end,
                 &mut queues,
                 &mut ends,
-                &mut asked,
-                &mut worked,
+                &mut requests,
+                &mut attempts,
                 &mut out,
                 &servers,
                 scenario,
                 &mut rng,
             );
         }
-        let node = asked[n].node;
+        let node = requests[n].node;
         let server = match way {
             Way::Random => by_size(&mut rng).unwrap_or(0),
             Way::RoundRobin => {
@@ -142,39 +147,57 @@
             }
         };
         out[node][server] += 1;
-        worked.push(Worked { id: n as u64, server, begun: now, ended: None });
+        attempts.push(ServerAttempt { id: n as u64, server, begun: now, ended: None });
         if queues[server].busy < servers[server].workers {
             queues[server].busy += 1;
-            ends.push(Ends { at: now + draw(&servers[server], scenario, &mut rng), server, asked: n });
+            ends.push(Completion {
+                at: now + draw(&servers[server], scenario, &mut rng),
+                server,
+                request: n,
+            });
         } else {
             queues[server].waits.push_back(n);
         }
     }
     while let Some(end) = ends.pop() {
-        finish(&end, &mut queues, &mut ends, &mut asked, &mut worked, &mut out, &servers, scenario, &mut rng);
+        finish(
+            &end,
+            &mut queues,
+            &mut ends,
+            &mut requests,
+            &mut attempts,
+            &mut out,
+            &servers,
+            scenario,
+            &mut rng,
+        );
     }
-    History { length: history.length, asked, worked, servers, ..History::default() }
+    History { length: history.length, requests, attempts, servers, ..History::default() }
 }
 
 #[allow(clippy::too_many_arguments)]
 fn finish(
-    end: &Ends,
+    end: &Completion,
     queues: &mut [Queue],
-    ends: &mut BinaryHeap<Ends>,
-    asked: &mut [Asked],
-    worked: &mut [Worked],
+    ends: &mut BinaryHeap<Completion>,
+    requests: &mut [RequestRecord],
+    attempts: &mut [ServerAttempt],
     out: &mut [Vec<u32>],
     servers: &[Server],
     scenario: &Scenario,
     rng: &mut fastrand::Rng,
 ) {
-    let (ended, server) = (&mut asked[end.asked], end.server);
+    let (ended, server) = (&mut requests[end.request], end.server);
     (ended.ended, ended.end, ended.lag) = (end.at, End::Served, 0.0);
-    worked[end.asked].ended = Some(end.at);
+    attempts[end.request].ended = Some(end.at);
     out[ended.node][server] -= 1;
     match queues[server].waits.pop_front() {
         Some(next) => {
-            ends.push(Ends { at: end.at + draw(&servers[server], scenario, rng), server, asked: next });
+            ends.push(Completion {
+                at: end.at + draw(&servers[server], scenario, rng),
+                server,
+                request: next,
+            });
         }
         None => queues[server].busy -= 1,
     }
@@ -204,17 +227,17 @@
             workers: 1,
             work: 0.01,
             drains_at: None,
-            cold: None,
-            still: Vec::new(),
-            lives: (0.0, f64::MAX),
+            slow_start: None,
+            paused: Vec::new(),
+            alive: (0.0, f64::MAX),
         };
         let mut rng = fastrand::Rng::with_seed(5);
         let mut due = 0.0;
-        let mut asked = Vec::new();
+        let mut requests = Vec::new();
         while due < 200.0 {
             due += -(1.0 - rng.f64()).ln() / 160.0;
-            let (effect, end) = (Effect::Safe, End::Nothing);
-            asked.push(Asked {
+            let (effect, end) = (Effect::Safe, End::NoAnswer);
+            requests.push(RequestRecord {
                 id: 0,
                 node: 0,
                 effect,
@@ -227,12 +250,13 @@
             });
         }
         let history =
-            History { length: 200.0, asked, servers: vec![server(0), server(1)], ..History::default() };
+            History { length: 200.0, requests, servers: vec![server(0), server(1)], ..History::default() };
         let mean = |way| {
             let played = play(&history, &scenario, way);
             let figures = figures::of(&played);
             assert_eq!((figures.nothing, figures.attempts), (0.0, 1.0));
-            played.asked.iter().map(|asked| asked.ended - asked.due).sum::<f64>() / played.asked.len() as f64
+            played.requests.iter().map(|request| request.ended - request.due).sum::<f64>()
+                / played.requests.len() as f64
         };
         // M/M/2 at 0.8 takes 1/(1 - 0.64) services, M/M/1 takes 5; joining the shortest of two queues is near the former.
         let (full, random) = (mean(Way::Full) / 0.01, mean(Way::Random) / 0.01);
--- a/crates/spurdrum-fleet/src/run.rs
+++ b/crates/spurdrum-fleet/src/run.rs
@@ -16,9 +16,12 @@
 use crate::clients;
 use crate::disks;
 use crate::files::{node_part, shared_part};
-use crate::history::{Asked, Away, Blind, Chosen, Cold, History, Server, Told, Worked};
+use crate::history::{
+    AvailabilityNotice, History, ImpairedLinks, NodeOutage, RequestRecord, Server, ServerAttempt,
+    ServerChoice, SlowStart,
+};
 use crate::links::{Relay, Relays};
-use crate::process::{Node, Start};
+use crate::process::{Node, NodeSpec};
 use crate::scenario::{workers, Fault, Kind, Scenario};
 use crate::schedule::{Schedule, Step};
 
@@ -115,7 +118,7 @@
     if scenario.trace {
         traced(&mut history, &traces, began_ms)?;
     }
-    history.blind = blind(scenario, &schedule, &servers, &history);
+    history.impaired_links = blind(scenario, &schedule, &servers, &history);
     Ok(history)
 }
 
@@ -147,13 +150,13 @@
 struct World<'a> {
     scenario: &'a Scenario,
     servers: Vec<String>,
-    starts: Vec<Start>,
+    starts: Vec<NodeSpec>,
     /// The nodes' files as they were at first.
     files: Vec<String>,
     nodes: Vec<Option<Node>>,
     links: Links,
     /// Stretches without a node; one that lasts has no end yet.
-    away: Vec<Away>,
+    away: Vec<NodeOutage>,
     /// Older copies of files, by fault and node.
     copies: HashMap<(usize, usize), disks::Copy>,
 }
@@ -167,7 +170,7 @@
         options: &Options,
         fleet: &Fleet,
         servers: &[(String, SocketAddr)],
-    ) -> Result<Start, String> {
+    ) -> Result<NodeSpec, String> {
         let scenario = self.scenario;
         let (on, name) = (address(me + 1)?, format!("n{me}"));
         let listen = free(on, 0)?;
@@ -190,7 +193,7 @@
         std::fs::create_dir_all(&own).map_err(|error| format!("{}: {error}", own.display()))?;
         let other = scenario.other.as_ref().filter(|other| (me as f64) < other.part * scenario.nodes as f64);
         let program = other.map_or(&options.program, |other| &other.program).clone();
-        Ok(Start {
+        Ok(NodeSpec {
             name: name.clone(),
             program,
             file: path,
@@ -220,7 +223,7 @@
 
     fn step(&mut self, step: &Step, schedule: &Schedule, start: Instant) -> Result<(), String> {
         let fault = &self.scenario.faults[step.fault];
-        let nodes = &schedule.befalls[step.fault].0;
+        let nodes = &schedule.targets[step.fault].0;
         match (fault.kind, step.begins) {
             (Kind::Kill | Kind::Torn, true) => {
                 self.kill(nodes, start);
@@ -234,9 +237,9 @@
             (Kind::Older, true) => {
                 for me in nodes {
                     // Nothing is written while it is copied.
-                    self.nodes[*me].iter().for_each(Node::stop);
+                    self.nodes[*me].iter().for_each(Node::pause);
                     let copy = disks::Copy::take(&self.starts[*me].folder);
-                    self.nodes[*me].iter().for_each(Node::go_on);
+                    self.nodes[*me].iter().for_each(Node::resume);
                     let copy = copy.map_err(|error| self.spoilt(*me, &error))?;
                     self.copies.insert((step.fault, *me), copy);
                 }
@@ -251,11 +254,11 @@
                 self.start_again(nodes, start)?;
             }
             (Kind::Stop, true) => nodes.iter().for_each(|me| {
-                self.nodes[*me].iter().for_each(Node::stop);
+                self.nodes[*me].iter().for_each(Node::pause);
                 self.leaves(*me, start);
             }),
             (Kind::Stop, false) => nodes.iter().for_each(|me| {
-                self.nodes[*me].iter().for_each(Node::go_on);
+                self.nodes[*me].iter().for_each(Node::resume);
                 self.returns(*me, start);
             }),
             (Kind::Kill | Kind::Torn, false) | (Kind::Late, true) => self.start_again(nodes, start)?,
@@ -265,7 +268,7 @@
                 if forgets {
                     self.kill(nodes, start);
                 }
-                let says = fault.kind.of_disk(fault.delay_ms).filter(|_| begins).unwrap_or_default();
+                let says = fault.kind.disk_instruction(fault.delay_ms).filter(|_| begins).unwrap_or_default();
                 for me in nodes {
                     std::fs::write(&self.starts[*me].disk, &says)
                         .map_err(|error| self.spoilt(*me, &error))?;
@@ -275,7 +278,7 @@
                 }
             }
             (Kind::Lists, begins) => {
-                let missing = &schedule.befalls[step.fault].1;
+                let missing = &schedule.targets[step.fault].1;
                 for me in nodes {
                     let lacks = if begins { &missing[..] } else { &[] };
                     self.list(*me, lacks).map_err(|error| self.spoilt(*me, &error))?;
@@ -308,12 +311,12 @@
     }
 
     fn leaves(&mut self, me: usize, start: Instant) {
-        self.away.push(Away { node: me, from: start.elapsed().as_secs_f64(), to: f64::INFINITY });
+        self.away.push(NodeOutage { node: me, from: start.elapsed().as_secs_f64(), to: f64::INFINITY });
     }
 
     /// A node that was never there does not return: it comes.
     fn returns(&mut self, me: usize, start: Instant) {
-        let open = |away: &&mut Away| away.node == me && away.to == f64::INFINITY;
+        let open = |away: &&mut NodeOutage| away.node == me && away.to == f64::INFINITY;
         if let Some(away) = self.away.iter_mut().find(open) {
             away.to = start.elapsed().as_secs_f64();
         }
@@ -351,10 +354,10 @@
     }
 
     /// Ends all processes. An error names one that had ended by itself.
-    fn end(mut self, schedule: &Schedule) -> Result<Vec<Away>, String> {
+    fn end(mut self, schedule: &Schedule) -> Result<Vec<NodeOutage>, String> {
         let late = schedule.late(self.scenario);
         for (me, node) in self.nodes.iter_mut().enumerate() {
-            if node.as_mut().is_some_and(Node::ended) && !late.contains(&me) {
+            if node.as_mut().is_some_and(Node::has_exited) && !late.contains(&me) {
                 let log = std::fs::read_to_string(&self.starts[me].log).unwrap_or_default();
                 let last = log.lines().last().unwrap_or_default();
                 return Err(format!("{} ended by itself; its log ends: {last}", self.starts[me].name));
@@ -366,7 +369,7 @@
 
 /// The links of a run.
 struct Links {
-    befalls: Vec<(Vec<usize>, Vec<usize>)>,
+    targets: Vec<(Vec<usize>, Vec<usize>)>,
     relays: Relays,
 }
 
@@ -376,13 +379,13 @@
         schedule: &Schedule,
         servers: &[(String, SocketAddr)],
     ) -> Result<Self, String> {
-        let of_links = |(fault, befalls): (&Fault, &(Vec<usize>, Vec<usize>))| match fault.kind.is_of_links()
-        {
-            true => befalls.clone(),
-            false => Default::default(),
-        };
-        let befalls = scenario.faults.iter().zip(&schedule.befalls).map(of_links).collect();
-        let mut links = Self { befalls, relays: Relays::default() };
+        let of_links =
+            |(fault, targets): (&Fault, &(Vec<usize>, Vec<usize>))| match fault.kind.affects_links() {
+                true => targets.clone(),
+                false => Default::default(),
+            };
+        let targets = scenario.faults.iter().zip(&schedule.targets).map(of_links).collect();
+        let mut links = Self { targets, relays: Relays::default() };
         let pairs = (0..scenario.nodes).flat_map(|node| (0..servers.len()).map(move |server| (node, server)));
         let wanted: BTreeSet<Relay> = pairs
             .map(|(node, server)| (server, links.faults(node, server)))
@@ -396,10 +399,10 @@
     /// The faults that befall the link between a node and a server.
     fn faults(&self, node: usize, server: usize) -> Vec<usize> {
         let met = |fault: &usize| {
-            let (nodes, servers) = &self.befalls[*fault];
+            let (nodes, servers) = &self.targets[*fault];
             servers.contains(&server) && nodes.contains(&node)
         };
-        (0..self.befalls.len()).filter(met).collect()
+        (0..self.targets.len()).filter(met).collect()
     }
 
     /// The relay that stands between a node and a server.
@@ -414,16 +417,16 @@
     schedule: &Schedule,
     servers: &[(String, SocketAddr)],
     history: &History,
-) -> Vec<Blind> {
-    let held = scenario.faults.iter().zip(&schedule.befalls).filter(|(fault, _)| {
+) -> Vec<ImpairedLinks> {
+    let held = scenario.faults.iter().zip(&schedule.targets).filter(|(fault, _)| {
         matches!(fault.kind, Kind::Stall | Kind::Delay | Kind::OneWay) && !fault.catalog
     });
     let place = |server: &usize| {
         history.servers.iter().position(|seen| Some(&seen.name) == servers.get(*server).map(|s| &s.0))
     };
-    held.map(|(fault, (nodes, befallen))| Blind {
+    held.map(|(fault, (nodes, target_servers))| ImpairedLinks {
         nodes: nodes.clone(),
-        servers: befallen.iter().filter_map(place).collect(),
+        servers: target_servers.iter().filter_map(place).collect(),
         from: fault.at_s,
         to: fault.for_s.map_or(scenario.for_s, |s| fault.at_s + s),
     })
@@ -440,7 +443,7 @@
 }
 
 /// From when until when a server is there: one that replaces another has the fault's place at the end of its name.
-fn lives(scenario: &Scenario, name: &str) -> (f64, f64) {
+fn lifetime(scenario: &Scenario, name: &str) -> (f64, f64) {
     let replaced = |fault: &&ServerFault| fault.kind == FaultKind::Replace;
     let by = name.rsplit_once('-').and_then(|(_, n)| n.parse::<usize>().ok());
     let from = by.and_then(|n| scenario.server_faults.get(n)).filter(replaced);
@@ -458,7 +461,7 @@
             let at = (at - began_ms) / 1000.0;
             match seen {
                 TraceEvent::ServerChanged { server, state } => {
-                    history.told.extend(places.get(&server).map(|server| Told {
+                    history.notices.extend(places.get(&server).map(|server| AvailabilityNotice {
                         node,
                         server: *server,
                         at,
@@ -468,20 +471,20 @@
                 TraceEvent::Placed { id, server, .. } => {
                     let id = u64::from_str_radix(&id, 16).ok();
                     let chosen = id.zip(places.get(&server));
-                    history.chosen.extend(chosen.map(|(id, server)| Chosen {
+                    history.choices.extend(chosen.map(|(id, server)| ServerChoice {
                         node,
                         id,
                         server: *server,
                         at,
                     }));
                 }
-                TraceEvent::Lost { lines } => history.lost = history.lost.max(lines),
+                TraceEvent::Lost { lines } => history.lost_trace_lines = history.lost_trace_lines.max(lines),
                 _ => {}
             }
         }
     }
-    history.told.sort_by(|a, b| a.at.total_cmp(&b.at));
-    history.chosen.sort_by(|a, b| a.at.total_cmp(&b.at));
+    history.notices.sort_by(|a, b| a.at.total_cmp(&b.at));
+    history.choices.sort_by(|a, b| a.at.total_cmp(&b.at));
     Ok(())
 }
 
@@ -490,14 +493,14 @@
     scenario: &Scenario,
     tally: &Tally,
     begins: f64,
-    asked: Vec<Asked>,
-    away: Vec<Away>,
+    requests: Vec<RequestRecord>,
+    outages: Vec<NodeOutage>,
     telemetry: BTreeMap<String, u64>,
 ) -> History {
     let names: Vec<&String> = tally.servers().keys().collect();
     let delay = scenario.catalog.as_ref().map_or(0.0, |script| script.delay_ms as f64 / 1000.0);
     let server = |name: &&String| {
-        let (spec, lives) = (scenario.spec_of(name), lives(scenario, name));
+        let (spec, alive) = (scenario.spec_of(name), lifetime(scenario, name));
         let of = scenario.server_faults.iter().filter(|fault| fault.on == **name);
         let drains = of.clone().filter(|fault| matches!(fault.kind, FaultKind::Drain | FaultKind::Replace));
         let still =
@@ -507,23 +510,23 @@
             workers: spec.map_or(1, workers),
             work: spec.map_or(1.0, |spec| spec.work_ms / 1000.0 / spec.speed),
             drains_at: drains.map(|fault| asked_from(scenario, fault.at_s + delay)).reduce(f64::min),
-            cold: spec.filter(|_| lives.0 > 0.0).map(|spec| Cold {
+            slow_start: spec.filter(|_| alive.0 > 0.0).map(|spec| SlowStart {
                 rate: workers(spec) as f64 * spec.speed * 1000.0 / spec.work_ms,
                 from: spec.cold_from,
                 lasts: spec.cold_s,
                 multiple: spec.fall_multiple,
                 window: spec.fall_s,
             }),
-            still: still.map(|fault| (fault.at_s, fault.at_s + fault.for_s.unwrap_or(1e9))).collect(),
-            lives,
+            paused: still.map(|fault| (fault.at_s, fault.at_s + fault.for_s.unwrap_or(1e9))).collect(),
+            alive,
         }
     };
     let servers: Vec<Server> = names.iter().map(server).collect();
     let at = |time: Duration| time.as_secs_f64() - begins;
-    let worked = tally.log().iter().filter_map(|work| {
+    let attempts = tally.log().iter().filter_map(|work| {
         let id = u64::from_str_radix(&work.id, 16).ok()?;
         let server = names.binary_search(&&work.server).ok()?;
-        Some(Worked { id, server, begun: at(work.begun), ended: work.ended.map(at) })
+        Some(ServerAttempt { id, server, begun: at(work.begun), ended: work.ended.map(at) })
     });
     let length = scenario.for_s;
     let of_nodes = scenario.faults.iter().map(|fault| (fault.at_s, fault.for_s));
@@ -531,13 +534,13 @@
     let faults = of_nodes.chain(of_servers).map(|(at, s)| (at, s.map_or(length, |s| at + s))).collect();
     History {
         length,
-        asked,
-        worked: worked.collect(),
+        requests,
+        attempts: attempts.collect(),
         servers,
-        away,
+        outages,
         faults,
         connections: tally.servers().values().map(|seen| seen.connections).sum(),
-        untold: tally.unlogged(),
+        unlogged_attempts: tally.unlogged(),
         telemetry,
         window: scenario.window_ms / 1000.0,
         slack: scenario.slack_s,
--- a/crates/spurdrum-fleet/src/scenario.rs
+++ b/crates/spurdrum-fleet/src/scenario.rs
@@ -152,13 +152,13 @@
 impl Kind {
     /// Whether it befalls links, and not processes.
     #[must_use]
-    pub fn is_of_links(self) -> bool {
+    pub fn affects_links(self) -> bool {
         matches!(self, Self::Cut | Self::Stall | Self::OneWay | Self::Delay | Self::Reset)
     }
 
     /// What a node's disk is told, where it befalls disks.
     #[must_use]
-    pub fn of_disk(self, delay_ms: u64) -> Option<String> {
+    pub fn disk_instruction(self, delay_ms: u64) -> Option<String> {
         match self {
             Self::DiskFull => Some("full".into()),
             Self::DiskSlow => Some(format!("slow {delay_ms}")),
@@ -227,7 +227,7 @@
             if matches!(fault.kind, Kind::Older | Kind::DiskForgets) && fault.for_s.is_none() {
                 return Err(("kind", 0, "an older copy, or a disk that forgets, needs `for_s`".into()));
             }
-            if fault.kind.of_disk(0).is_some() && !self.settings.contains("{disk}") {
+            if fault.kind.disk_instruction(0).is_some() && !self.settings.contains("{disk}") {
                 return Err((
                     "kind",
                     0,
@@ -237,7 +237,7 @@
             if fault.kind == Kind::Lists && self.catalog.is_some() {
                 return Err(("kind", 0, "lists differ where they stand in the nodes' files".into()));
             }
-            if fault.kind.is_of_links() && self.catalog.is_some() != fault.catalog {
+            if fault.kind.affects_links() && self.catalog.is_some() != fault.catalog {
                 let why = "links to servers break where the list stands in the nodes' files, that to the catalog where there is one";
                 return Err(("kind", 0, why.into()));
             }
--- a/crates/spurdrum-fleet/src/schedule.rs
+++ b/crates/spurdrum-fleet/src/schedule.rs
@@ -19,7 +19,7 @@
     /// In the order of their times.
     pub steps: Vec<Step>,
     /// By fault: the nodes and the servers that it befalls.
-    pub befalls: Vec<(Vec<usize>, Vec<usize>)>,
+    pub targets: Vec<(Vec<usize>, Vec<usize>)>,
 }
 
 impl Schedule {
@@ -38,14 +38,14 @@
                 drawn
             };
             let nodes = some(scenario.nodes, fault.nodes);
-            let servers = match fault.kind.is_of_links() {
+            let servers = match fault.kind.affects_links() {
                 // The catalog comes after the last server.
                 true if fault.catalog => vec![servers],
                 true => some(servers, fault.servers),
                 false if fault.kind == Kind::Lists => some(servers, fault.servers),
                 false => Vec::new(),
             };
-            schedule.befalls.push((nodes, servers));
+            schedule.targets.push((nodes, servers));
             schedule.steps.push(Step { at_s: fault.at_s, fault: n, begins: true });
             let ends = fault.for_s.map(|s| fault.at_s + s).filter(|_| fault.kind != Kind::Late);
             schedule.steps.extend(ends.map(|at_s| Step { at_s, fault: n, begins: false }));
@@ -57,7 +57,7 @@
     /// Nodes that are not there at the start.
     #[must_use]
     pub fn late(&self, scenario: &Scenario) -> Vec<usize> {
-        let late = scenario.faults.iter().zip(&self.befalls).filter(|(fault, _)| fault.kind == Kind::Late);
+        let late = scenario.faults.iter().zip(&self.targets).filter(|(fault, _)| fault.kind == Kind::Late);
         late.flat_map(|(_, (nodes, _))| nodes.iter().copied()).collect()
     }
 }
@@ -132,8 +132,8 @@
         let stall = "[[fault]]\nkind = 'stall'\nnodes = 0.5\nservers = 0.3\nat_s = 2\nfor_s = 4\n";
         let both = Schedule::new(&scenario(&format!("{stall}{kill}")), 10);
         let one = Schedule::new(&scenario(kill), 10);
-        assert_eq!(both.befalls[1], one.befalls[0]);
-        assert_eq!((both.befalls[0].0.len(), both.befalls[0].1.len(), both.befalls[1].0.len()), (10, 3, 12));
+        assert_eq!(both.targets[1], one.targets[0]);
+        assert_eq!((both.targets[0].0.len(), both.targets[0].1.len(), both.targets[1].0.len()), (10, 3, 12));
         let at: Vec<(f64, bool)> = both.steps.iter().map(|step| (step.at_s, step.begins)).collect();
         assert_eq!(at, [(2.0, true), (3.0, true), (4.0, false), (6.0, false)]);
     }
--- a/crates/spurdrum-fleet/src/verdict.rs
+++ b/crates/spurdrum-fleet/src/verdict.rs
@@ -5,7 +5,7 @@
 
 use spurdrum_load::plan::Effect;
 
-use crate::history::{Blind, End, History, Told, Worked};
+use crate::history::{AvailabilityNotice, End, History, ImpairedLinks, ServerAttempt};
 
 /// A server that drains gets nothing new so long after its nodes were told, in seconds.
 const DRAIN: f64 = 0.25;
@@ -62,29 +62,29 @@
 #[must_use]
 pub fn judge(history: &History) -> Vec<Broken> {
     let mut broken = Vec::new();
-    let mut by_id: HashMap<u64, Vec<&Worked>> = HashMap::new();
-    history.worked.iter().for_each(|worked| by_id.entry(worked.id).or_default().push(worked));
-    for asked in &history.asked {
+    let mut by_id: HashMap<u64, Vec<&ServerAttempt>> = HashMap::new();
+    history.attempts.iter().for_each(|worked| by_id.entry(worked.id).or_default().push(worked));
+    for asked in &history.requests {
         // A node that was killed or stopped meanwhile could not answer.
-        let away = |a: &&crate::history::Away| {
+        let away = |a: &&crate::history::NodeOutage| {
             a.node == asked.node && a.from <= asked.ended + history.slack && a.to + history.slack >= asked.due
         };
-        if matches!(asked.end, End::Nothing | End::Broken) && !history.away.iter().any(|a| away(&a)) {
+        if matches!(asked.end, End::NoAnswer | End::Broken) && !history.outages.iter().any(|a| away(&a)) {
             let what = if asked.end == End::Broken { "broke off after" } else { "said nothing for" };
             let connection = asked.connection.as_deref().unwrap_or("connection not noted");
             let seen = format!("node {} {what} {:.3} s ({connection})", asked.node, asked.ended - asked.due);
             broken.push(Broken { rule: Rule::Answered, id: asked.id, at: asked.due, seen });
         }
         let Some(runs) = by_id.get(&asked.id) else { continue };
-        let name = |worked: &Worked| history.servers[worked.server].name.as_str();
+        let name = |worked: &ServerAttempt| history.servers[worked.server].name.as_str();
         for pair in runs.windows(2) {
             // A server hears of an end a moment after its node made it.
             let over = pair[0].ended.is_some_and(|ended| ended <= pair[1].begun + history.slack);
-            let blind = |blind: &Blind| {
+            let blind = |blind: &ImpairedLinks| {
                 let met = blind.nodes.contains(&asked.node) && blind.servers.contains(&pair[0].server);
                 met && blind.from <= pair[1].begun && blind.to + history.slack >= pair[0].begun
             };
-            if !over && !history.blind.iter().any(blind) {
+            if !over && !history.impaired_links.iter().any(blind) {
                 let seen = format!("begun at {} while {} worked on it", name(pair[1]), name(pair[0]));
                 broken.push(Broken { rule: Rule::OneAtATime, id: asked.id, at: pair[1].begun, seen });
             }
@@ -95,7 +95,7 @@
             }
         }
     }
-    for worked in &history.worked {
+    for worked in &history.attempts {
         let server = &history.servers[worked.server];
         if server.drains_at.is_some_and(|at| worked.begun > at + TOLD + DRAIN + history.slack) {
             let seen = format!("{} drained from {:.3} s", server.name, server.drains_at.unwrap_or_default());
@@ -111,10 +111,10 @@
 /// Choices of nodes that had been told a while before that the server takes nothing new. A node that was not there, or stopped,
 /// was told by what it wrote itself.
 fn told(history: &History) -> Vec<Broken> {
-    let mut last: HashMap<(usize, usize), &Told> = HashMap::new();
+    let mut last: HashMap<(usize, usize), &AvailabilityNotice> = HashMap::new();
     let mut broken = Vec::new();
-    let mut told = history.told.iter().peekable();
-    for chosen in &history.chosen {
+    let mut told = history.notices.iter().peekable();
+    for chosen in &history.choices {
         while let Some(told) = told.next_if(|told| told.at <= chosen.at) {
             last.insert((told.node, told.server), told);
         }
@@ -133,19 +133,19 @@
 fn pressed(history: &History) -> Vec<Broken> {
     let mut broken = Vec::new();
     for (place, server) in history.servers.iter().enumerate() {
-        let Some(cold) = server.cold else { continue };
+        let Some(cold) = server.slow_start else { continue };
         let part =
-            |at: f64| (cold.from + (1.0 - cold.from) * (at - server.lives.0) / cold.lasts).clamp(0.0, 1.0);
+            |at: f64| (cold.from + (1.0 - cold.from) * (at - server.alive.0) / cold.lasts).clamp(0.0, 1.0);
         let mut window = std::collections::VecDeque::new();
-        for worked in history.worked.iter().filter(|worked| worked.server == place) {
+        for worked in history.attempts.iter().filter(|worked| worked.server == place) {
             window.push_back(worked.begun);
             while window.front().is_some_and(|first| *first < worked.begun - cold.window) {
                 window.pop_front();
             }
-            let first = (worked.begun - cold.window).max(server.lives.0);
+            let first = (worked.begun - cold.window).max(server.alive.0);
             let mean = (part(first) + part(worked.begun)) / 2.0;
             let bears = cold.multiple * cold.window * cold.rate * mean;
-            let is_cold = worked.begun < server.lives.0 + cold.lasts;
+            let is_cold = worked.begun < server.alive.0 + cold.lasts;
             if is_cold && window.len() as f64 > bears + 2.0 * bears.sqrt() + 2.0 {
                 let seen = format!(
                     "the {}th within {} s at {}, which bears {bears:.1}",
--- a/crates/spurdrum-fleet/src/witness.rs
+++ b/crates/spurdrum-fleet/src/witness.rs
@@ -13,14 +13,14 @@
 
 /// What was seen of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Statement {
+pub struct SocketReport {
     /// The request's id.
     pub request: u64,
     /// The node's sockets.
     pub sockets: String,
 }
 
-struct Question {
+struct SocketQuery {
     request: u64,
     node: SocketAddr,
     client: Option<SocketAddr>,
@@ -28,19 +28,19 @@
 
 /// Whom clients tell of requests without an answer. They never wait for it.
 #[derive(Clone)]
-pub struct Witness(SyncSender<Question>);
+pub struct SocketObserver(SyncSender<SocketQuery>);
 
-impl Witness {
+impl SocketObserver {
     /// Starts its thread, which ends with the last witness.
     #[must_use]
-    pub fn start() -> (Self, JoinHandle<Vec<Statement>>) {
-        let (tell, told) = sync_channel::<Question>(REQUESTS_MOST);
+    pub fn start() -> (Self, JoinHandle<Vec<SocketReport>>) {
+        let (tell, told) = sync_channel::<SocketQuery>(REQUESTS_MOST);
         let look = move || {
             let mut statements = Vec::new();
-            for Question { request, node, client } in told {
+            for SocketQuery { request, node, client } in told {
                 if statements.len() < REQUESTS_MOST {
                     let sockets = sockets::of_node(node, client);
-                    statements.push(Statement { request, sockets });
+                    statements.push(SocketReport { request, sockets });
                 }
             }
             statements
@@ -55,6 +55,6 @@
             Progress::Unsent | Progress::Dialing(_) => None,
         };
         // With many at once, the first tell enough.
-        let _ = self.0.try_send(Question { request, node, client });
+        let _ = self.0.try_send(SocketQuery { request, node, client });
     }
 }
--- a/crates/spurdrum-fleet/tests/common/mod.rs
+++ b/crates/spurdrum-fleet/tests/common/mod.rs
@@ -20,7 +20,7 @@
     let _alone = ALONE.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
     let history = run(scenario, &options()).expect("plays");
     let broken: Vec<String> = verdict::judge(&history).iter().map(ToString::to_string).collect();
-    assert!(broken.is_empty(), "{} of {} requests: {broken:#?}", broken.len(), history.asked.len());
-    assert!(history.asked.len() > 500 && history.untold == 0, "{}", history.asked.len());
+    assert!(broken.is_empty(), "{} of {} requests: {broken:#?}", broken.len(), history.requests.len());
+    assert!(history.requests.len() > 500 && history.unlogged_attempts == 0, "{}", history.requests.len());
     history
 }
--- a/crates/spurdrum-fleet/tests/faults.rs
+++ b/crates/spurdrum-fleet/tests/faults.rs
@@ -32,13 +32,14 @@
 }
 
 fn served(history: &History, from: f64, to: f64) -> f64 {
-    let due: Vec<_> = history.asked.iter().filter(|asked| (from..to).contains(&asked.due)).collect();
+    let due: Vec<_> = history.requests.iter().filter(|asked| (from..to).contains(&asked.due)).collect();
     due.iter().filter(|asked| asked.end == End::Served).count() as f64 / due.len().max(1) as f64
 }
 
 fn begun(history: &History, server: &str, from: f64, to: f64) -> usize {
     let within = |at: f64| (from..to).contains(&at);
-    let seen = history.worked.iter().filter(|w| history.servers[w.server].name == server && within(w.begun));
+    let seen =
+        history.attempts.iter().filter(|w| history.servers[w.server].name == server && within(w.begun));
     seen.count()
 }
 
@@ -46,17 +47,17 @@
 fn nodes_killed_at_once_come_back_and_all_serve_again() {
     let history = kept(&scenario("[[fault]]\nkind = 'kill'\nnodes = 0.6\nat_s = 2\nfor_s = 0.5\n"));
     assert_eq!(history.telemetry["nodes"], 12);
-    assert_eq!(history.away.len(), 7);
+    assert_eq!(history.outages.len(), 7);
     assert!(served(&history, 0.0, 1.5) > 0.95 && served(&history, 4.5, 6.0) > 0.9);
-    let back: Vec<usize> = history.away.iter().map(|away| away.node).collect();
-    let by_them = history.asked.iter().filter(|a| a.due > 4.5 && back.contains(&a.node)).count();
+    let back: Vec<usize> = history.outages.iter().map(|away| away.node).collect();
+    let by_them = history.requests.iter().filter(|a| a.due > 4.5 && back.contains(&a.node)).count();
     assert!(by_them > 50, "{by_them}");
 }
 
 #[test]
 fn nodes_that_were_stopped_go_on_in_the_same_instant() {
     let history = kept(&scenario("[[fault]]\nkind = 'stop'\nnodes = 0.5\nat_s = 1.5\nfor_s = 2\n"));
-    assert_eq!(history.away.len(), 6);
+    assert_eq!(history.outages.len(), 6);
     assert!(served(&history, 5.0, 6.0) > 0.9, "{}", figures::of(&history));
     let least = (0..6).map(|n| begun(&history, &format!("s{n}"), 4.5, 6.0)).min();
     assert!(least > Some(10), "{least:?}");
@@ -116,7 +117,7 @@
     let history = kept(&scenario(&more));
     assert_eq!(history.servers.len(), 9);
     assert!(served(&history, 1.0, 6.0) > 0.8, "{}", figures::of(&history));
-    let new = history.worked.iter().filter(|w| history.servers[w.server].lives.0 > 0.0).count();
+    let new = history.attempts.iter().filter(|w| history.servers[w.server].alive.0 > 0.0).count();
     assert!(new > 10, "{new} at servers that replaced others");
 }
 
@@ -127,7 +128,7 @@
     let faults = "[[fault]]\nkind = 'torn'\nnodes = 0.5\nat_s = 2\nfor_s = 0.3\n\
         [[fault]]\nkind = 'older'\nnodes = 0.5\nat_s = 1\nfor_s = 2.5\n";
     let history = kept(&Scenario::parse(&format!("{settings}{FLEET}{faults}")).expect("sound"));
-    assert_eq!(history.away.len(), 12);
+    assert_eq!(history.outages.len(), 12);
     assert_eq!(history.telemetry["nodes"], 12);
     assert!(served(&history, 4.5, 6.0) > 0.9, "{}", figures::of(&history));
 }
@@ -144,7 +145,7 @@
     let faults =
         [fault("full", ""), fault("slow", "delay_ms = 300"), fault("unsynced", ""), fault("forgets", "")];
     let history = kept(&Scenario::parse(&format!("{settings}{FLEET}{}", faults.concat())).expect("sound"));
-    assert_eq!(history.away.len(), 4, "those that forgot were killed");
+    assert_eq!(history.outages.len(), 4, "those that forgot were killed");
     assert_eq!(history.telemetry["nodes"], 12, "no disk ends a node");
     assert!(served(&history, 1.0, 3.4) > 0.95 && served(&history, 4.5, 6.0) > 0.9);
 }
@@ -154,13 +155,17 @@
 fn nodes_whose_lists_differ_send_nothing_where_they_were_told_not_to() {
     let faults = "[[fault]]\nkind = 'lists'\nnodes = 0.5\nservers = 0.34\nat_s = 1.5\nfor_s = 2\n";
     let history = kept(&traced(scenario(&format!("[[lean]]\nnodes = 0.2\nshare = 0.4\n{faults}"))));
-    let told: Vec<_> = history.told.iter().filter(|told| told.at > 1.0).collect();
-    assert_eq!((told.len(), history.lost), (2 * 6 * 2, 0), "six nodes, two servers, gone and back");
+    let told: Vec<_> = history.notices.iter().filter(|told| told.at > 1.0).collect();
+    assert_eq!(
+        (told.len(), history.lost_trace_lines),
+        (2 * 6 * 2, 0),
+        "six nodes, two servers, gone and back"
+    );
     let without = |at: f64| (2.0..3.4).contains(&at);
     let gone = |node, server| told.iter().any(|told| (told.node, told.server) == (node, server));
-    assert!(history.chosen.iter().all(|c| !(without(c.at) && gone(c.node, c.server))));
-    assert!(history.chosen.iter().any(|c| c.at > 4.5 && gone(c.node, c.server)), "they are used again");
-    assert!(history.chosen.len() >= history.worked.len(), "all that servers saw was chosen");
+    assert!(history.choices.iter().all(|c| !(without(c.at) && gone(c.node, c.server))));
+    assert!(history.choices.iter().any(|c| c.at > 4.5 && gone(c.node, c.server)), "they are used again");
+    assert!(history.choices.len() >= history.attempts.len(), "all that servers saw was chosen");
     assert!(served(&history, 1.5, 3.5) > 0.9, "{}", figures::of(&history));
 }
 
@@ -172,10 +177,10 @@
         more += &format!("[[server_fault]]\non = 's{n}'\nkind = 'drain'\nat_s = 2\n");
     }
     let history = kept(&traced(scenario(&more)));
-    let heard = history.told.iter().filter(|told| told.at > 1.0 && !told.ready);
+    let heard = history.notices.iter().filter(|told| told.at > 1.0 && !told.ready);
     let heard: BTreeSet<_> = heard.map(|told| (told.node, told.server)).collect();
     assert_eq!(heard.len(), 2 * 12, "each node heard of each");
-    assert!(history.chosen.iter().any(|c| c.at > 4.0) && served(&history, 3.0, 6.0) > 0.9);
+    assert!(history.choices.iter().any(|c| c.at > 4.0) && served(&history, 3.0, 6.0) > 0.9);
 }
 
 /// Nodes that are told of so many that a catalog could not answer all at once, while one server drains eight times within six seconds
@@ -191,10 +196,10 @@
     }
     let crowd = Scenario { told: Some(20_000), for_s: 8.0, ..scenario(&more) };
     let history = kept(&traced(crowd));
-    let killed: BTreeSet<_> = history.away.iter().map(|away| away.node).collect();
+    let killed: BTreeSet<_> = history.outages.iter().map(|away| away.node).collect();
     assert_eq!(killed.len(), 4);
     for node in (0..12).filter(|node| !killed.contains(node)) {
-        let heard = history.told.iter().filter(|told| told.node == node && !told.ready).count();
+        let heard = history.notices.iter().filter(|told| told.node == node && !told.ready).count();
         assert!(heard >= 6, "n{node} heard of {heard} of 8");
     }
     assert!(served(&history, 2.0, 8.0) > 0.9, "{}", figures::of(&history));
--- a/crates/spurdrum-fleet/tests/rollout.rs
+++ b/crates/spurdrum-fleet/tests/rollout.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use spurdrum_fleet::history::{End, History};
-use spurdrum_fleet::kept::{hasty, play, Kept};
+use spurdrum_fleet::kept::{impossible_deadlines, play, SupervisedFleet};
 use spurdrum_fleet::run::Options;
 use spurdrum_fleet::scenario::{Kind, Scenario};
 use spurdrum_fleet::verdict;
@@ -26,29 +26,34 @@
 
 const LONG: Duration = Duration::from_secs(90);
 
-fn rollout<T>(script: impl FnOnce(&mut Kept) -> Result<T, String>) -> (History, T) {
+fn rollout<T>(script: impl FnOnce(&mut SupervisedFleet) -> Result<T, String>) -> (History, T) {
     let _alone = ALONE.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
     let program = spurdrum_harness::program().expect("the program is built");
     let options = Options::new(program);
     let scenario = Scenario::parse(FLEET).expect("sound");
     let played = play(&scenario, &options, script).unwrap_or_else(|why| panic!("{why}"));
     let broken: Vec<String> = verdict::judge(&played.0).iter().map(ToString::to_string).collect();
-    assert!(broken.is_empty(), "{} of {} requests: {broken:#?}", broken.len(), played.0.asked.len());
+    assert!(broken.is_empty(), "{} of {} requests: {broken:#?}", broken.len(), played.0.requests.len());
     played
 }
 
 fn part(history: &History, end: End) -> f64 {
-    let of = history.asked.iter().filter(|asked| asked.end == end).count();
-    of as f64 / history.asked.len().max(1) as f64
+    let of = history.requests.iter().filter(|asked| asked.end == end).count();
+    of as f64 / history.requests.len().max(1) as f64
 }
 
 /// A plan whose stages are the usual ones.
-fn plan(kept: &mut Kept, program: &Path, settings: &Path, how: &str) -> Result<std::path::PathBuf, String> {
+fn plan(
+    kept: &mut SupervisedFleet,
+    program: &Path,
+    settings: &Path,
+    how: &str,
+) -> Result<std::path::PathBuf, String> {
     kept.plan(program, settings, how, TIMES, STAGES)
 }
 
 /// Waits until each node's keeper says that this runs, and that it is at no step.
-fn all_run(kept: &Kept, what: &str) -> Result<(), String> {
+fn all_run(kept: &SupervisedFleet, what: &str) -> Result<(), String> {
     let since = Instant::now();
     for me in 0..kept.nodes.len() {
         loop {
@@ -78,21 +83,21 @@
         let good = kept.build("good", "# another text\nexec {program} \"$@\"")?;
         let settings = kept.settings("same", |text| text)?;
         let plan = plan(kept, &good, &settings, "replace")?;
-        let mut first = kept.conduct(&plan)?;
-        first.until("stage 1: all changed", LONG)?;
+        let mut first = kept.start_rollout(&plan)?;
+        first.wait_for("stage 1: all changed", LONG)?;
         drop(first);
         // Another goes on from what is true.
-        let mut second = kept.conduct(&plan)?;
-        second.until("1 nodes run the change already", LONG)?;
-        second.until("stage 2 of 3", LONG)?;
-        kept.kill_keeper(1);
+        let mut second = kept.start_rollout(&plan)?;
+        second.wait_for("1 nodes run the change already", LONG)?;
+        second.wait_for("stage 2 of 3", LONG)?;
+        kept.kill_supervisor(1);
         std::thread::sleep(Duration::from_millis(300));
-        kept.start_keeper(1)?;
-        second.until("stage 3 of 3", LONG)?;
-        kept.links(0..4, Kind::Stall, true);
+        kept.start_supervisor(1)?;
+        second.wait_for("stage 3 of 3", LONG)?;
+        kept.set_link_fault(0..4, Kind::Stall, true);
         std::thread::sleep(Duration::from_secs(3));
-        kept.links(0..4, Kind::Stall, false);
-        let (done, said) = second.ended(LONG)?;
+        kept.set_link_fault(0..4, Kind::Stall, false);
+        let (done, said) = second.wait_until_exit(LONG)?;
         if !done {
             return Err(said);
         }
@@ -110,9 +115,9 @@
         let first = kept.build("first", "exec {program} \"$@\"")?;
         let same = kept.settings("same", |text| text)?;
         let old = hash(&first);
-        let stopped = |kept: &mut Kept, program: &Path, settings: &Path, how: &str, why: &str| {
+        let stopped = |kept: &mut SupervisedFleet, program: &Path, settings: &Path, how: &str, why: &str| {
             let plan = plan(kept, program, settings, how)?;
-            let (done, said) = kept.conduct(&plan)?.ended(LONG)?;
+            let (done, said) = kept.start_rollout(&plan)?.wait_until_exit(LONG)?;
             if done || !said.contains("taken back") || !said.contains(why) {
                 return Err(format!("not stopped for `{why}`:\n{said}"));
             }
@@ -122,15 +127,15 @@
         let wrong = kept.settings("wrong", |text| text + "\n[unknown]\nkey = 1\n")?;
         stopped(kept, &first, &wrong, "reload", "turns the settings down")?;
         // Legal, and bad: no server can answer in 5 ms.
-        let hasty = kept.settings("hasty", hasty)?;
-        stopped(kept, &first, &hasty, "reload", "at changed nodes")?;
-        stopped(kept, &first, &hasty, "replace", "at changed nodes")?;
+        let impossible_deadlines = kept.settings("hasty", impossible_deadlines)?;
+        stopped(kept, &first, &impossible_deadlines, "reload", "at changed nodes")?;
+        stopped(kept, &first, &impossible_deadlines, "replace", "at changed nodes")?;
         // It ends by itself after a while.
         let crashes =
             "if [ \"$1\" = check ]; then exec {program} \"$@\"; fi\nexec timeout -s KILL 2 {program} \"$@\"";
         let crashes = kept.build("crashes", crashes)?;
         // Those of the first stages may have it, and one that is killed cannot answer.
-        (0..3).for_each(|me| kept.excuse(me, 40.0));
+        (0..3).for_each(|me| kept.allow_unanswered(me, 40.0));
         stopped(kept, &crashes, &same, "replace", "")?;
         // It never says that it can serve.
         let mute = "if [ \"$1\" = check ]; then exit 0; fi\nexec sleep 600";
@@ -150,37 +155,37 @@
             (kept.build("one", "exec {program} \"$@\"")?, kept.build("two", "exec {program} \"$@\"")?);
         let plan_one = plan(kept, &one, &same, "replace")?;
         let plan_two = plan(kept, &two, &same, "replace")?;
-        let mut first = kept.conduct(&plan_one)?;
-        first.until("stage 1: all changed", LONG)?;
-        first.stop(true);
-        let mut second = kept.conduct(&plan_two)?;
-        second.until("stage 1: all changed", LONG)?;
-        first.stop(false);
-        let (done, said) = first.ended(LONG)?;
+        let mut first = kept.start_rollout(&plan_one)?;
+        first.wait_for("stage 1: all changed", LONG)?;
+        first.set_paused(true);
+        let mut second = kept.start_rollout(&plan_two)?;
+        second.wait_for("stage 1: all changed", LONG)?;
+        first.set_paused(false);
+        let (done, said) = first.wait_until_exit(LONG)?;
         if done || !said.contains("another conductor directs") {
             return Err(said);
         }
-        let (done, said) = second.ended(LONG)?;
+        let (done, said) = second.wait_until_exit(LONG)?;
         if !done {
             return Err(said);
         }
         all_run(kept, &hash(&two))?;
         // A disk that takes nothing: something is where the record is to be made.
-        let record = |kept: &Kept, turn: usize| kept.folder(0).join(format!("record.{turn}.new"));
+        let record = |kept: &SupervisedFleet, turn: usize| kept.folder(0).join(format!("record.{turn}.new"));
         for turn in 0..2 {
             std::fs::create_dir_all(record(kept, turn)).map_err(|error| error.to_string())?;
         }
         let plan_one = plan(kept, &one, &same, "replace")?;
-        let mut third = kept.conduct(&plan_one)?;
+        let mut third = kept.start_rollout(&plan_one)?;
         // Not even the claim is taken: the node counts as out, and nothing is begun.
         std::thread::sleep(Duration::from_secs(8));
-        if third.said().contains("runs the change") {
-            return Err(third.said());
+        if third.output().contains("runs the change") {
+            return Err(third.output());
         }
         for turn in 0..2 {
             std::fs::remove_dir_all(record(kept, turn)).map_err(|error| error.to_string())?;
         }
-        third.until("stage 1: all changed", LONG)?;
+        third.wait_for("stage 1: all changed", LONG)?;
         // What it is to go back to is gone from its disk.
         let lost = kept.folder(0).join("programs").join(hash(&two));
         std::fs::remove_file(lost).map_err(|error| error.to_string())?;
@@ -188,8 +193,8 @@
         let text = std::fs::read_to_string(&plan_one).map_err(|error| error.to_string())?;
         let text = text.replace("[change]", "back_s = 4\n[change]");
         std::fs::write(&plan_one, text).map_err(|error| error.to_string())?;
-        let mut back = kept.back(&plan_one)?;
-        let (done, said) = back.ended(LONG)?;
+        let mut back = kept.start_rollback(&plan_one)?;
+        let (done, said) = back.wait_until_exit(LONG)?;
         match !done && said.contains("is not here any more") && said.contains("not known to be back: n0") {
             true => Ok(()),
             false => Err(said),
--- a/crates/spurdrum-fleet/tests/terms.rs
+++ b/crates/spurdrum-fleet/tests/terms.rs
@@ -30,16 +30,17 @@
     let drains_at = history.servers.iter().filter_map(|server| server.drains_at);
     assert_eq!(drains_at.collect::<Vec<_>>(), [9.0, 9.0], "discovery could be asked from then on");
     assert!(
-        history.worked.iter().any(|worked| drained(worked.server) && worked.begun > 5.2),
+        history.attempts.iter().any(|worked| drained(worked.server) && worked.begun > 5.2),
         "they were used"
     );
-    assert!(history.worked.iter().any(|worked| worked.begun > 16.0), "the others are used on");
+    assert!(history.attempts.iter().any(|worked| worked.begun > 16.0), "the others are used on");
     // Nine in ten of those that were started again are ready within ten seconds; here there are six.
-    assert_eq!(history.away.len(), 6);
-    let late = history.away.iter().filter(|away| away.to - away.from > 0.2 + 10.0).count();
-    assert_eq!(late, 0, "{:?}", history.away);
-    let stayed = |node: usize| history.away.iter().all(|away| away.node != node);
-    let asked: Vec<_> = history.asked.iter().filter(|asked| stayed(asked.node) || asked.due > 16.0).collect();
+    assert_eq!(history.outages.len(), 6);
+    let late = history.outages.iter().filter(|away| away.to - away.from > 0.2 + 10.0).count();
+    assert_eq!(late, 0, "{:?}", history.outages);
+    let stayed = |node: usize| history.outages.iter().all(|away| away.node != node);
+    let asked: Vec<_> =
+        history.requests.iter().filter(|asked| stayed(asked.node) || asked.due > 16.0).collect();
     let served = asked.iter().filter(|asked| asked.end == End::Served).count();
     assert!(served * 20 > asked.len() * 19, "{served} of {}", asked.len());
 }
@@ -57,10 +58,10 @@
     }
     let history = kept(&Scenario::parse(&scenario).expect("sound"));
     let cold: Vec<usize> =
-        (0..history.servers.len()).filter(|n| history.servers[*n].cold.is_some()).collect();
+        (0..history.servers.len()).filter(|n| history.servers[*n].slow_start.is_some()).collect();
     assert_eq!(cold.len(), 4);
     for server in cold {
-        let begun = history.worked.iter().filter(|worked| worked.server == server).count();
+        let begun = history.attempts.iter().filter(|worked| worked.server == server).count();
         assert!(begun >= 10, "{} is left idle or fell: {begun}", history.servers[server].name);
     }
 }
--- a/crates/spurdrum-harness/src/lib.rs
+++ b/crates/spurdrum-harness/src/lib.rs
@@ -22,7 +22,7 @@
 
 /// The node's program, beside this one. Builds it where it is not there.
 pub fn program() -> Result<PathBuf, String> {
-    let program = beside("spurdrum")?;
+    let program = program_path("spurdrum")?;
     if !program.exists() {
         eprintln!("building the node first");
         let mut build = Command::new(std::env::var("CARGO").unwrap_or_else(|_| "cargo".into()));
@@ -39,7 +39,7 @@
 }
 
 /// Where a program is that is built with this one.
-pub fn beside(name: &str) -> Result<PathBuf, String> {
+pub fn program_path(name: &str) -> Result<PathBuf, String> {
     let own =
         std::env::current_exe().map_err(|error| format!("cannot tell where this program is: {error}"))?;
     let folder = own.parent().unwrap_or(Path::new("."));
