--- a/crates/spurdrum-affinity/src/list.rs
+++ b/crates/spurdrum-affinity/src/list.rs
@@ -1,9 +1,10 @@
-//! Doubly linked lists through the slots of one slab: each slot has a link for every list that it can stand in.
+//! Intrusive doubly linked lists over the elements of one slab. Each element has one link for every list that
+//! it can be in.
 
-/// No slot.
+/// The index that stands for "no element".
 pub const NIL: u32 = u32::MAX;
 
-/// A slot's neighbours in one list.
+/// The neighbours of an element in one list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Link {
     prev: u32,
@@ -16,14 +17,14 @@
     }
 }
 
-/// A list's ends and length.
+/// The ends and the length of a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct List {
-    /// The slot put in last.
+    /// The element that was pushed last.
     pub first: u32,
-    /// The slot that has stood in it longest.
+    /// The element that has been in the list longest.
     pub last: u32,
-    /// Slots in it.
+    /// Number of elements in the list.
     pub len: usize,
 }
 
@@ -33,48 +34,48 @@
     }
 }
 
-/// Slots that can be linked; `L` tells the lists of one slot apart.
+/// A slab whose elements can be linked; `L` selects one of the links of an element.
 pub trait Linked<L: Copy> {
-    /// A slot's link of a list.
-    fn link(&mut self, at: u32, list: L) -> &mut Link;
+    /// Returns the link of an element for one kind of list.
+    fn link(&mut self, index: u32, list: L) -> &mut Link;
 }
 
 impl List {
-    /// Puts a slot that stands in no list of this kind before all others.
-    pub fn push<L: Copy, S: Linked<L> + ?Sized>(&mut self, slots: &mut S, kind: L, at: u32) {
-        *slots.link(at, kind) = Link { prev: NIL, next: self.first };
+    /// Inserts an element at the front. The element must not be in any list of this kind.
+    pub fn push<L: Copy, S: Linked<L> + ?Sized>(&mut self, slab: &mut S, kind: L, index: u32) {
+        *slab.link(index, kind) = Link { prev: NIL, next: self.first };
         match self.first {
-            NIL => self.last = at,
-            first => slots.link(first, kind).prev = at,
+            NIL => self.last = index,
+            first => slab.link(first, kind).prev = index,
         }
-        self.first = at;
+        self.first = index;
         self.len += 1;
     }
 
-    /// Takes a slot out.
-    pub fn remove<L: Copy, S: Linked<L> + ?Sized>(&mut self, slots: &mut S, kind: L, at: u32) {
-        let Link { prev, next } = std::mem::take(slots.link(at, kind));
+    /// Removes an element, which must be in this list.
+    pub fn remove<L: Copy, S: Linked<L> + ?Sized>(&mut self, slab: &mut S, kind: L, index: u32) {
+        let Link { prev, next } = std::mem::take(slab.link(index, kind));
         match prev {
             NIL => self.first = next,
-            prev => slots.link(prev, kind).next = next,
+            prev => slab.link(prev, kind).next = next,
         }
         match next {
             NIL => self.last = prev,
-            next => slots.link(next, kind).prev = prev,
+            next => slab.link(next, kind).prev = prev,
         }
         self.len -= 1;
     }
 
-    /// Puts a whole list before this one, however long it is.
-    pub fn splice<L: Copy, S: Linked<L> + ?Sized>(&mut self, slots: &mut S, kind: L, other: Self) {
+    /// Inserts all elements of another list at the front, in constant time whatever its length.
+    pub fn splice<L: Copy, S: Linked<L> + ?Sized>(&mut self, slab: &mut S, kind: L, other: Self) {
         if other.len == 0 {
             return;
         }
         match self.first {
             NIL => self.last = other.last,
             first => {
-                slots.link(first, kind).prev = other.last;
-                slots.link(other.last, kind).next = first;
+                slab.link(first, kind).prev = other.last;
+                slab.link(other.last, kind).next = first;
             }
         }
         self.first = other.first;
@@ -89,48 +90,50 @@
     use super::*;
 
     impl Linked<()> for Vec<Link> {
-        fn link(&mut self, at: u32, (): ()) -> &mut Link {
-            &mut self[at as usize]
+        fn link(&mut self, index: u32, (): ()) -> &mut Link {
+            &mut self[index as usize]
         }
     }
 
-    fn shown(list: &List, links: &[Link]) -> Vec<u32> {
-        let after = |at: &u32| Some(links[*at as usize].next).filter(|next| *next != NIL);
-        let forth: Vec<u32> =
-            std::iter::successors(Some(list.first).filter(|at| *at != NIL), after).collect();
-        let before = |at: &u32| Some(links[*at as usize].prev).filter(|prev| *prev != NIL);
-        let mut back: Vec<u32> =
-            std::iter::successors(Some(list.last).filter(|at| *at != NIL), before).collect();
-        back.reverse();
-        assert_eq!((&forth, forth.len()), (&back, list.len));
-        forth
+    /// Returns the elements of a list in order, after a check that walking it forwards and backwards gives
+    /// the same.
+    fn elements(list: &List, links: &[Link]) -> Vec<u32> {
+        let after = |index: &u32| Some(links[*index as usize].next).filter(|next| *next != NIL);
+        let forward: Vec<u32> =
+            std::iter::successors(Some(list.first).filter(|index| *index != NIL), after).collect();
+        let before = |index: &u32| Some(links[*index as usize].prev).filter(|prev| *prev != NIL);
+        let mut backward: Vec<u32> =
+            std::iter::successors(Some(list.last).filter(|index| *index != NIL), before).collect();
+        backward.reverse();
+        assert_eq!((&forward, forward.len()), (&backward, list.len));
+        forward
     }
 
     #[test]
-    fn lists_are_what_queues_would_be() {
+    fn lists_behave_like_queues() {
         let mut random = fastrand::Rng::with_seed(5);
         let mut links = vec![Link::default(); 40];
         let (mut lists, mut queues) = ([List::default(); 2], [VecDeque::new(), VecDeque::new()]);
         for _ in 0..4_000 {
-            let (at, which) = (random.u32(0..40), random.usize(0..2));
-            match queues.iter().position(|queue| queue.contains(&at)) {
+            let (index, which) = (random.u32(0..40), random.usize(0..2));
+            match queues.iter().position(|queue| queue.contains(&index)) {
                 Some(which) => {
-                    lists[which].remove(&mut links, (), at);
-                    queues[which].retain(|other| *other != at);
+                    lists[which].remove(&mut links, (), index);
+                    queues[which].retain(|other| *other != index);
                 }
                 None => {
-                    lists[which].push(&mut links, (), at);
-                    queues[which].push_front(at);
+                    lists[which].push(&mut links, (), index);
+                    queues[which].push_front(index);
                 }
             }
             if random.u8(0..50) == 0 {
                 let other = std::mem::take(&mut lists[which]);
                 lists[1 - which].splice(&mut links, (), other);
                 let moved = std::mem::take(&mut queues[which]);
-                moved.into_iter().rev().for_each(|at| queues[1 - which].push_front(at));
+                moved.into_iter().rev().for_each(|index| queues[1 - which].push_front(index));
             }
             for (list, queue) in lists.iter().zip(&queues) {
-                assert!(shown(list, &links).iter().eq(queue));
+                assert!(elements(list, &links).iter().eq(queue));
             }
         }
     }
--- a/crates/spurdrum-affinity/src/settings.rs
+++ b/crates/spurdrum-affinity/src/settings.rs
@@ -1,33 +1,34 @@
-//! What may be set.
+//! The settings of the affinity table.
 
-/// Where a key that is not bound goes first.
+/// How the server for a key without a binding is chosen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum InitialPlacement {
-    /// Wherever its count sends it.
+    /// By the decision module, which picks the server with the lowest count.
     #[default]
     LowestCount,
-    /// Preferably to the server that all nodes find for it on one ring.
+    /// Preferably the server that all nodes find for the key on a common consistent-hash ring.
     Ring,
 }
 
-/// How bindings are made, moved and dropped. Times are in milliseconds.
+/// How bindings are created, moved and dropped. Times are in milliseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Keys that are bound at once. The memory for them is taken at the start.
+    /// Limit on the number of bound keys. The memory for all of them is allocated at the start.
     pub max_bindings: usize,
-    /// A binding that is not asked for in this time is dropped.
+    /// A binding whose key is not requested for this long is dropped.
     pub idle_timeout_ms: f64,
-    /// A binding is dropped after this time, however much it is asked for.
+    /// A binding is dropped after this time, however often its key is requested.
     pub max_age_ms: f64,
-    /// A server that the list lost without a drain has its bindings back, if it returns as the same process in this time.
+    /// A server that disappeared from the list without draining gets its bindings back if it returns as the
+    /// same process within this time.
     pub return_timeout_ms: f64,
-    /// A key that is served elsewhere so many times in a row is bound there.
+    /// A key that another server has served this many times in a row is bound to that server.
     pub rebind_after: u8,
-    /// ... but not sooner than this after it was bound.
+    /// A binding younger than this is not moved by `rebind_after`.
     pub rebind_min_age_ms: f64,
-    /// Where a key that is not bound goes first.
+    /// How the server for a key without a binding is chosen.
     pub initial_placement: InitialPlacement,
-    /// Servers younger than this get no key by the ring.
+    /// The ring chooses no server that was started less than this ago.
     pub slow_start_ms: f64,
 }
 
@@ -47,20 +48,28 @@
 }
 
 impl Settings {
-    /// Checks that every figure makes sense.
+    /// Checks that every setting is valid.
     ///
     /// # Errors
     ///
-    /// The first key that does not, and why.
+    /// The key of the first invalid setting, and the reason.
     pub fn validate(&self) -> Result<(), (&'static str, &'static str)> {
-        let need = |ok: bool, key, why| if ok { Ok(()) } else { Err((key, why)) };
-        let time = |ms: f64| ms.is_finite() && ms >= 0.0;
-        need((16..=1 << 24).contains(&self.max_bindings), "entries", "is not between 16 and 16777216")?;
-        need(time(self.idle_timeout_ms) && self.idle_timeout_ms >= 1.0, "idle_ms", "is no time above 0")?;
-        need(time(self.max_age_ms) && self.max_age_ms >= 1.0, "most_ms", "is no time above 0")?;
-        need(time(self.return_timeout_ms), "return_within_ms", "is no time")?;
-        need(self.rebind_after >= 1, "moves_after", "is not between 1 and 255")?;
-        need(time(self.rebind_min_age_ms), "settle_ms", "is no time")?;
-        need(time(self.slow_start_ms), "cold_ms", "is no time")
+        let require = |ok: bool, key, reason| if ok { Ok(()) } else { Err((key, reason)) };
+        let is_duration = |ms: f64| ms.is_finite() && ms >= 0.0;
+        require((16..=1 << 24).contains(&self.max_bindings), "entries", "is not between 16 and 16777216")?;
+        require(
+            is_duration(self.idle_timeout_ms) && self.idle_timeout_ms >= 1.0,
+            "idle_ms",
+            "is not a duration of at least 1 ms",
+        )?;
+        require(
+            is_duration(self.max_age_ms) && self.max_age_ms >= 1.0,
+            "most_ms",
+            "is not a duration of at least 1 ms",
+        )?;
+        require(is_duration(self.return_timeout_ms), "return_within_ms", "is not a valid duration")?;
+        require(self.rebind_after >= 1, "moves_after", "is not between 1 and 255")?;
+        require(is_duration(self.rebind_min_age_ms), "settle_ms", "is not a valid duration")?;
+        require(is_duration(self.slow_start_ms), "cold_ms", "is not a valid duration")
     }
 }
--- a/crates/spurdrum-affinity/src/table.rs
+++ b/crates/spurdrum-affinity/src/table.rs
@@ -1,7 +1,7 @@
-//! The table: a fixed number of places, found by key, by server, by owner and by age.
+//! The table of bindings: a fixed number of slots, found by key, by server, by owner and by age.
 //!
-//! Everything takes a few steps, whatever the table holds: also the loss of a server, whose places are handed over as one
-//! list and cleared one by one as they are needed.
+//! Operations on a key or a server take constant time, whatever the table holds. This includes the loss of a
+//! server: its slots move to the free list as one list and are cleared one by one when they are needed.
 
 use std::collections::VecDeque;
 
@@ -12,396 +12,415 @@
 use crate::sketch::Sketch;
 use crate::KeyHash;
 
-/// Expired places that are cleared for one new one.
-const CLEAR_MOST: usize = 4;
+/// Limit on the expired slots that are cleared for one insertion.
+const MAX_CLEARED_PER_INSERT: usize = 4;
 
-/// The lists that a place stands in.
+/// The lists that a slot is in.
 #[derive(Clone, Copy)]
-enum Kind {
-    /// Of its server, or of those that are free.
+enum ListKind {
+    /// The slots of one server, or the free slots.
     Server,
-    /// Of its owner, the one used last first.
+    /// The slots of one owner, most recently used first.
     Owner,
-    /// Of all, the one used last first.
+    /// All slots in use, most recently used first.
     Age,
 }
 
-/// What a place is in.
+/// The state of a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     Free,
     Bound,
-    /// Its server is lost; it is free but for the other lists that it still stands in.
+    /// Its server was lost. The slot is in the free list, but also still in the lists of its owner and by
+    /// age.
     Lost,
 }
 
-/// What a key is bound to.
+/// The binding of a key to a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Binding {
     /// The key.
     pub key: KeyHash,
-    /// Who holds the place.
+    /// The owner that the slot is counted for.
     pub owner: u64,
-    /// The server, as [`Table`]'s user numbers its servers.
+    /// The server, by the number that the user of the [`Table`] gives it.
     pub server: u32,
-    /// When it was last asked for.
+    /// When the key was last requested.
     pub used_at: f64,
-    /// When it was bound to this server.
+    /// When the key was bound to this server.
     pub bound_at: f64,
-    /// Times in a row that it was served elsewhere.
-    pub away: u8,
+    /// How often in a row another server has served the key.
+    pub served_elsewhere: u8,
 }
 
-struct Place {
+struct Slot {
     binding: Binding,
-    owner: u32,
-    taken: bool,
-    /// The server's losses when it was bound: with the next one it is lost.
-    losses: u32,
-    /// Waits to be written.
+    /// The index of the owner in [`Owners`].
+    owner_index: u32,
+    in_use: bool,
+    /// The generation of the server when the key was bound. The slot is lost once the server's generation
+    /// differs.
+    generation: u32,
+    /// Whether the slot waits to be written to the store.
     dirty: bool,
     /// [`Binding::used_at`] as it was last written.
-    written_at: f64,
+    written_used_at: f64,
     links: [Link; 3],
 }
 
-struct Places<'a>(&'a mut [Place]);
+struct SlotLinks<'a>(&'a mut [Slot]);
 
-impl Linked<Kind> for Places<'_> {
-    fn link(&mut self, at: u32, kind: Kind) -> &mut Link {
-        &mut self.0[at as usize].links[kind as usize]
+impl Linked<ListKind> for SlotLinks<'_> {
+    fn link(&mut self, slot: u32, kind: ListKind) -> &mut Link {
+        &mut self.0[slot as usize].links[kind as usize]
     }
 }
 
+/// The slots that are bound to one server.
 #[derive(Clone, Default)]
-struct OfServer {
+struct ServerSlots {
     list: List,
-    /// How often it was lost, and all that it had with it.
-    losses: u32,
+    /// How often the server was lost, each time with all its bindings.
+    generation: u32,
 }
 
-/// Why a key got no place, or whose it took.
+/// How a key was inserted, if it was.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Entered {
-    /// There was one free.
-    Free,
-    /// That of the key longest unused, of the owner who held most.
+pub enum InsertOutcome {
+    /// Into a free slot.
+    UsedFree,
+    /// Into the slot of the least recently used key of the owner that holds the most slots.
     Evicted,
-    /// None: its owner holds most, and the key is asked for no more often than those there.
-    Refused,
+    /// Not at all: its own owner holds the most slots, and the key is requested no more often than the one it
+    /// would replace.
+    Rejected,
 }
 
-/// What was found for a key that was asked for.
+/// The result of looking up a requested key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Found {
-    /// It is not bound.
-    Nothing,
-    /// It was, for too long.
+pub enum Lookup {
+    /// The key is not bound.
+    NotBound,
+    /// The key was bound, but its binding was idle for too long or too old.
     Expired,
-    /// Its place.
-    At(u32),
+    /// The key is bound in this slot.
+    Bound(u32),
 }
 
-/// See the [module](self).
+/// The table of bindings; see the [module](self).
 pub struct Table {
-    places: Vec<Place>,
+    slots: Vec<Slot>,
+    /// Finds the slot of a key.
     index: HashTable<u32>,
     free: List,
-    ages: List,
+    by_age: List,
     owners: Owners,
-    by_server: Vec<OfServer>,
+    by_server: Vec<ServerSlots>,
     sketch: Sketch,
-    /// Places that wait to be written, each once.
+    /// Slots that wait to be written, each at most once.
     dirty: VecDeque<u32>,
 }
 
 impl Table {
-    /// A table of so many places, all of which are allocated now.
-    pub fn new(places: usize) -> Self {
-        let nothing =
-            Binding { key: KeyHash::default(), owner: 0, server: NIL, used_at: 0.0, bound_at: 0.0, away: 0 };
-        let empty = |_| Place {
-            binding: nothing,
-            owner: NIL,
-            taken: false,
-            losses: 0,
+    /// Returns an empty table. The memory for all slots is allocated now.
+    pub fn new(slots: usize) -> Self {
+        let no_binding = Binding {
+            key: KeyHash::default(),
+            owner: 0,
+            server: NIL,
+            used_at: 0.0,
+            bound_at: 0.0,
+            served_elsewhere: 0,
+        };
+        let empty = |_| Slot {
+            binding: no_binding,
+            owner_index: NIL,
+            in_use: false,
+            generation: 0,
             dirty: false,
-            written_at: 0.0,
+            written_used_at: 0.0,
             links: [Link::default(); 3],
         };
         let mut table = Self {
-            places: (0..places).map(empty).collect(),
-            index: HashTable::with_capacity(places),
+            slots: (0..slots).map(empty).collect(),
+            index: HashTable::with_capacity(slots),
             free: List::default(),
-            ages: List::default(),
+            by_age: List::default(),
             owners: Owners::new(),
             by_server: Vec::new(),
-            sketch: Sketch::new(places),
-            dirty: VecDeque::with_capacity(places),
+            sketch: Sketch::new(slots),
+            dirty: VecDeque::with_capacity(slots),
         };
-        for at in (0..places as u32).rev() {
-            table.free.push(&mut Places(&mut table.places), Kind::Server, at);
+        for slot in (0..slots as u32).rev() {
+            table.free.push(&mut SlotLinks(&mut table.slots), ListKind::Server, slot);
         }
         table
     }
 
-    /// Bindings; those whose server is lost are found by their keys and stand among the free places, too.
-    pub fn bound(&self) -> usize {
-        self.places.len() - self.free.len
+    /// Returns the number of bindings. Bindings whose server was lost are not counted: the index still finds
+    /// them by key, but their slots are also in the free list.
+    pub fn bound_count(&self) -> usize {
+        self.slots.len() - self.free.len
     }
 
-    /// Owners that hold places.
-    pub fn owners(&self) -> usize {
+    /// Returns the number of owners that hold slots.
+    pub fn owner_count(&self) -> usize {
         self.owners.len()
     }
 
-    /// Bindings to a server.
-    pub fn of_server(&self, server: u32) -> usize {
-        self.by_server.get(server as usize).map_or(0, |of| of.list.len)
+    /// Returns the number of bindings to a server.
+    pub fn server_bindings(&self, server: u32) -> usize {
+        self.by_server.get(server as usize).map_or(0, |server_slots| server_slots.list.len)
     }
 
-    /// Places that an owner holds.
-    pub fn of_owner(&self, owner: u64) -> usize {
-        self.owners.find(owner).map_or(0, |at| self.owners.places(at).len)
+    /// Returns the number of slots that an owner holds.
+    pub fn owner_slots(&self, owner: u64) -> usize {
+        self.owners.find(owner).map_or(0, |owner_index| self.owners.slots(owner_index).len)
     }
 
-    /// The key has been asked for. A binding too long unused or too old is dropped.
-    pub fn ask(&mut self, now: f64, key: KeyHash, idle_timeout_ms: f64, max_age_ms: f64) -> Found {
+    /// Looks up a requested key and counts the request. Drops the binding if it has been idle for too long or
+    /// is too old.
+    pub fn look_up(&mut self, now: f64, key: KeyHash, idle_timeout_ms: f64, max_age_ms: f64) -> Lookup {
         self.sketch.add(key.0);
-        let Some(at) = self.place(key) else { return Found::Nothing };
-        let binding = &mut self.places[at as usize].binding;
+        let Some(slot) = self.find_bound(key) else { return Lookup::NotBound };
+        let binding = &mut self.slots[slot as usize].binding;
         if now - binding.used_at > idle_timeout_ms || now - binding.bound_at > max_age_ms {
-            self.unbind(at);
-            return Found::Expired;
+            self.unbind(slot);
+            return Lookup::Expired;
         }
         binding.used_at = now;
-        self.ages.remove(&mut Places(&mut self.places), Kind::Age, at);
-        self.ages.push(&mut Places(&mut self.places), Kind::Age, at);
-        let owner = self.places[at as usize].owner;
-        let mut list = self.owners.places(owner);
-        list.remove(&mut Places(&mut self.places), Kind::Owner, at);
-        list.push(&mut Places(&mut self.places), Kind::Owner, at);
-        self.owners.set_places(owner, list);
-        Found::At(at)
+        self.by_age.remove(&mut SlotLinks(&mut self.slots), ListKind::Age, slot);
+        self.by_age.push(&mut SlotLinks(&mut self.slots), ListKind::Age, slot);
+        let owner_index = self.slots[slot as usize].owner_index;
+        let mut list = self.owners.slots(owner_index);
+        list.remove(&mut SlotLinks(&mut self.slots), ListKind::Owner, slot);
+        list.push(&mut SlotLinks(&mut self.slots), ListKind::Owner, slot);
+        self.owners.set_slots(owner_index, list);
+        Lookup::Bound(slot)
     }
 
-    /// Where a key is bound, whether or not its server is lost.
+    /// Returns the slot of a key, whether or not its server was lost.
     fn find(&self, key: KeyHash) -> Option<u32> {
-        self.index.find(key.0[0], |at| self.places[*at as usize].binding.key == key).copied()
+        self.index.find(key.0[0], |slot| self.slots[*slot as usize].binding.key == key).copied()
     }
 
-    /// The place of a key that is bound.
-    pub fn place(&self, key: KeyHash) -> Option<u32> {
-        self.find(key).filter(|at| self.state(*at) == State::Bound)
+    /// Returns the slot of a key that is bound.
+    pub fn find_bound(&self, key: KeyHash) -> Option<u32> {
+        self.find(key).filter(|slot| self.state(*slot) == State::Bound)
     }
 
-    fn state(&self, at: u32) -> State {
-        let place = &self.places[at as usize];
-        match self.by_server.get(place.binding.server as usize) {
-            _ if !place.taken => State::Free,
-            Some(of) if of.losses == place.losses => State::Bound,
+    fn state(&self, slot_index: u32) -> State {
+        let slot = &self.slots[slot_index as usize];
+        match self.by_server.get(slot.binding.server as usize) {
+            _ if !slot.in_use => State::Free,
+            Some(server_slots) if server_slots.generation == slot.generation => State::Bound,
             _ => State::Lost,
         }
     }
 
-    /// What stands at a place.
-    pub fn binding(&self, at: u32) -> &Binding {
-        &self.places[at as usize].binding
+    /// Returns the binding in a slot.
+    pub fn binding(&self, slot: u32) -> &Binding {
+        &self.slots[slot as usize].binding
     }
 
-    /// What stands at a place that is bound, to be changed but for its key, owner, server and use.
-    pub fn binding_mut(&mut self, at: u32) -> &mut Binding {
-        &mut self.places[at as usize].binding
+    /// Returns the binding in a bound slot. Its key, owner, server and time of use must not be changed.
+    pub fn binding_mut(&mut self, slot: u32) -> &mut Binding {
+        &mut self.slots[slot as usize].binding
     }
 
-    /// Binds a key that is not bound. Where its owner holds most itself, it must be asked for more often than the key that
-    /// it would replace.
-    pub fn enter(&mut self, idle_timeout_ms: f64, binding: Binding) -> Entered {
-        self.expire(binding.used_at - idle_timeout_ms, CLEAR_MOST);
-        // Guards against one key at two places: its server was lost, and its place not yet needed.
-        if let Some(at) = self.find(binding.key) {
-            self.clear(at);
+    /// Binds a key that is not bound. If its own owner holds the most slots, the key must be requested more
+    /// often than the key that it would replace.
+    pub fn insert(&mut self, idle_timeout_ms: f64, binding: Binding) -> InsertOutcome {
+        self.expire(binding.used_at - idle_timeout_ms, MAX_CLEARED_PER_INSERT);
+        // Without this, the key would be in two slots if its server was lost and its old slot has not been
+        // reused yet.
+        if let Some(slot) = self.find(binding.key) {
+            self.clear(slot);
         }
-        let mut entered = Entered::Free;
+        let mut outcome = InsertOutcome::UsedFree;
         if self.free.len == 0 {
-            let Some(at) = self.victim(&binding) else { return Entered::Refused };
-            self.clear(at);
-            entered = Entered::Evicted;
+            let Some(slot) = self.choose_victim(&binding) else { return InsertOutcome::Rejected };
+            self.clear(slot);
+            outcome = InsertOutcome::Evicted;
         }
-        let at = self.free.first;
-        self.enter_at(at, binding);
-        self.mark(at);
-        entered
+        let slot = self.free.first;
+        self.insert_at(slot, binding);
+        self.mark_dirty(slot);
+        outcome
     }
 
-    /// As it was when it was written: at the same place where that is free, else at any; not where there is none.
-    /// Whether it stands where it was written.
-    pub fn restore(&mut self, at: u32, binding: Binding) -> Option<bool> {
-        let is_free = |at: &u32| (*at as usize) < self.places.len() && self.state(*at) != State::Bound;
-        let place = Some(at).filter(is_free).or(Some(self.free.first).filter(|at| *at != NIL))?;
+    /// Restores a stored binding: in its stored slot if that is free, or else in any free slot. Returns
+    /// whether it is in its stored slot, or `None` if there is no free slot or the key is already in the
+    /// table.
+    pub fn restore(&mut self, stored_slot: u32, binding: Binding) -> Option<bool> {
+        let is_free = |slot: &u32| (*slot as usize) < self.slots.len() && self.state(*slot) != State::Bound;
+        let slot = Some(stored_slot).filter(is_free).or(Some(self.free.first).filter(|slot| *slot != NIL))?;
         if self.find(binding.key).is_some() {
             return None;
         }
-        self.enter_at(place, binding);
-        if place == at {
-            // It is on the disk already.
-            self.places[at as usize].written_at = binding.used_at;
+        self.insert_at(slot, binding);
+        if slot == stored_slot {
+            // The store already has it like this.
+            self.slots[stored_slot as usize].written_used_at = binding.used_at;
         } else {
-            self.mark(place);
+            self.mark_dirty(slot);
         }
-        Some(place == at)
+        Some(slot == stored_slot)
     }
 
-    fn enter_at(&mut self, at: u32, binding: Binding) {
-        if self.state(at) == State::Lost {
-            self.clear(at);
+    fn insert_at(&mut self, slot_index: u32, binding: Binding) {
+        if self.state(slot_index) == State::Lost {
+            self.clear(slot_index);
         }
-        self.free.remove(&mut Places(&mut self.places), Kind::Server, at);
-        let owner = self.owners.find_or_add(binding.owner);
-        let place = &mut self.places[at as usize];
-        (place.binding, place.owner, place.taken) = (binding, owner, true);
-        let mut list = self.owners.places(owner);
-        list.push(&mut Places(&mut self.places), Kind::Owner, at);
-        self.owners.set_places(owner, list);
-        self.ages.push(&mut Places(&mut self.places), Kind::Age, at);
-        self.put_on_server(at);
-        let Self { index, places, .. } = self;
-        index.insert_unique(binding.key.0[0], at, |at| places[*at as usize].binding.key.0[0]);
+        self.free.remove(&mut SlotLinks(&mut self.slots), ListKind::Server, slot_index);
+        let owner_index = self.owners.find_or_add(binding.owner);
+        let slot = &mut self.slots[slot_index as usize];
+        (slot.binding, slot.owner_index, slot.in_use) = (binding, owner_index, true);
+        let mut list = self.owners.slots(owner_index);
+        list.push(&mut SlotLinks(&mut self.slots), ListKind::Owner, slot_index);
+        self.owners.set_slots(owner_index, list);
+        self.by_age.push(&mut SlotLinks(&mut self.slots), ListKind::Age, slot_index);
+        self.add_to_server(slot_index);
+        let Self { index, slots, .. } = self;
+        index.insert_unique(binding.key.0[0], slot_index, |other| slots[*other as usize].binding.key.0[0]);
     }
 
-    fn put_on_server(&mut self, at: u32) {
-        let server = self.places[at as usize].binding.server as usize;
+    fn add_to_server(&mut self, slot: u32) {
+        let server = self.slots[slot as usize].binding.server as usize;
         if server >= self.by_server.len() {
-            self.by_server.resize(server + 1, OfServer::default());
+            self.by_server.resize(server + 1, ServerSlots::default());
         }
-        let of = &mut self.by_server[server];
-        self.places[at as usize].losses = of.losses;
-        of.list.push(&mut Places(&mut self.places), Kind::Server, at);
+        let server_slots = &mut self.by_server[server];
+        self.slots[slot as usize].generation = server_slots.generation;
+        server_slots.list.push(&mut SlotLinks(&mut self.slots), ListKind::Server, slot);
     }
 
-    /// The place that a new binding takes: of the owner who holds most, the one longest unused.
-    fn victim(&self, new: &Binding) -> Option<u32> {
+    /// Returns the slot that a new binding takes over: the least recently used one of the owner that holds
+    /// the most slots.
+    fn choose_victim(&self, new: &Binding) -> Option<u32> {
         let largest = self.owners.largest()?;
         let own = self.owners.find(new.owner);
-        let held = own.map_or(0, |own| self.owners.places(own).len);
-        let own = own.filter(|_| held >= self.owners.places(largest).len);
-        let at = self.owners.places(own.unwrap_or(largest)).last;
-        // Guards against keys that come once: they would push out those of the same owner that come again.
-        let often = |key: KeyHash| self.sketch.count(key.0);
-        let wins = own.is_none() || often(new.key) > often(self.binding(at).key);
-        wins.then_some(at)
+        let own_len = own.map_or(0, |own| self.owners.slots(own).len);
+        let own = own.filter(|_| own_len >= self.owners.slots(largest).len);
+        let slot = self.owners.slots(own.unwrap_or(largest)).last;
+        // Without this, keys that are requested only once would evict keys of the same owner that are
+        // requested repeatedly.
+        let request_count = |key: KeyHash| self.sketch.count(key.0);
+        let wins = own.is_none() || request_count(new.key) > request_count(self.binding(slot).key);
+        wins.then_some(slot)
     }
 
-    /// Binds a place's key to another server.
-    pub fn rebind(&mut self, now: f64, at: u32, server: u32) {
-        let before = self.places[at as usize].binding.server as usize;
-        self.by_server[before].list.remove(&mut Places(&mut self.places), Kind::Server, at);
-        let binding = &mut self.places[at as usize].binding;
-        (binding.server, binding.bound_at, binding.away) = (server, now, 0);
-        self.put_on_server(at);
-        self.mark(at);
+    /// Binds the key in a slot to another server.
+    pub fn rebind(&mut self, now: f64, slot: u32, server: u32) {
+        let previous_server = self.slots[slot as usize].binding.server as usize;
+        self.by_server[previous_server].list.remove(&mut SlotLinks(&mut self.slots), ListKind::Server, slot);
+        let binding = &mut self.slots[slot as usize].binding;
+        (binding.server, binding.bound_at, binding.served_elsewhere) = (server, now, 0);
+        self.add_to_server(slot);
+        self.mark_dirty(slot);
     }
 
-    /// Unbinds a place.
-    pub fn unbind(&mut self, at: u32) {
-        self.clear(at);
-        self.mark(at);
+    /// Drops the binding in a slot.
+    pub fn unbind(&mut self, slot: u32) {
+        self.clear(slot);
+        self.mark_dirty(slot);
     }
 
-    /// A server is lost, and with it its bindings. How many there were.
-    pub fn lose(&mut self, server: u32) -> usize {
-        let Some(of) = self.by_server.get_mut(server as usize) else { return 0 };
-        of.losses = of.losses.wrapping_add(1);
-        let list = std::mem::take(&mut of.list);
-        self.free.splice(&mut Places(&mut self.places), Kind::Server, list);
+    /// Drops all bindings to a server and returns how many there were.
+    pub fn lose_server(&mut self, server: u32) -> usize {
+        let Some(server_slots) = self.by_server.get_mut(server as usize) else { return 0 };
+        server_slots.generation = server_slots.generation.wrapping_add(1);
+        let list = std::mem::take(&mut server_slots.list);
+        self.free.splice(&mut SlotLinks(&mut self.slots), ListKind::Server, list);
         list.len
     }
 
-    /// Clears places that were last used before then, the oldest first. How many of them were bound.
-    pub fn expire(&mut self, before: f64, most: usize) -> usize {
+    /// Clears up to `max` slots that were last used before the given time, the oldest first. Returns how many
+    /// of them were bound.
+    pub fn expire(&mut self, before: f64, max: usize) -> usize {
         let mut bound = 0;
-        for _ in 0..most {
-            let at = self.ages.last;
-            if at == NIL || self.binding(at).used_at >= before {
+        for _ in 0..max {
+            let slot = self.by_age.last;
+            if slot == NIL || self.binding(slot).used_at >= before {
                 break;
             }
-            if self.state(at) == State::Bound {
+            if self.state(slot) == State::Bound {
                 bound += 1;
-                self.unbind(at);
+                self.unbind(slot);
             } else {
-                self.clear(at);
+                self.clear(slot);
             }
         }
         bound
     }
 
-    /// When the oldest place was last used.
-    pub fn oldest(&self) -> Option<f64> {
-        Some(self.ages.last).filter(|at| *at != NIL).map(|at| self.binding(at).used_at)
+    /// Returns when the least recently used slot was last used.
+    pub fn oldest_use(&self) -> Option<f64> {
+        Some(self.by_age.last).filter(|slot| *slot != NIL).map(|slot| self.binding(slot).used_at)
     }
 
-    /// Takes a place out of all lists and puts it among those that are free.
-    fn clear(&mut self, at: u32) {
-        let state = self.state(at);
+    /// Removes a slot from all lists and adds it to the free list, unless it is there already.
+    fn clear(&mut self, slot_index: u32) {
+        let state = self.state(slot_index);
         if state == State::Free {
             return;
         }
-        let place = &mut self.places[at as usize];
-        place.taken = false;
-        let (key, owner, server) = (place.binding.key, place.owner, place.binding.server as usize);
-        let Self { index, places, .. } = self;
-        if let Ok(found) = index.find_entry(key.0[0], |other| *other == at) {
-            found.remove();
+        let slot = &mut self.slots[slot_index as usize];
+        slot.in_use = false;
+        let (key, owner_index, server) = (slot.binding.key, slot.owner_index, slot.binding.server as usize);
+        let Self { index, slots, .. } = self;
+        if let Ok(entry) = index.find_entry(key.0[0], |other| *other == slot_index) {
+            entry.remove();
         }
-        let mut list = self.owners.places(owner);
-        list.remove(&mut Places(places), Kind::Owner, at);
-        self.owners.set_places(owner, list);
-        self.ages.remove(&mut Places(places), Kind::Age, at);
+        let mut list = self.owners.slots(owner_index);
+        list.remove(&mut SlotLinks(slots), ListKind::Owner, slot_index);
+        self.owners.set_slots(owner_index, list);
+        self.by_age.remove(&mut SlotLinks(slots), ListKind::Age, slot_index);
         if state == State::Bound {
-            self.by_server[server].list.remove(&mut Places(places), Kind::Server, at);
-            self.free.push(&mut Places(places), Kind::Server, at);
+            self.by_server[server].list.remove(&mut SlotLinks(slots), ListKind::Server, slot_index);
+            self.free.push(&mut SlotLinks(slots), ListKind::Server, slot_index);
         }
     }
 
-    // ---- What is to be written
+    // ---- Writing to the store
 
-    /// A place is to be written.
-    pub fn mark(&mut self, at: u32) {
-        let place = &mut self.places[at as usize];
-        if !std::mem::replace(&mut place.dirty, true) {
-            self.dirty.push_back(at);
+    /// Marks a slot as to be written.
+    pub fn mark_dirty(&mut self, slot_index: u32) {
+        let slot = &mut self.slots[slot_index as usize];
+        if !std::mem::replace(&mut slot.dirty, true) {
+            self.dirty.push_back(slot_index);
         }
     }
 
-    /// All that is bound is to be written.
-    pub fn mark_all(&mut self) {
-        for at in 0..self.places.len() as u32 {
-            if self.state(at) == State::Bound {
-                self.mark(at);
+    /// Marks all bound slots as to be written.
+    pub fn mark_all_dirty(&mut self) {
+        for slot in 0..self.slots.len() as u32 {
+            if self.state(slot) == State::Bound {
+                self.mark_dirty(slot);
             }
         }
     }
 
-    /// A place is to be written, where its use is older there by so much.
-    pub fn mark_if_older(&mut self, at: u32, by_ms: f64) {
-        let place = &self.places[at as usize];
-        if place.binding.used_at - place.written_at >= by_ms {
-            self.mark(at);
+    /// Marks a slot as to be written if the stored time of its last use is out of date by at least this much.
+    pub fn mark_dirty_if_older(&mut self, slot_index: u32, by_ms: f64) {
+        let slot = &self.slots[slot_index as usize];
+        if slot.binding.used_at - slot.written_used_at >= by_ms {
+            self.mark_dirty(slot_index);
         }
     }
 
-    /// Places that wait to be written.
-    pub fn marked(&self) -> usize {
+    /// Returns the number of slots that wait to be written.
+    pub fn dirty_count(&self) -> usize {
         self.dirty.len()
     }
 
-    /// The next place that waits to be written, and what stands there.
-    pub fn take_marked(&mut self) -> Option<(u32, Option<Binding>)> {
-        let at = self.dirty.pop_front()?;
-        let bound = self.state(at) == State::Bound;
-        let place = &mut self.places[at as usize];
-        place.dirty = false;
-        place.written_at = place.binding.used_at;
-        Some((at, bound.then_some(place.binding)))
+    /// Removes the next slot that waits to be written and returns it with its binding, if it is bound.
+    pub fn take_dirty(&mut self) -> Option<(u32, Option<Binding>)> {
+        let slot_index = self.dirty.pop_front()?;
+        let bound = self.state(slot_index) == State::Bound;
+        let slot = &mut self.slots[slot_index as usize];
+        slot.dirty = false;
+        slot.written_used_at = slot.binding.used_at;
+        Some((slot_index, bound.then_some(slot.binding)))
     }
 }
--- a/crates/spurdrum-affinity/tests/affinity.rs
+++ b/crates/spurdrum-affinity/tests/affinity.rs
@@ -220,7 +220,7 @@
     let ahead = fleet.now + 1e9;
     fleet.affinity.restore_run(fleet.now, 1, "s0", 0.0);
     let key = fleet.ask(1).hash;
-    let stored = record::StoredBinding { key, owner: 0, run: 1, used_at: ahead, bound_at: ahead };
+    let stored = record::StoredBinding { key, owner: 0, run_number: 1, used_at: ahead, bound_at: ahead };
     fleet.affinity.restore_binding(fleet.now, 3, &stored);
     assert_eq!(fleet.affinity.len(), 1);
     fleet.now += 1_001.0;
