--- a/crates/spurdrum-affinity/src/settings.rs
+++ b/crates/spurdrum-affinity/src/settings.rs
@@ -22,7 +22,7 @@
     /// A server that disappeared from the list without draining gets its bindings back if it returns as the
     /// same process within this time.
     pub return_timeout_ms: f64,
-    /// A key that another server has served this many times in a row is bound to that server.
+    /// A key that other servers have served this many times in a row is bound to the last of them.
     pub rebind_after: u8,
     /// A binding younger than this is not moved by `rebind_after`.
     pub rebind_min_age_ms: f64,
--- a/crates/spurdrum-store/src/disk.rs
+++ b/crates/spurdrum-store/src/disk.rs
@@ -1,7 +1,8 @@
-//! The file: a `redb` database of tables from a number to bytes.
+//! The file of the store: a `redb` database whose tables map numbers to bytes.
 //!
-//! A batch is one transaction and is on the disk whole or not at all. A file that is broken, or that another format or another
-//! node's secret wrote, is put aside and begun anew: what it holds can be learned again.
+//! A batch is one transaction: either all of it is on the disk or nothing. A file that is corrupt, or that
+//! was written in another format or with another node's secret, is moved aside and replaced by an empty one:
+//! its content can be learned again.
 
 use std::fmt;
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -14,41 +15,42 @@
 
 use crate::trial::FaultyDisk;
 
-/// Memory that the file's pages may take up.
-const CACHE: usize = 4 << 20;
+/// Limit on the memory for cached pages of the file, in bytes.
+const CACHE_BYTES: usize = 4 << 20;
 
-const ABOUT: TableDefinition<&str, u64> = TableDefinition::new("about");
+/// The table that holds the [`FileIdentity`] of the file.
+const IDENTITY_TABLE: TableDefinition<&str, u64> = TableDefinition::new("about");
 
-/// A row of a table.
+/// A row to write to a table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Row {
     /// The table.
     pub table: &'static str,
-    /// Its key.
+    /// The key of the row.
     pub key: u64,
-    /// What is there; none: nothing any more.
+    /// The new value; `None` removes the row.
     pub value: Option<Vec<u8>>,
 }
 
-/// What a file must have been written by, to be read.
+/// Identifies by whom a file was written. A file with another identity is not read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FileIdentity {
-    /// The form of its rows.
+    /// The version of the form of the rows.
     pub format: u64,
-    /// Whose they are.
+    /// A fingerprint of the secret of the node that the rows belong to.
     pub fingerprint: u64,
 }
 
-/// Why a file can't be used.
+/// The reason why a file cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreError {
-    /// Another process has it.
+    /// Another process has the file open.
     Busy,
-    /// What it holds makes no sense.
+    /// The content of the file is invalid.
     Corrupt(String),
-    /// It was written by another format, or by a node with another secret.
+    /// The file was written in another format, or by a node with another secret.
     Foreign,
-    /// The system refused.
+    /// The operating system reported an error.
     Io(String),
 }
 
@@ -56,9 +58,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Busy => f.write_str("another process has it open"),
-            Self::Corrupt(why) => write!(f, "it is broken: {why}"),
-            Self::Foreign => f.write_str("another format or another node's secret wrote it"),
-            Self::Io(why) => f.write_str(why),
+            Self::Corrupt(reason) => write!(f, "it is corrupt: {reason}"),
+            Self::Foreign => f.write_str("it was written in another format or with another node's secret"),
+            Self::Io(reason) => f.write_str(reason),
         }
     }
 }
@@ -76,24 +78,24 @@
 
 impl From<StorageError> for StoreError {
     fn from(error: StorageError) -> Self {
-        let says = error.to_string();
+        let reason = error.to_string();
         match error {
-            // What is no database at all is told by these kinds of error.
+            // A file that is not a database at all is reported by these kinds of error.
             StorageError::Io(io)
                 if matches!(
                     io.kind(),
                     std::io::ErrorKind::InvalidData | std::io::ErrorKind::UnexpectedEof
                 ) =>
             {
-                Self::Corrupt(says)
+                Self::Corrupt(reason)
             }
-            StorageError::Io(_) | StorageError::Backend(_) | StorageError::PreviousIo => Self::Io(says),
-            _ => Self::Corrupt(says),
+            StorageError::Io(_) | StorageError::Backend(_) | StorageError::PreviousIo => Self::Io(reason),
+            _ => Self::Corrupt(reason),
         }
     }
 }
 
-fn trouble(error: impl Into<redb::Error>) -> StoreError {
+fn store_error(error: impl Into<redb::Error>) -> StoreError {
     match error.into() {
         redb::Error::Io(io) => StorageError::Io(io).into(),
         redb::Error::PreviousIo => StorageError::PreviousIo.into(),
@@ -101,145 +103,154 @@
     }
 }
 
-/// An open file.
+/// An open file of the store.
 pub struct StoreFile {
     database: Database,
-    fresh: bool,
-    aside: Option<StoreError>,
+    new: bool,
+    quarantine_reason: Option<StoreError>,
 }
 
 impl StoreFile {
-    /// Opens a file; where there is none, or one that can't be read, an empty one.
+    /// Opens a file. If there is none, or it cannot be read, an empty one is created.
     ///
     /// # Errors
     ///
-    /// Another process has it, or the system refuses.
-    pub fn open(path: &Path, about: FileIdentity) -> Result<Self, StoreError> {
-        Self::open_by(path, about, || builder().create(path))
+    /// Another process has the file open, or the operating system reports an error.
+    pub fn open(path: &Path, identity: FileIdentity) -> Result<Self, StoreError> {
+        Self::open_with(path, identity, || builder().create(path))
     }
 
-    /// As [`StoreFile::open`], on a disk that does what the file `says` tells: see [`crate::trial`].
+    /// Opens a file like [`StoreFile::open`], on a simulated disk with the fault that the file at
+    /// `fault_path` names; see [`crate::trial`].
     ///
     /// # Errors
     ///
-    /// As there.
-    pub fn open_with_faults(path: &Path, about: FileIdentity, says: &Path) -> Result<Self, StoreError> {
-        Self::open_by(path, about, || builder().create_with_backend(FaultyDisk::open(path, says)?))
+    /// Another process has the file open, or the operating system or the simulated disk reports an error.
+    pub fn open_with_faults(
+        path: &Path,
+        identity: FileIdentity,
+        fault_path: &Path,
+    ) -> Result<Self, StoreError> {
+        Self::open_with(path, identity, || builder().create_with_backend(FaultyDisk::open(path, fault_path)?))
     }
 
-    fn open_by(
+    fn open_with(
         path: &Path,
-        about: FileIdentity,
+        identity: FileIdentity,
         create: impl Fn() -> Result<Database, DatabaseError>,
     ) -> Result<Self, StoreError> {
-        let attempt = || Self::of(create().map_err(StoreError::from), about);
-        match guarded(attempt) {
-            Err(why @ (StoreError::Corrupt(_) | StoreError::Foreign)) => {
-                std::fs::rename(path, aside(path)).map_err(|error| StoreError::Io(error.to_string()))?;
-                guarded(attempt).map(|disk| Self { aside: Some(why), ..disk })
+        let attempt = || Self::check(create().map_err(StoreError::from), identity);
+        match catch_panics(attempt) {
+            Err(reason @ (StoreError::Corrupt(_) | StoreError::Foreign)) => {
+                std::fs::rename(path, quarantine_path(path))
+                    .map_err(|error| StoreError::Io(error.to_string()))?;
+                catch_panics(attempt).map(|file| Self { quarantine_reason: Some(reason), ..file })
             }
             opened => opened,
         }
     }
 
-    /// Whether nothing had been written to it before it was opened.
+    /// Returns whether the file had no content before it was opened.
     pub fn is_new(&self) -> bool {
-        self.fresh
+        self.new
     }
 
-    /// Why an earlier file was put aside, if one was.
+    /// Returns why a previous file was moved aside, if one was.
     pub fn quarantine_reason(&self) -> Option<&StoreError> {
-        self.aside.as_ref()
+        self.quarantine_reason.as_ref()
     }
 
-    /// Opens what another backend holds.
+    /// Opens the content of another storage backend.
     ///
     /// # Errors
     ///
-    /// It is broken, foreign, or refuses.
-    pub fn open_backend(backend: impl StorageBackend, about: FileIdentity) -> Result<Self, StoreError> {
-        guarded(|| Self::of(builder().create_with_backend(backend).map_err(StoreError::from), about))
+    /// The content is corrupt or foreign, or the backend reports an error.
+    pub fn open_backend(backend: impl StorageBackend, identity: FileIdentity) -> Result<Self, StoreError> {
+        catch_panics(|| {
+            Self::check(builder().create_with_backend(backend).map_err(StoreError::from), identity)
+        })
     }
 
-    fn of(database: Result<Database, StoreError>, about: FileIdentity) -> Result<Self, StoreError> {
+    /// Checks the identity of an opened database, and writes it if the database is new.
+    fn check(database: Result<Database, StoreError>, identity: FileIdentity) -> Result<Self, StoreError> {
         let database = database?;
-        let mut fresh = false;
-        let txn = database.begin_write().map_err(trouble)?;
+        let mut new = false;
+        let txn = database.begin_write().map_err(store_error)?;
         {
-            let mut table = txn.open_table(ABOUT).map_err(trouble)?;
-            for (key, wanted) in [("format", about.format), ("mark", about.fingerprint)] {
-                let found = table.get(key).map_err(trouble)?.map(|value| value.value());
+            let mut table = txn.open_table(IDENTITY_TABLE).map_err(store_error)?;
+            for (key, expected) in [("format", identity.format), ("mark", identity.fingerprint)] {
+                let found = table.get(key).map_err(store_error)?.map(|value| value.value());
                 match found {
-                    Some(found) if found != wanted => return Err(StoreError::Foreign),
+                    Some(found) if found != expected => return Err(StoreError::Foreign),
                     Some(_) => {}
                     None => {
-                        fresh = true;
-                        table.insert(key, wanted).map_err(trouble)?;
+                        new = true;
+                        table.insert(key, expected).map_err(store_error)?;
                     }
                 }
             }
         }
-        txn.commit().map_err(trouble)?;
-        Ok(Self { database, fresh, aside: None })
+        txn.commit().map_err(store_error)?;
+        Ok(Self { database, new, quarantine_reason: None })
     }
 
-    /// Rows of a table from this key on, so many at the most.
+    /// Returns up to `max` rows of a table, starting at a key.
     ///
     /// # Errors
     ///
-    /// The file is broken, or the system refuses.
-    pub fn read(&self, table: &str, from: u64, most: usize) -> Result<Vec<(u64, Vec<u8>)>, StoreError> {
-        guarded(|| {
-            let txn = self.database.begin_read().map_err(trouble)?;
+    /// The file is corrupt, or the operating system reports an error.
+    pub fn read(&self, table: &str, first_key: u64, max: usize) -> Result<Vec<(u64, Vec<u8>)>, StoreError> {
+        catch_panics(|| {
+            let txn = self.database.begin_read().map_err(store_error)?;
             let table = match txn.open_table(TableDefinition::<u64, &[u8]>::new(table)) {
                 Ok(table) => table,
                 Err(redb::TableError::TableDoesNotExist(_)) => return Ok(Vec::new()),
-                Err(error) => return Err(trouble(error)),
+                Err(error) => return Err(store_error(error)),
             };
-            let rows = table.range(from..).map_err(trouble)?.take(most);
-            rows.map(|row| row.map(|(key, value)| (key.value(), value.value().to_vec())).map_err(trouble))
+            let rows = table.range(first_key..).map_err(store_error)?.take(max);
+            rows.map(|row| row.map(|(key, value)| (key.value(), value.value().to_vec())).map_err(store_error))
                 .collect()
         })
     }
 
-    /// Writes rows, all or none; they are on the disk when this returns.
+    /// Writes rows, either all or none; they are on the disk when this returns.
     ///
     /// # Errors
     ///
-    /// The file is broken, or the system refuses. The file can't be used any more.
+    /// The file is corrupt, or the operating system reports an error. The file must not be used after that.
     pub fn write(&self, rows: &[Row]) -> Result<(), StoreError> {
-        guarded(|| {
-            let txn = self.database.begin_write().map_err(trouble)?;
-            for of_table in rows.chunk_by(|a, b| a.table == b.table) {
-                let table = TableDefinition::<u64, &[u8]>::new(of_table[0].table);
-                let mut table = txn.open_table(table).map_err(trouble)?;
-                for row in of_table {
+        catch_panics(|| {
+            let txn = self.database.begin_write().map_err(store_error)?;
+            for table_rows in rows.chunk_by(|a, b| a.table == b.table) {
+                let table = TableDefinition::<u64, &[u8]>::new(table_rows[0].table);
+                let mut table = txn.open_table(table).map_err(store_error)?;
+                for row in table_rows {
                     match &row.value {
-                        Some(value) => drop(table.insert(row.key, value.as_slice()).map_err(trouble)?),
-                        None => drop(table.remove(row.key).map_err(trouble)?),
+                        Some(value) => drop(table.insert(row.key, value.as_slice()).map_err(store_error)?),
+                        None => drop(table.remove(row.key).map_err(store_error)?),
                     }
                 }
             }
-            txn.commit().map_err(trouble)
+            txn.commit().map_err(store_error)
         })
     }
 }
 
 fn builder() -> Builder {
     let mut builder = Builder::new();
-    builder.set_cache_size(CACHE).set_check_integrity_on_open(true);
+    builder.set_cache_size(CACHE_BYTES).set_check_integrity_on_open(true);
     builder
 }
 
-/// Where a file is put that can't be read; an earlier one is replaced.
-fn aside(path: &Path) -> PathBuf {
+/// Returns the path to which an unreadable file is moved. An earlier file there is replaced.
+fn quarantine_path(path: &Path) -> PathBuf {
     let mut name = path.as_os_str().to_owned();
     name.push(".bad");
     name.into()
 }
 
-/// Guards against a file so broken that reading it panics.
-fn guarded<T>(work: impl FnOnce() -> Result<T, StoreError>) -> Result<T, StoreError> {
+/// Reports a panic as a corrupt file: reading a badly damaged file can panic.
+fn catch_panics<T>(work: impl FnOnce() -> Result<T, StoreError>) -> Result<T, StoreError> {
     catch_unwind(AssertUnwindSafe(work))
-        .unwrap_or_else(|_| Err(StoreError::Corrupt("reading it cannot go on".to_owned())))
+        .unwrap_or_else(|_| Err(StoreError::Corrupt("the database library panicked".to_owned())))
 }
--- a/crates/spurdrum-store/src/lib.rs
+++ b/crates/spurdrum-store/src/lib.rs
@@ -1,12 +1,13 @@
-//! State that a node has again after a restart. It is written behind what happens, by a thread of its own, so that neither
-//! a slow disk nor a broken one is felt by those who are served.
+//! State that a node keeps across restarts. A thread of its own writes it to a file after the fact, so that
+//! neither a slow disk nor a broken one affects the requests.
 //!
-//! - [`pace`]: when to open, write and try again, and how much at once; no I/O, no clock.
-//! - [`disk`]: the file (a `redb` database), its checks, and what is done with one that is broken.
-//! - [`shell`]: the thread, and what ties all to the event loop.
-//! - [`trial`]: a disk that is full, slow, fails to sync or forgets, on command.
+//! - [`pace`]: when to open, write and retry, and how much to write at once; no I/O, no clock.
+//! - [`disk`]: the file (a `redb` database), its checks, and the handling of a corrupt one.
+//! - [`shell`]: the thread that uses the file, and its connection to the event loop.
+//! - [`trial`]: a disk that is full, slow, fails to sync or loses its data, on command.
 //!
-//! What is kept comes from a [`StoreWriter`]: it says what waits to be written, and takes in what an earlier life wrote.
+//! The owner of the state implements [`StoreWriter`]: it provides the rows that wait to be written, and
+//! receives the rows that a previous process has written.
 
 pub mod disk;
 pub mod pace;
--- a/crates/spurdrum-store/src/shell.rs
+++ b/crates/spurdrum-store/src/shell.rs
@@ -1,4 +1,4 @@
-//! The thread that has the file, and what ties it to the event loop.
+//! The thread that uses the file of the store, and its connection to the event loop.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -12,61 +12,64 @@
 use crate::disk::{Row, StoreError, StoreFile};
 use crate::pace::{Action, Event, Settings, WritePacing};
 
-/// Rows of an earlier life that are taken in at once: the event loop goes on between two chunks.
-const CHUNK: usize = 512;
+/// Rows of a previous process that are restored at once: the event loop runs other tasks between two chunks.
+const RESTORE_CHUNK_ROWS: usize = 512;
 
-/// Who has the state that is kept.
+/// The owner of the state that is stored: provides the rows to write, and receives the rows that were stored
+/// before.
 pub trait StoreWriter {
     /// The tables, in the order in which they are read.
     const TABLES: &'static [&'static str];
 
-    /// Rows that wait to be written.
+    /// Returns the number of rows that wait to be written.
     fn unwritten(&self) -> usize;
 
-    /// Rows to write next, so many at the most or a few more.
-    fn take_rows(&mut self, most: usize) -> Vec<Row>;
+    /// Returns the rows to write next: up to `max`, or a few more.
+    fn take_rows(&mut self, max: usize) -> Vec<Row>;
 
-    /// These could not be written.
+    /// Queues rows again that could not be written.
     fn requeue_rows(&mut self, rows: Vec<Row>);
 
-    /// What an earlier life wrote, a part at a time.
+    /// Restores rows that a previous process of the node wrote, one chunk at a time.
     fn restore_rows(&mut self, table: &'static str, rows: Vec<(u64, Vec<u8>)>);
 
-    /// The file is empty, and was not before: all is to be written again.
+    /// Queues everything to be written again, because the file is empty and was not before.
     fn queue_rewrite(&mut self);
 
-    /// Something has happened that operators should see.
-    fn log_warning(&self, what: &str);
+    /// Logs a warning for operators.
+    fn log_warning(&self, message: &str);
 }
 
+/// A command to the store thread.
 enum Command {
     Open,
     Load(&'static [&'static str]),
     Write(Vec<Row>),
 }
 
-enum Told {
-    Opened { fresh: bool, aside: Option<StoreError> },
+/// A reply of the store thread.
+enum Reply {
+    Opened { new: bool, quarantine_reason: Option<StoreError> },
     Rows(&'static str, Vec<(u64, Vec<u8>)>),
     Loaded,
     Written(usize),
     Failed(StoreError, Vec<Row>),
 }
 
-/// How the store does, for operators.
+/// The status of the store for operators.
 #[derive(Default)]
 pub struct Status {
-    /// Batches written, rows in them, and troubles.
+    /// Number of batches written.
     pub batches: u64,
-    /// See `batches`.
+    /// Number of rows written.
     pub rows: u64,
-    /// See `batches`.
+    /// Number of failures to open, load or write.
     pub failures: u64,
-    /// Whether it can be written to, and whether an earlier life's rows are in.
+    /// Whether the store can be written to.
     pub open: bool,
-    /// See `open`.
+    /// Whether the rows of a previous process have been restored.
     pub loaded: bool,
-    /// The last trouble.
+    /// The last error.
     pub last_error: Option<StoreError>,
 }
 
@@ -79,117 +82,122 @@
         };
         write!(f, "store {state}, batches {}, rows {}, troubles {}", self.batches, self.rows, self.failures)?;
         match &self.last_error {
-            Some(last) => write!(f, ", the last: {last}"),
+            Some(error) => write!(f, ", the last: {error}"),
             None => Ok(()),
         }
     }
 }
 
-/// The thread's work: one command at a time, until nobody listens.
-fn work(
+/// Runs the store thread: executes one command at a time until the other end of a channel is dropped.
+fn run_thread(
     mut open: impl FnMut() -> Result<StoreFile, StoreError>,
     commands: &mpsc::Receiver<Command>,
-    tell: &async_mpsc::Sender<Told>,
+    replies: &async_mpsc::Sender<Reply>,
 ) {
-    let mut disk = None;
+    let mut file = None;
     while let Ok(command) = commands.recv() {
-        let (done, rows) = match command {
+        let (result, rows) = match command {
             Command::Open => {
-                // Guards against a file that this process itself still has.
-                disk = None;
+                // The file is closed first: otherwise this process itself would still have it open.
+                file = None;
                 let opened = open().map(|opened| {
-                    let told =
-                        Told::Opened { fresh: opened.is_new(), aside: opened.quarantine_reason().cloned() };
-                    disk = Some(opened);
-                    told
+                    let reply = Reply::Opened {
+                        new: opened.is_new(),
+                        quarantine_reason: opened.quarantine_reason().cloned(),
+                    };
+                    file = Some(opened);
+                    reply
                 });
                 (opened, Vec::new())
             }
-            Command::Load(tables) => (load(disk.as_ref(), tables, tell), Vec::new()),
-            Command::Write(rows) => (written(disk.as_ref(), &rows), rows),
+            Command::Load(tables) => (load(file.as_ref(), tables, replies), Vec::new()),
+            Command::Write(rows) => (write(file.as_ref(), &rows), rows),
         };
-        let told = done.unwrap_or_else(|why| {
-            disk = None;
-            Told::Failed(why, rows)
+        let reply = result.unwrap_or_else(|error| {
+            file = None;
+            Reply::Failed(error, rows)
         });
-        if tell.blocking_send(told).is_err() {
+        if replies.blocking_send(reply).is_err() {
             return;
         }
     }
 }
 
-fn closed() -> StoreError {
+fn not_open() -> StoreError {
     StoreError::Io("it is not open".to_owned())
 }
 
 fn load(
-    disk: Option<&StoreFile>,
+    file: Option<&StoreFile>,
     tables: &[&'static str],
-    tell: &async_mpsc::Sender<Told>,
-) -> Result<Told, StoreError> {
-    let disk = disk.ok_or_else(closed)?;
+    replies: &async_mpsc::Sender<Reply>,
+) -> Result<Reply, StoreError> {
+    let file = file.ok_or_else(not_open)?;
     for table in tables {
-        let mut from = Some(0);
-        while let Some(at) = from {
-            let rows = disk.read(table, at, CHUNK)?;
-            from = rows.last().filter(|_| rows.len() == CHUNK).and_then(|(key, _)| key.checked_add(1));
-            // Where nobody listens, the thread ends with the next answer.
-            let _ = tell.blocking_send(Told::Rows(table, rows));
+        let mut next_key = Some(0);
+        while let Some(first_key) = next_key {
+            let rows = file.read(table, first_key, RESTORE_CHUNK_ROWS)?;
+            next_key = rows
+                .last()
+                .filter(|_| rows.len() == RESTORE_CHUNK_ROWS)
+                .and_then(|(key, _)| key.checked_add(1));
+            // If the receiver is gone, the thread ends when it sends its next reply.
+            let _ = replies.blocking_send(Reply::Rows(table, rows));
         }
     }
-    Ok(Told::Loaded)
+    Ok(Reply::Loaded)
 }
 
-fn written(disk: Option<&StoreFile>, rows: &[Row]) -> Result<Told, StoreError> {
-    disk.ok_or_else(closed)?.write(rows).map(|()| Told::Written(rows.len()))
+fn write(file: Option<&StoreFile>, rows: &[Row]) -> Result<Reply, StoreError> {
+    file.ok_or_else(not_open)?.write(rows).map(|()| Reply::Written(rows.len()))
 }
 
-/// Keeps what `keeper` has in a file that `open` opens, until `stop` is done and what was left is written, or the time for
-/// that is over.
+/// Stores the state of `writer` in the file that `open` opens. Ends after `stop` is done and the remaining
+/// rows were written, or the time for that is over.
 ///
 /// # Errors
 ///
-/// There is no thread to be had.
+/// The store thread cannot be started.
 pub async fn run_store<K: StoreWriter>(
     open: impl FnMut() -> Result<StoreFile, StoreError> + Send + 'static,
     settings: Settings,
-    keeper: Rc<RefCell<K>>,
+    writer: Rc<RefCell<K>>,
     status: Rc<RefCell<Status>>,
-    mut chance: impl FnMut() -> f64,
+    mut random: impl FnMut() -> f64,
     stop: impl Future<Output = ()>,
 ) -> std::io::Result<()> {
-    // One command is out at a time, and few answers wait.
+    // At most one command is in progress, and few replies wait.
     let (command, commands) = mpsc::sync_channel(1);
-    let (tell, mut told) = async_mpsc::channel(2);
-    std::thread::Builder::new().name("store".into()).spawn(move || work(open, &commands, &tell))?;
-    let begun = Instant::now();
-    let mut pace = WritePacing::new(settings);
+    let (reply, mut replies) = async_mpsc::channel(2);
+    std::thread::Builder::new().name("store".into()).spawn(move || run_thread(open, &commands, &reply))?;
+    let started = Instant::now();
+    let mut pacing = WritePacing::new(settings);
     let mut stop = pin!(stop);
-    let mut ending = false;
+    let mut stopping = false;
     loop {
-        let unwritten = keeper.borrow().unwritten();
-        let next = match pace.next_action(begun.elapsed(), unwritten) {
+        let unwritten = writer.borrow().unwritten();
+        let next = match pacing.next_action(started.elapsed(), unwritten) {
             Action::Open => Some(Command::Open),
             Action::Load => Some(Command::Load(K::TABLES)),
-            Action::Write(most) => Some(Command::Write(keeper.borrow_mut().take_rows(most))),
+            Action::Write(max) => Some(Command::Write(writer.borrow_mut().take_rows(max))),
             Action::Stop => break,
             Action::Wait(until) => {
                 let sleep = async {
                     match until {
-                        Some(until) => sleep_until(begun + until).await,
+                        Some(until) => sleep_until(started + until).await,
                         None => std::future::pending().await,
                     }
                 };
                 tokio::select! {
-                    () = &mut stop, if !ending => {
-                        ending = true;
-                        pace.handle(begun.elapsed(), Event::Stopping, chance());
+                    () = &mut stop, if !stopping => {
+                        stopping = true;
+                        pacing.handle(started.elapsed(), Event::Stopping, random());
                     }
-                    answer = told.recv() => {
-                        // The thread ends only with this.
-                        let Some(answer) = answer else { return Ok(()) };
-                        if let Some(event) = heard(answer, &keeper, &status) {
-                            pace.handle(begun.elapsed(), event, chance());
+                    reply = replies.recv() => {
+                        // The thread runs for as long as its command channel is open.
+                        let Some(reply) = reply else { return Ok(()) };
+                        if let Some(event) = handle_reply(reply, &writer, &status) {
+                            pacing.handle(started.elapsed(), event, random());
                         }
                     }
                     () = sleep => {}
@@ -199,54 +207,61 @@
         };
         {
             let mut status = status.borrow_mut();
-            (status.open, status.loaded) = (pace.is_open(), pace.is_loaded());
+            (status.open, status.loaded) = (pacing.is_open(), pacing.is_loaded());
         }
         if let Some(next) = next {
-            // One is out at a time, so this neither waits nor fails while the thread lives.
+            // At most one command is in progress, so this neither blocks nor fails while the thread runs.
             if command.try_send(next).is_err() {
                 return Ok(());
             }
         }
     }
-    // The next life can open it once the thread has closed it; one that hangs is left behind.
+    // The next process can open the file once the thread has closed it. A thread that hangs is left behind.
     drop(command);
-    let closed = async { while told.recv().await.is_some() {} };
-    let _ = timeout_at(begun + pace.flush_deadline().unwrap_or_default(), closed).await;
+    let closed = async { while replies.recv().await.is_some() {} };
+    let _ = timeout_at(started + pacing.flush_deadline().unwrap_or_default(), closed).await;
     Ok(())
 }
 
-fn heard<K: StoreWriter>(told: Told, keeper: &RefCell<K>, status: &RefCell<Status>) -> Option<Event> {
+/// Processes a reply of the store thread and returns the event for the pacing, if there is one.
+fn handle_reply<K: StoreWriter>(
+    reply: Reply,
+    writer: &RefCell<K>,
+    status: &RefCell<Status>,
+) -> Option<Event> {
     let mut status = status.borrow_mut();
-    match told {
-        Told::Opened { fresh, aside } => {
-            if let Some(why) = aside {
-                keeper.borrow().log_warning(&format!("the file was put aside, and is begun anew: {why}"));
-                status.last_error = Some(why);
+    match reply {
+        Reply::Opened { new, quarantine_reason } => {
+            if let Some(reason) = quarantine_reason {
+                writer.borrow().log_warning(&format!(
+                    "the file cannot be read; it was moved aside and replaced by an empty one: {reason}"
+                ));
+                status.last_error = Some(reason);
             }
-            // Before it was loaded, nothing of this life has been written.
-            if fresh && status.loaded {
-                keeper.borrow_mut().queue_rewrite();
+            // Before the first load, this process has not written anything that could be lost.
+            if new && status.loaded {
+                writer.borrow_mut().queue_rewrite();
             }
             Some(Event::Opened)
         }
-        Told::Rows(table, rows) => {
-            keeper.borrow_mut().restore_rows(table, rows);
+        Reply::Rows(table, rows) => {
+            writer.borrow_mut().restore_rows(table, rows);
             None
         }
-        Told::Loaded => Some(Event::Loaded),
-        Told::Written(rows) => {
+        Reply::Loaded => Some(Event::Loaded),
+        Reply::Written(rows) => {
             status.batches += 1;
             status.rows += rows as u64;
             Some(Event::Written)
         }
-        Told::Failed(why, rows) => {
+        Reply::Failed(error, rows) => {
             status.failures += 1;
-            // Guards against a line for each try.
-            if status.last_error.as_ref() != Some(&why) {
-                keeper.borrow().log_warning(&format!("the file can't be used: {why}"));
+            // The same error is logged once, not for each retry.
+            if status.last_error.as_ref() != Some(&error) {
+                writer.borrow().log_warning(&format!("the file cannot be used: {error}"));
             }
-            status.last_error = Some(why);
-            keeper.borrow_mut().requeue_rows(rows);
+            status.last_error = Some(error);
+            writer.borrow_mut().requeue_rows(rows);
             Some(Event::Failed)
         }
     }
