--- a/crates/spurdrum-affinity/tests/affinity.rs
+++ b/crates/spurdrum-affinity/tests/affinity.rs
@@ -1,4 +1,4 @@
-//! What becomes of keys while servers drain, vanish, return and start anew, and of a table that is full.
+//! Bindings while servers drain, disappear, return and restart, and bindings in a full table.
 
 mod common;
 use common::*;
@@ -7,10 +7,10 @@
 use spurdrum_policy::{Availability, ServerId};
 
 #[test]
-fn a_key_goes_back_to_who_served_it() {
+fn a_key_goes_back_to_the_server_that_served_it() {
     let mut fleet = Fleet::new(Settings::default(), 3);
     for n in 0..30 {
-        fleet.served(n, n as usize % 3);
+        fleet.record_served(n, n as usize % 3);
     }
     for n in 0..30 {
         assert_eq!(fleet.preferred_server(n), Some(ServerId(n as usize % 3)));
@@ -19,35 +19,35 @@
 }
 
 #[test]
-fn a_drain_drops_what_was_bound_at_once_and_for_good() {
+fn a_drain_drops_bindings_at_once_and_for_good() {
     let mut fleet = Fleet::new(Settings::default(), 2);
-    (0..10).for_each(|n| fleet.served(n, 0));
+    (0..10).for_each(|n| fleet.record_served(n, 0));
     fleet.set(0, Availability::Draining);
     assert!((0..10).all(|n| fleet.preferred_server(n).is_none()));
     assert_eq!((fleet.affinity.len(), fleet.affinity.counters().dropped), (0, 10));
-    fleet.served(3, 0);
-    assert_eq!(fleet.affinity.len(), 0, "an answer that comes late binds nothing to it");
+    fleet.record_served(3, 0);
+    assert_eq!(fleet.affinity.len(), 0, "a late answer binds no key to a draining server");
     fleet.set(0, Availability::Ready);
     assert_eq!(fleet.preferred_server(3), None);
 }
 
 #[test]
-fn a_server_that_the_list_lost_for_a_moment_has_its_keys_back_if_it_is_the_same() {
+fn a_server_that_was_off_the_list_for_a_moment_gets_its_keys_back_if_it_is_the_same_process() {
     let mut fleet = Fleet::new(Settings::default(), 2);
-    (0..10).for_each(|n| fleet.served(n, 0));
+    (0..10).for_each(|n| fleet.record_served(n, 0));
     fleet.set(0, Availability::Gone);
-    assert!((0..10).all(|n| fleet.preferred_server(n).is_none()), "nothing follows it meanwhile");
-    fleet.served(4, 1);
+    assert!((0..10).all(|n| fleet.preferred_server(n).is_none()), "an absent server is not preferred");
+    fleet.record_served(4, 1);
     fleet.now += 900.0;
     fleet.set(0, Availability::Ready);
     assert_eq!(fleet.preferred_server(3), Some(ServerId(0)));
-    assert_eq!(fleet.preferred_server(4), Some(ServerId(1)), "it was bound elsewhere meanwhile");
-    // As a new process it has nothing of what it had.
+    assert_eq!(fleet.preferred_server(4), Some(ServerId(1)), "the key was bound to another server meanwhile");
+    // A new process of the server does not get the bindings of the previous one.
     fleet.set(0, Availability::Gone);
     fleet.starts[0] = Some(fleet.now);
     fleet.set(0, Availability::Ready);
     assert_eq!(fleet.preferred_server(3), None);
-    // And what is away for long is forgotten.
+    // Bindings to a server that stays away for longer than the return timeout are dropped.
     fleet.set(1, Availability::Gone);
     fleet.now += 10_001.0;
     fleet.affinity.tick(fleet.now);
@@ -55,9 +55,9 @@
 }
 
 #[test]
-fn a_whole_list_loses_those_that_are_not_in_it() {
+fn a_complete_list_drops_the_servers_that_are_not_on_it() {
     let mut fleet = Fleet::new(Settings { return_timeout_ms: 0.0, ..Settings::default() }, 3);
-    (0..3).for_each(|n| fleet.served(n, n as usize));
+    (0..3).for_each(|n| fleet.record_served(n, n as usize));
     let listed = fleet.listed(1, Availability::Ready);
     fleet.affinity.apply_list(fleet.now, true, vec![listed]);
     assert_eq!([0, 1, 2].map(|n| fleet.preferred_server(n)), [None, Some(ServerId(1)), None]);
@@ -65,105 +65,106 @@
 }
 
 #[test]
-fn a_key_moves_once_it_was_served_elsewhere_time_and_again() {
+fn a_key_moves_after_it_was_served_elsewhere_several_times_in_a_row() {
     let mut fleet = Fleet::new(Settings::default(), 2);
-    fleet.served(1, 0);
+    fleet.record_served(1, 0);
     fleet.now += 2_000.0;
     for _ in 0..50 {
-        // Slow for two requests, well for one: it stays.
-        (0..2).for_each(|_| fleet.served(1, 1));
-        fleet.served(1, 0);
+        // Two requests in a row served elsewhere, then one by the bound server: the key stays.
+        (0..2).for_each(|_| fleet.record_served(1, 1));
+        fleet.record_served(1, 0);
     }
     assert_eq!((fleet.preferred_server(1), fleet.affinity.counters().rebound), (Some(ServerId(0)), 0));
-    (0..3).for_each(|_| fleet.served(1, 1));
+    (0..3).for_each(|_| fleet.record_served(1, 1));
     assert_eq!(fleet.preferred_server(1), Some(ServerId(1)));
-    // What has just moved settles first: it does not swing.
-    (0..20).for_each(|_| fleet.served(1, 0));
+    // A key that has just moved does not move back before the minimum age: it must not swing.
+    (0..20).for_each(|_| fleet.record_served(1, 0));
     assert_eq!((fleet.preferred_server(1), fleet.affinity.counters().rebound), (Some(ServerId(1)), 1));
     fleet.now += 1_000.0;
-    fleet.served(1, 0);
+    fleet.record_served(1, 0);
     assert_eq!((fleet.preferred_server(1), fleet.affinity.counters().rebound), (Some(ServerId(0)), 2));
 }
 
 #[test]
-fn bindings_age_by_use_and_by_time() {
+fn bindings_expire_when_idle_and_when_too_old() {
     let settings = Settings { idle_timeout_ms: 1_000.0, max_age_ms: 5_000.0, ..Settings::default() };
     let mut fleet = Fleet::new(settings, 1);
-    fleet.served(1, 0);
-    fleet.served(2, 0);
+    fleet.record_served(1, 0);
+    fleet.record_served(2, 0);
     for _ in 0..7 {
         fleet.now += 700.0;
         assert_eq!(fleet.preferred_server(1), Some(ServerId(0)));
     }
     assert_eq!((fleet.preferred_server(2), fleet.affinity.len()), (None, 1));
     fleet.now += 700.0;
-    assert_eq!(fleet.preferred_server(1), None, "however much it is used");
+    assert_eq!(fleet.preferred_server(1), None, "a binding that is too old expires however often it is used");
     assert_eq!(fleet.affinity.counters().expired, 2);
 }
 
 #[test]
-fn one_noisy_owner_does_not_push_out_the_others() {
+fn one_noisy_owner_does_not_evict_the_keys_of_others() {
     let settings = Settings { max_bindings: 1_000, ..Settings::default() };
     let mut fleet = Fleet::new(settings, 4);
-    // Twenty inns with ten keys each, and one group that asks for a million.
+    // Twenty owners with ten keys each, and one that requests a million keys.
     for n in 0..200 {
         fleet.owner = n % 20;
-        fleet.served(n, n as usize % 4);
+        fleet.record_served(n, n as usize % 4);
     }
     fleet.owner = 99;
     for n in 1_000..1_001_000 {
         fleet.preferred_server(n);
-        fleet.served(n, n as usize % 4);
+        fleet.record_served(n, n as usize % 4);
     }
     assert!(fleet.affinity.len() <= 1_000);
     assert_eq!(fleet.affinity.owner_bindings(99), 800);
     for n in 0..200 {
         fleet.owner = n % 20;
-        assert_eq!(fleet.preferred_server(n), Some(ServerId(n as usize % 4)), "inn {}", n % 20);
+        assert_eq!(fleet.preferred_server(n), Some(ServerId(n as usize % 4)), "owner {}", n % 20);
     }
-    // Whoever comes later has room at once, at the cost of who holds most.
+    // A new owner gets slots at once, at the expense of the owner that holds the most.
     for n in 300..400 {
         fleet.owner = 50;
-        fleet.served(n, 0);
+        fleet.record_served(n, 0);
     }
     assert_eq!((fleet.affinity.owner_bindings(50), fleet.affinity.owner_bindings(99)), (100, 700));
 }
 
 #[test]
-fn keys_that_come_once_do_not_push_out_those_that_come_again() {
+fn keys_requested_once_do_not_evict_keys_requested_repeatedly() {
     let hits = |scan: u64| {
         let mut fleet = Fleet::new(Settings { max_bindings: 512, ..Settings::default() }, 4);
-        let (mut hits, mut fresh) = (0, 1_000_000);
+        let (mut hits, mut scanned) = (0, 1_000_000);
         for round in 0..200 {
             for key in 0..400 {
                 hits += usize::from(fleet.preferred_server(key).is_some() && round >= 100);
-                fleet.served(key, key as usize % 4);
+                fleet.record_served(key, key as usize % 4);
                 for _ in 0..scan {
-                    fresh += 1;
-                    fleet.preferred_server(fresh);
-                    fleet.served(fresh, 0);
+                    scanned += 1;
+                    fleet.preferred_server(scanned);
+                    fleet.record_served(scanned, 0);
                 }
             }
         }
         hits as f64 / 40_000.0
     };
-    // By age alone the table would have turned over between two uses of a key: 0 of them would be found.
+    // If the least recently used key were always evicted, no key would be found: all slots would be replaced
+    // between two uses of a key.
     let found = [hits(0), hits(1), hits(4)];
     assert!(found[0] == 1.0 && found[1] > 0.9 && found[2] > 0.8, "{found:?}");
 }
 
 #[test]
-fn nodes_that_share_nothing_agree_on_a_key_by_the_ring() {
+fn nodes_that_share_no_state_choose_the_same_server_by_the_ring() {
     let settings =
         Settings { initial_placement: InitialPlacement::Ring, slow_start_ms: 5_000.0, ..Settings::default() };
     let mut nodes = [Fleet::new(settings.clone(), 10), Fleet::new(settings, 10)];
-    // Their secrets and numbers differ; names do not.
-    nodes[1].keyer = KeyHasher::new([9; 16]);
+    // The secrets of the nodes differ; the names of the servers do not.
+    nodes[1].hasher = KeyHasher::new([9; 16]);
     for n in 0..500 {
         let [one, other] = [nodes[0].preferred_server(n), nodes[1].preferred_server(n)];
         assert!(one.is_some() && one == other);
     }
-    // A fresh server gets none by the ring until it is warm.
+    // A new server gets no keys by the ring during its slow start.
     nodes[0].starts[4] = Some(nodes[0].now);
     nodes[0].set(4, Availability::Ready);
     assert!((0..500).all(|n| nodes[0].preferred_server(n) != Some(ServerId(4))));
@@ -172,10 +173,10 @@
 }
 
 #[test]
-fn losing_and_finding_lists_of_any_length_leaves_no_trace() {
+fn losing_all_servers_and_their_return_leaves_no_stale_state() {
     let mut fleet = Fleet::new(Settings { max_bindings: 4_096, ..Settings::default() }, 2_000);
     for round in 0..5 {
-        (0..4_000).for_each(|n| fleet.served(n, n as usize % 2_000));
+        (0..4_000).for_each(|n| fleet.record_served(n, n as usize % 2_000));
         assert_eq!(fleet.affinity.len(), 4_000);
         fleet.affinity.apply_list(fleet.now, true, Vec::new());
         assert!((0..100).all(|n| fleet.preferred_server(n).is_none()));
@@ -188,9 +189,9 @@
 }
 
 #[test]
-fn a_list_that_comes_while_an_earlier_life_is_read_loses_nothing() {
+fn a_list_that_arrives_while_the_store_is_read_drops_no_bindings() {
     let mut old = Fleet::new(Settings::default(), 2);
-    old.served(1, 0);
+    old.record_served(1, 0);
     let writes = old.affinity.take_writes(10);
     let mut next = Fleet::new(Settings::default(), 0);
     next.starts = vec![None; 2];
@@ -198,7 +199,7 @@
         match write {
             record::PendingWrite::Run(number, Some((id, started_at))) => {
                 next.affinity.restore_run(next.now, number, &id, started_at);
-                // Only the other server is listed yet, and then listed again.
+                // Only the other server is listed so far, twice.
                 next.set(1, Availability::Ready);
                 next.set(1, Availability::Ready);
             }
@@ -214,12 +215,12 @@
 }
 
 #[test]
-fn what_a_clock_that_was_ahead_wrote_ages_all_the_same() {
+fn bindings_written_while_the_clock_was_ahead_expire_nevertheless() {
     let settings = Settings { idle_timeout_ms: 1_000.0, ..Settings::default() };
     let mut fleet = Fleet::new(settings, 1);
     let ahead = fleet.now + 1e9;
     fleet.affinity.restore_run(fleet.now, 1, "s0", 0.0);
-    let key = fleet.ask(1).hash;
+    let key = fleet.key(1).hash;
     let stored = record::StoredBinding { key, owner: 0, run_number: 1, used_at: ahead, bound_at: ahead };
     fleet.affinity.restore_binding(fleet.now, 3, &stored);
     assert_eq!(fleet.affinity.len(), 1);
--- a/crates/spurdrum-store/tests/disk.rs
+++ b/crates/spurdrum-store/tests/disk.rs
@@ -1,4 +1,4 @@
-//! Files that are torn, broken, foreign, in use or on a disk that refuses.
+//! Files that are incompletely written, corrupt, foreign, in use or on a disk that reports errors.
 
 use std::io::{Error, ErrorKind};
 use std::path::PathBuf;
@@ -9,81 +9,87 @@
 use redb::StorageBackend;
 use spurdrum_store::{FileIdentity, Row, StoreError, StoreFile};
 
-const ABOUT: FileIdentity = FileIdentity { format: 1, fingerprint: 7 };
+const IDENTITY: FileIdentity = FileIdentity { format: 1, fingerprint: 7 };
 const TABLE: &str = "things";
 
-/// A disk that keeps what was synced, and of what was written since as much as chance has it.
+/// A disk that survives a power failure with all synced data and a random part of what was written since.
 #[derive(Debug, Default)]
 struct Image {
-    now: Vec<u8>,
+    content: Vec<u8>,
     synced: Vec<u8>,
-    since: Vec<(u64, Vec<u8>)>,
-    /// Operations until it refuses everything.
-    left: Option<usize>,
+    /// The writes since the last sync, each with its offset.
+    unsynced: Vec<(u64, Vec<u8>)>,
+    /// The number of operations after which all others fail.
+    operations_left: Option<usize>,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Torn(Arc<Mutex<Image>>);
+struct CrashDisk(Arc<Mutex<Image>>);
 
-impl Torn {
-    fn with<T>(&self, work: impl FnOnce(&mut Image) -> T) -> Result<T, Error> {
+impl CrashDisk {
+    fn with_image<T>(&self, work: impl FnOnce(&mut Image) -> T) -> Result<T, Error> {
         let mut image = self.0.lock().expect("not poisoned");
-        match &mut image.left {
+        match &mut image.operations_left {
             Some(0) => return Err(Error::from(ErrorKind::StorageFull)),
-            Some(left) => *left -= 1,
+            Some(operations_left) => *operations_left -= 1,
             None => {}
         }
         Ok(work(&mut image))
     }
 
-    /// The disk after the power failed.
+    /// Returns the disk after a power failure.
     fn crash(&self, random: &mut fastrand::Rng) -> Self {
         let image = self.0.lock().expect("not poisoned");
-        let mut now = image.synced.clone();
-        for (at, bytes) in &image.since {
-            // Sectors of 512 bytes are whole or not written.
+        let mut content = image.synced.clone();
+        for (offset, bytes) in &image.unsynced {
+            // A sector of 512 bytes is either written completely or not at all.
             for (n, sector) in bytes.chunks(512).enumerate() {
-                let at = *at as usize + n * 512;
+                let start = *offset as usize + n * 512;
                 if random.bool() {
-                    now.resize(now.len().max(at + sector.len()), 0);
-                    now[at..at + sector.len()].copy_from_slice(sector);
+                    content.resize(content.len().max(start + sector.len()), 0);
+                    content[start..start + sector.len()].copy_from_slice(sector);
                 }
             }
         }
-        let len = now.len().max(image.now.len());
-        now.resize(len, 0);
-        Self(Arc::new(Mutex::new(Image { synced: now.clone(), now, since: Vec::new(), left: None })))
+        let len = content.len().max(image.content.len());
+        content.resize(len, 0);
+        Self(Arc::new(Mutex::new(Image {
+            synced: content.clone(),
+            content,
+            unsynced: Vec::new(),
+            operations_left: None,
+        })))
     }
 }
 
-impl StorageBackend for Torn {
+impl StorageBackend for CrashDisk {
     fn len(&self) -> Result<u64, Error> {
-        self.with(|image| image.now.len() as u64)
+        self.with_image(|image| image.content.len() as u64)
     }
 
     fn read(&self, offset: u64, out: &mut [u8]) -> Result<(), Error> {
-        let read = self.with(|image| {
-            let part = image.now.get(offset as usize..offset as usize + out.len());
+        let copied = self.with_image(|image| {
+            let part = image.content.get(offset as usize..offset as usize + out.len());
             part.map(|part| out.copy_from_slice(part))
         })?;
-        read.ok_or_else(|| Error::from(ErrorKind::UnexpectedEof))
+        copied.ok_or_else(|| Error::from(ErrorKind::UnexpectedEof))
     }
 
     fn set_len(&self, len: u64) -> Result<(), Error> {
-        self.with(|image| image.now.resize(len as usize, 0))
+        self.with_image(|image| image.content.resize(len as usize, 0))
     }
 
     fn sync_data(&self) -> Result<(), Error> {
-        self.with(|image| {
-            image.synced = image.now.clone();
-            image.since.clear();
+        self.with_image(|image| {
+            image.synced = image.content.clone();
+            image.unsynced.clear();
         })
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> Result<(), Error> {
-        self.with(|image| {
-            image.now[offset as usize..offset as usize + data.len()].copy_from_slice(data);
-            image.since.push((offset, data.to_vec()));
+        self.with_image(|image| {
+            image.content[offset as usize..offset as usize + data.len()].copy_from_slice(data);
+            image.unsynced.push((offset, data.to_vec()));
         })
     }
 }
@@ -92,8 +98,8 @@
     Row { table: TABLE, key, value: value.map(|value| value.to_le_bytes().to_vec()) }
 }
 
-fn all(disk: &StoreFile) -> Vec<(u64, u64)> {
-    let rows = disk.read(TABLE, 0, usize::MAX).expect("read");
+fn all_rows(file: &StoreFile) -> Vec<(u64, u64)> {
+    let rows = file.read(TABLE, 0, usize::MAX).expect("read");
     rows.into_iter().map(|(key, value)| (key, u64::from_le_bytes(value.try_into().expect("8")))).collect()
 }
 
@@ -113,16 +119,16 @@
         ..ProptestConfig::default()
     })]
 
-    /// After a crash at any operation the file holds a state between two batches: the last that was told to be written, or
-    /// the one under way.
+    /// After a crash at any operation the file holds the state after a whole batch: the last one whose write
+    /// was confirmed, or the one in progress.
     #[test]
-    fn a_crash_leaves_whole_batches(seed in any::<u64>(), left in 0..400_usize) {
+    fn a_crash_leaves_whole_batches(seed in any::<u64>(), operations in 0..400_usize) {
         let mut random = fastrand::Rng::with_seed(seed);
-        let torn = Torn::default();
-        let disk = StoreFile::open_backend(torn.clone(), ABOUT).expect("opened");
-        torn.0.lock().expect("not poisoned").left = Some(left);
+        let crash_disk = CrashDisk::default();
+        let file = StoreFile::open_backend(crash_disk.clone(), IDENTITY).expect("opened");
+        crash_disk.0.lock().expect("not poisoned").operations_left = Some(operations);
         let mut states = vec![std::collections::BTreeMap::new()];
-        let mut told = 0;
+        let mut confirmed = 0;
         for batch in 0..40_u64 {
             let rows: Vec<Row> = (0..random.u64(1..30))
                 .map(|_| row(random.u64(0..50), (random.u8(0..4) > 0).then_some(batch)))
@@ -135,83 +141,83 @@
                 }
             }
             states.push(state);
-            if disk.write(&rows).is_err() {
+            if file.write(&rows).is_err() {
                 break;
             }
-            told = batch as usize + 1;
+            confirmed = batch as usize + 1;
         }
-        let after = torn.crash(&mut random);
-        drop(disk);
-        let disk = StoreFile::open_backend(after, ABOUT).expect("it is sound");
-        let found: std::collections::BTreeMap<u64, u64> = all(&disk).into_iter().collect();
-        prop_assert!(states[told..].iter().take(2).any(|state| *state == found), "{told}: {found:?}");
+        let after_crash = crash_disk.crash(&mut random);
+        drop(file);
+        let file = StoreFile::open_backend(after_crash, IDENTITY).expect("the file is valid");
+        let found: std::collections::BTreeMap<u64, u64> = all_rows(&file).into_iter().collect();
+        prop_assert!(states[confirmed..].iter().take(2).any(|state| *state == found), "{confirmed}: {found:?}");
     }
 
-    /// Whatever is changed in a file, it is read or put aside.
+    /// A file that was changed in any way is either read or moved aside.
     #[test]
-    fn a_spoilt_file_is_read_or_put_aside(at in any::<prop::sample::Index>(), bytes in proptest::collection::vec(any::<u8>(), 1..300)) {
-        let path = path("spoilt");
-        let disk = StoreFile::open(&path, ABOUT).expect("opened");
-        disk.write(&(0..500).map(|n| row(n, Some(n))).collect::<Vec<_>>()).expect("written");
-        drop(disk);
-        let mut whole = std::fs::read(&path).expect("read");
-        let at = at.index(whole.len());
-        let end = (at + bytes.len()).min(whole.len());
-        whole[at..end].copy_from_slice(&bytes[..end - at]);
-        std::fs::write(&path, whole).expect("written");
-        let disk = StoreFile::open(&path, ABOUT).expect("it can be used");
-        let rows = disk.read(TABLE, 0, 1_000).expect("read");
-        prop_assert_eq!(rows.len(), if disk.is_new() { 0 } else { 500 });
-        disk.write(&[row(1, Some(2))]).expect("written");
+    fn a_damaged_file_is_read_or_moved_aside(position in any::<prop::sample::Index>(), bytes in proptest::collection::vec(any::<u8>(), 1..300)) {
+        let path = path("damaged");
+        let file = StoreFile::open(&path, IDENTITY).expect("opened");
+        file.write(&(0..500).map(|n| row(n, Some(n))).collect::<Vec<_>>()).expect("written");
+        drop(file);
+        let mut content = std::fs::read(&path).expect("read");
+        let start = position.index(content.len());
+        let end = (start + bytes.len()).min(content.len());
+        content[start..end].copy_from_slice(&bytes[..end - start]);
+        std::fs::write(&path, content).expect("written");
+        let file = StoreFile::open(&path, IDENTITY).expect("opened");
+        let rows = file.read(TABLE, 0, 1_000).expect("read");
+        prop_assert_eq!(rows.len(), if file.is_new() { 0 } else { 500 });
+        file.write(&[row(1, Some(2))]).expect("written");
     }
 }
 
 #[test]
-fn what_is_no_database_or_anothers_is_put_aside_and_kept() {
-    let path = path("aside");
+fn a_file_that_is_not_a_database_or_is_foreign_is_moved_aside_and_kept() {
+    let path = path("quarantine");
     std::fs::write(&path, b"no database at all").expect("written");
-    let disk = StoreFile::open(&path, ABOUT).expect("opened");
+    let file = StoreFile::open(&path, IDENTITY).expect("opened");
     assert!(
-        matches!(disk.quarantine_reason(), Some(StoreError::Corrupt(_))),
+        matches!(file.quarantine_reason(), Some(StoreError::Corrupt(_))),
         "{:?}",
-        disk.quarantine_reason()
+        file.quarantine_reason()
     );
     assert_eq!(std::fs::read(path.with_extension("redb.bad")).expect("kept"), b"no database at all");
-    disk.write(&[row(1, Some(1))]).expect("written");
-    drop(disk);
-    let again = StoreFile::open(&path, ABOUT).expect("opened");
-    assert!(again.quarantine_reason().is_none() && !again.is_new() && all(&again) == [(1, 1)]);
+    file.write(&[row(1, Some(1))]).expect("written");
+    drop(file);
+    let again = StoreFile::open(&path, IDENTITY).expect("opened");
+    assert!(again.quarantine_reason().is_none() && !again.is_new() && all_rows(&again) == [(1, 1)]);
     drop(again);
-    for other in [FileIdentity { format: 2, ..ABOUT }, FileIdentity { fingerprint: 8, ..ABOUT }] {
-        let disk = StoreFile::open(&path, other).expect("opened");
-        assert_eq!((disk.quarantine_reason(), all(&disk)), (Some(&StoreError::Foreign), vec![]));
+    for other in [FileIdentity { format: 2, ..IDENTITY }, FileIdentity { fingerprint: 8, ..IDENTITY }] {
+        let file = StoreFile::open(&path, other).expect("opened");
+        assert_eq!((file.quarantine_reason(), all_rows(&file)), (Some(&StoreError::Foreign), vec![]));
     }
 }
 
 #[test]
-fn a_file_that_another_has_is_busy_until_it_lets_go() {
+fn a_file_is_busy_while_another_has_it_open() {
     let path = path("busy");
-    let first = StoreFile::open(&path, ABOUT).expect("opened");
-    assert_eq!(StoreFile::open(&path, ABOUT).err(), Some(StoreError::Busy));
+    let first = StoreFile::open(&path, IDENTITY).expect("opened");
+    assert_eq!(StoreFile::open(&path, IDENTITY).err(), Some(StoreError::Busy));
     drop(first);
-    assert!(StoreFile::open(&path, ABOUT).is_ok());
+    assert!(StoreFile::open(&path, IDENTITY).is_ok());
 }
 
 #[test]
-fn a_folder_that_is_not_there_is_a_refusal() {
+fn a_missing_folder_is_an_io_error() {
     let path = path("nowhere").with_file_name("none").join("state.redb");
-    assert!(matches!(StoreFile::open(&path, ABOUT).err(), Some(StoreError::Io(_))));
+    assert!(matches!(StoreFile::open(&path, IDENTITY).err(), Some(StoreError::Io(_))));
 }
 
 #[test]
-fn a_full_disk_is_a_refusal_and_what_was_written_stays() {
-    let torn = Torn::default();
-    let disk = StoreFile::open_backend(torn.clone(), ABOUT).expect("opened");
-    disk.write(&[row(1, Some(1))]).expect("written");
-    torn.0.lock().expect("not poisoned").left = Some(0);
-    assert!(matches!(disk.write(&[row(2, Some(2))]), Err(StoreError::Io(_))));
-    drop(disk);
-    torn.0.lock().expect("not poisoned").left = None;
-    let again = StoreFile::open_backend(torn, ABOUT).expect("opened");
-    assert_eq!(all(&again), [(1, 1)]);
+fn a_full_disk_is_an_io_error_and_earlier_rows_stay() {
+    let crash_disk = CrashDisk::default();
+    let file = StoreFile::open_backend(crash_disk.clone(), IDENTITY).expect("opened");
+    file.write(&[row(1, Some(1))]).expect("written");
+    crash_disk.0.lock().expect("not poisoned").operations_left = Some(0);
+    assert!(matches!(file.write(&[row(2, Some(2))]), Err(StoreError::Io(_))));
+    drop(file);
+    crash_disk.0.lock().expect("not poisoned").operations_left = None;
+    let again = StoreFile::open_backend(crash_disk, IDENTITY).expect("opened");
+    assert_eq!(all_rows(&again), [(1, 1)]);
 }
--- a/crates/spurdrum-store/tests/trial.rs
+++ b/crates/spurdrum-store/tests/trial.rs
@@ -1,83 +1,84 @@
-//! The store on a disk that fails on command.
+//! The store on a simulated disk that fails on command.
 
 use std::path::PathBuf;
 
 use spurdrum_store::{FileIdentity, Row, StoreError, StoreFile};
 
-const ABOUT: FileIdentity = FileIdentity { format: 1, fingerprint: 7 };
+const IDENTITY: FileIdentity = FileIdentity { format: 1, fingerprint: 7 };
 
-struct Place {
+/// The paths of the store's file and of the file that names the fault.
+struct TestPaths {
     path: PathBuf,
-    says: PathBuf,
+    fault_path: PathBuf,
 }
 
-impl Place {
+impl TestPaths {
     fn new(name: &str) -> Self {
-        let at = |what: &str| {
-            std::env::temp_dir().join(format!("spurdrum-trial-{name}-{what}-{}", std::process::id()))
+        let path = |suffix: &str| {
+            std::env::temp_dir().join(format!("spurdrum-trial-{name}-{suffix}-{}", std::process::id()))
         };
-        let place = Self { path: at("file"), says: at("says") };
-        let _ = (std::fs::remove_file(&place.path), std::fs::remove_file(&place.says));
-        place
+        let paths = Self { path: path("file"), fault_path: path("fault") };
+        let _ = (std::fs::remove_file(&paths.path), std::fs::remove_file(&paths.fault_path));
+        paths
     }
 
-    fn says(&self, text: &str) {
-        std::fs::write(&self.says, text).expect("written");
+    fn set_fault(&self, text: &str) {
+        std::fs::write(&self.fault_path, text).expect("written");
     }
 
     fn open(&self) -> Result<StoreFile, StoreError> {
-        StoreFile::open_with_faults(&self.path, ABOUT, &self.says)
+        StoreFile::open_with_faults(&self.path, IDENTITY, &self.fault_path)
     }
 }
 
-impl Drop for Place {
+impl Drop for TestPaths {
     fn drop(&mut self) {
-        let _ = (std::fs::remove_file(&self.path), std::fs::remove_file(&self.says));
+        let _ = (std::fs::remove_file(&self.path), std::fs::remove_file(&self.fault_path));
     }
 }
 
-fn put(disk: &StoreFile, key: u64) -> Result<(), StoreError> {
-    disk.write(&[Row { table: "things", key, value: Some(vec![key as u8; 600]) }])
+fn put(file: &StoreFile, key: u64) -> Result<(), StoreError> {
+    file.write(&[Row { table: "things", key, value: Some(vec![key as u8; 600]) }])
 }
 
-fn keys(disk: &StoreFile) -> Vec<u64> {
-    disk.read("things", 0, 1000).expect("reads").into_iter().map(|(key, _)| key).collect()
+fn keys(file: &StoreFile) -> Vec<u64> {
+    file.read("things", 0, 1000).expect("reads").into_iter().map(|(key, _)| key).collect()
 }
 
 #[test]
-fn a_disk_that_is_full_or_does_not_sync_refuses_and_what_was_there_stays() {
-    for ill in ["full", "unsynced"] {
-        let place = Place::new(ill);
-        let disk = place.open().expect("opens");
-        put(&disk, 1).expect("written");
-        place.says(ill);
-        assert!(matches!(put(&disk, 2), Err(StoreError::Io(_))), "{ill}");
-        drop(disk);
-        assert!(matches!(place.open(), Err(StoreError::Io(_))), "{ill}");
-        place.says("");
-        let disk = place.open().expect("opens again");
-        assert!(disk.quarantine_reason().is_none());
-        assert_eq!(keys(&disk)[..1], [1], "{ill}");
-        put(&disk, 3).expect("written");
+fn a_disk_that_is_full_or_fails_to_sync_reports_errors_and_earlier_rows_stay() {
+    for fault in ["full", "unsynced"] {
+        let paths = TestPaths::new(fault);
+        let file = paths.open().expect("opens");
+        put(&file, 1).expect("written");
+        paths.set_fault(fault);
+        assert!(matches!(put(&file, 2), Err(StoreError::Io(_))), "{fault}");
+        drop(file);
+        assert!(matches!(paths.open(), Err(StoreError::Io(_))), "{fault}");
+        paths.set_fault("");
+        let file = paths.open().expect("opens again");
+        assert!(file.quarantine_reason().is_none());
+        assert_eq!(keys(&file)[..1], [1], "{fault}");
+        put(&file, 3).expect("written");
     }
 }
 
 #[test]
-fn a_disk_that_forgets_shows_what_it_was_given_until_its_process_ends() {
-    let place = Place::new("forgets");
-    let disk = place.open().expect("opens");
-    put(&disk, 1).expect("written");
-    place.says("forgets");
+fn a_forgetful_disk_presents_the_written_rows_until_its_process_ends() {
+    let paths = TestPaths::new("forgets");
+    let file = paths.open().expect("opens");
+    put(&file, 1).expect("written");
+    paths.set_fault("forgets");
     for key in 2..200 {
-        put(&disk, key).expect("it says so");
+        put(&file, key).expect("confirmed");
     }
-    assert_eq!(keys(&disk).len(), 199);
-    // A process that is killed closes nothing.
-    let copy = std::fs::read(&place.path).expect("there");
-    drop(disk);
-    std::fs::write(&place.path, copy).expect("put back");
-    place.says("");
-    let disk = place.open().expect("opens again");
-    assert!(disk.quarantine_reason().is_none(), "{:?}", disk.quarantine_reason());
-    assert_eq!(keys(&disk), [1]);
+    assert_eq!(keys(&file).len(), 199);
+    // The process is killed: the file stays as it is now, because it is not closed.
+    let copy = std::fs::read(&paths.path).expect("exists");
+    drop(file);
+    std::fs::write(&paths.path, copy).expect("restored");
+    paths.set_fault("");
+    let file = paths.open().expect("opens again");
+    assert!(file.quarantine_reason().is_none(), "{:?}", file.quarantine_reason());
+    assert_eq!(keys(&file), [1]);
 }
--- a/crates/spurdrum-tcp-info/src/lib.rs
+++ b/crates/spurdrum-tcp-info/src/lib.rs
@@ -1,22 +1,24 @@
-//! Reads `TCP_INFO`: what the system knows of a connection.
+//! Reads the socket option `TCP_INFO`: the state of a TCP connection in the kernel.
 //!
-//! The code is unsafe because neither socket2 nor rustix, which the other packages use, has a safe interface to that option. It is
-//! one system call that fills a structure of integers.
+//! The code is unsafe because neither socket2 nor rustix, which the other packages use, has a safe interface
+//! to that option. It is one system call that fills a structure of integers.
 
 use std::io;
 use std::mem::{size_of, MaybeUninit};
 use std::os::fd::{AsFd, AsRawFd};
 use std::time::Duration;
 
-/// How long ago the last data arrived on a connection, whether or not it has been read. The system counts in ticks of up to 10 ms.
+/// Returns how long ago the last data arrived on a connection, whether or not it has been read. The kernel
+/// counts in ticks of up to 10 ms.
 ///
 /// # Errors
 ///
-/// The socket is not one of TCP, or the system does not tell.
+/// The socket is not a TCP socket, or the system call fails.
 pub fn since_last_data(socket: impl AsFd) -> io::Result<Duration> {
     let mut info = MaybeUninit::<libc::tcp_info>::zeroed();
     let mut length = size_of::<libc::tcp_info>() as libc::socklen_t;
-    // SAFETY: the descriptor is open while it is borrowed, and the system writes at most `length` bytes, the size of `info`.
+    // SAFETY: the descriptor is open while it is borrowed, and the kernel writes at most `length` bytes, the
+    // size of `info`.
     let result = unsafe {
         libc::getsockopt(
             socket.as_fd().as_raw_fd(),
@@ -29,7 +31,7 @@
     if result != 0 {
         return Err(io::Error::last_os_error());
     }
-    // SAFETY: it consists of integers, which are zero where the system has not written them.
+    // SAFETY: `info` consists of integers, which are zero where the kernel has not written them.
     let info = unsafe { info.assume_init() };
     Ok(Duration::from_millis(info.tcpi_last_data_recv.into()))
 }
--- a/crates/spurdrum-tcp-info/tests/tcp_info.rs
+++ b/crates/spurdrum-tcp-info/tests/tcp_info.rs
@@ -1,4 +1,4 @@
-//! What is told of real connections.
+//! The time since the last data of real connections.
 
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream, UdpSocket};
@@ -8,7 +8,7 @@
 use spurdrum_tcp_info::since_last_data;
 
 #[test]
-fn data_ages_from_its_arrival_whether_or_not_it_is_read() {
+fn the_time_since_the_last_data_counts_from_its_arrival_whether_or_not_it_is_read() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
     let mut client = TcpStream::connect(listener.local_addr().expect("bound")).expect("connected");
     let (mut accepted, _) = listener.accept().expect("accepted");
@@ -16,16 +16,16 @@
     let wait = Duration::from_millis(300);
     thread::sleep(wait);
     let tick = Duration::from_millis(10);
-    assert!(since_last_data(&accepted).expect("told") + tick >= wait);
+    assert!(since_last_data(&accepted).expect("read from the kernel") + tick >= wait);
     accepted.read_exact(&mut [0]).expect("read");
-    assert!(since_last_data(&accepted).expect("told") + tick >= wait);
+    assert!(since_last_data(&accepted).expect("read from the kernel") + tick >= wait);
     client.write_all(b"y").expect("written");
     accepted.read_exact(&mut [0]).expect("read");
-    assert!(since_last_data(&accepted).expect("told") < wait);
+    assert!(since_last_data(&accepted).expect("read from the kernel") < wait);
 }
 
 #[test]
-fn a_socket_that_is_not_one_of_tcp_is_an_error() {
+fn a_socket_that_is_not_a_tcp_socket_is_an_error() {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("bound");
     assert!(since_last_data(&socket).is_err());
 }
--- a/crates/spurdrum-trace/src/file.rs
+++ b/crates/spurdrum-trace/src/file.rs
@@ -1,4 +1,4 @@
-//! The thread that writes.
+//! The thread that writes a trace to its file.
 
 use std::cell::{Cell, RefCell};
 use std::fs::{File, OpenOptions};
@@ -10,18 +10,18 @@
 use crate::bound::FileRotation;
 use crate::record::{TraceEvent, TraceRecord};
 
-/// Where lines go and how many may be there.
+/// Where a trace is written, and its limits.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// The file.
+    /// The current file.
     pub path: PathBuf,
-    /// Bytes of it and of the one before together.
+    /// Limit on the size of the current and the previous file together, in bytes.
     pub max_bytes: u64,
-    /// Lines that may wait to be written.
+    /// Limit on the lines that wait to be written.
     pub max_queued_lines: usize,
 }
 
-/// Where the file before is.
+/// Returns the path of the previous file.
 #[must_use]
 pub fn previous_path(path: &Path) -> PathBuf {
     let mut name = path.as_os_str().to_owned();
@@ -29,22 +29,22 @@
     name.into()
 }
 
-/// The file as the thread has it.
-struct Halves {
+/// The current file, which is replaced when it is full.
+struct RotatingFile {
     path: PathBuf,
     file: Option<File>,
-    bound: FileRotation,
+    rotation: FileRotation,
 }
 
-impl Halves {
+impl RotatingFile {
     fn open(path: &Path) -> io::Result<File> {
         OpenOptions::new().create(true).append(true).open(path)
     }
 }
 
-impl Write for Halves {
+impl Write for RotatingFile {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        if self.bound.needs_rotation(bytes.len() as u64) {
+        if self.rotation.needs_rotation(bytes.len() as u64) {
             self.file = None;
             std::fs::rename(&self.path, previous_path(&self.path))?;
         }
@@ -60,55 +60,59 @@
     }
 }
 
-/// Takes what a node sees. Never waits: what finds no room in the queue is lost and counted.
+/// Records the events of a node. Never blocks: records that do not fit into the queue are dropped and
+/// counted.
 pub struct Trace {
-    to: RefCell<NonBlocking>,
+    queue: RefCell<NonBlocking>,
     counter: ErrorCounter,
-    /// Lost lines that were told of.
-    told: Cell<u64>,
+    /// The number of lost lines that has been recorded so far.
+    recorded_lost_lines: Cell<u64>,
 }
 
-/// The thread's end: what waits is written when this is dropped.
+/// Stops the writing thread when it is dropped, after the lines in the queue have been written.
 #[must_use]
 pub struct TraceWriterGuard {
     _guard: WorkerGuard,
 }
 
 impl Trace {
-    /// Begins to write, behind what the file has already.
+    /// Starts the writing thread, which appends to the file.
     ///
     /// # Errors
     ///
     /// The file cannot be opened.
     pub fn start(settings: &Settings) -> io::Result<(Self, TraceWriterGuard)> {
-        let file = Halves::open(&settings.path)?;
-        let bound = FileRotation::new(settings.max_bytes, file.metadata()?.len());
-        let halves = Halves { path: settings.path.clone(), file: Some(file), bound };
+        let file = RotatingFile::open(&settings.path)?;
+        let rotation = FileRotation::new(settings.max_bytes, file.metadata()?.len());
+        let rotating_file = RotatingFile { path: settings.path.clone(), file: Some(file), rotation };
         let builder =
             NonBlockingBuilder::default().lossy(true).buffered_lines_limit(settings.max_queued_lines);
-        let (to, guard) = builder.thread_name("trace").finish(halves);
-        let counter = to.error_counter();
-        Ok((Self { to: RefCell::new(to), counter, told: Cell::new(0) }, TraceWriterGuard { _guard: guard }))
+        let (queue, guard) = builder.thread_name("trace").finish(rotating_file);
+        let counter = queue.error_counter();
+        Ok((
+            Self { queue: RefCell::new(queue), counter, recorded_lost_lines: Cell::new(0) },
+            TraceWriterGuard { _guard: guard },
+        ))
     }
 
-    /// Notes something that happened at this time (Unix milliseconds).
+    /// Records an event that happened at this time (Unix milliseconds).
     pub fn record(&self, at: f64, seen: TraceEvent) {
-        self.put(&TraceRecord { at, seen });
+        self.enqueue(&TraceRecord { at, seen });
         let lines = self.counter.dropped_lines() as u64;
-        if lines > self.told.get() {
-            // It is noted as soon as there is room; until then the next one tries.
-            self.put(&TraceRecord { at, seen: TraceEvent::Lost { lines } });
+        if lines > self.recorded_lost_lines.get() {
+            // If there is no room for this record either, the next call tries again.
+            self.enqueue(&TraceRecord { at, seen: TraceEvent::Lost { lines } });
             if self.counter.dropped_lines() as u64 == lines {
-                self.told.set(lines);
+                self.recorded_lost_lines.set(lines);
             }
         }
     }
 
-    fn put(&self, line: &TraceRecord) {
-        let Ok(mut text) = serde_json::to_vec(line) else { return };
-        text.push(b'\n');
-        // The queue takes it whole or counts it as lost.
-        let _ = self.to.borrow_mut().write_all(&text);
+    fn enqueue(&self, record: &TraceRecord) {
+        let Ok(mut line) = serde_json::to_vec(record) else { return };
+        line.push(b'\n');
+        // The queue either accepts the whole line or counts it as lost.
+        let _ = self.queue.borrow_mut().write_all(&line);
     }
 }
 
@@ -127,43 +131,44 @@
         Settings { path, max_bytes, max_queued_lines: 100_000 }
     }
 
-    fn seen(n: usize) -> TraceEvent {
+    fn event(n: usize) -> TraceEvent {
         TraceEvent::ServerChanged { server: format!("s{n}"), state: ServerState::Draining }
     }
 
     #[test]
-    fn the_newest_lines_are_there_and_the_files_stay_bounded() {
+    fn the_newest_records_are_kept_and_the_files_stay_bounded() {
         let settings = settings("bounded", 4000);
-        for life in 0..2 {
-            let (trace, writing) = Trace::start(&settings).expect("starts");
-            (0..200).for_each(|n| trace.record(n as f64, seen(life * 200 + n)));
-            drop(writing);
+        for process in 0..2 {
+            let (trace, guard) = Trace::start(&settings).expect("starts");
+            (0..200).for_each(|n| trace.record(n as f64, event(process * 200 + n)));
+            drop(guard);
         }
         let size = |path: &Path| std::fs::metadata(path).expect("there").len();
         assert!(size(&settings.path) + size(&previous_path(&settings.path)) <= 4000);
-        let lines = read(&settings.path).expect("reads");
-        assert!(lines.len() > 25, "{}", lines.len());
-        let last = TraceRecord { at: 199.0, seen: seen(399) };
-        assert_eq!(lines.last(), Some(&last));
-        assert!(lines.windows(2).all(|pair| pair[0].at + 1.0 == pair[1].at));
-        // A line that a killed process left unfinished.
-        let mut file = Halves::open(&settings.path).expect("opens");
+        let records = read(&settings.path).expect("reads");
+        assert!(records.len() > 25, "{}", records.len());
+        let last = TraceRecord { at: 199.0, seen: event(399) };
+        assert_eq!(records.last(), Some(&last));
+        assert!(records.windows(2).all(|pair| pair[0].at + 1.0 == pair[1].at));
+        // An incomplete line, as left by a process that was killed.
+        let mut file = RotatingFile::open(&settings.path).expect("opens");
         file.write_all(b"{\"at\":1.0,\"sa").expect("writes");
         assert_eq!(read(&settings.path).expect("reads").last(), Some(&last));
     }
 
     #[test]
-    fn what_finds_no_room_is_counted() {
-        /// A disk that takes nothing until it is let, and tells when it is first written to.
+    fn records_that_do_not_fit_into_the_queue_are_counted() {
+        /// A disk that blocks writes until it is released, and reports when a write begins and when it is
+        /// done.
         struct Stuck {
             begun: Sender<()>,
-            let_go: Receiver<()>,
+            release: Receiver<()>,
             written: Sender<Vec<u8>>,
         }
         impl Write for Stuck {
             fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
                 let _ = self.begun.send(());
-                let _ = self.let_go.recv();
+                let _ = self.release.recv();
                 let _ = self.written.send(bytes.to_vec());
                 Ok(bytes.len())
             }
@@ -172,30 +177,31 @@
             }
         }
         let (begun, begins) = channel();
-        let (lets_go, let_go) = channel();
-        let (written, told) = channel();
+        let (releaser, release) = channel();
+        let (written, written_lines) = channel();
         let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(4);
-        let (to, guard) = builder.finish(Stuck { begun, let_go, written });
-        let counter = to.error_counter();
-        let trace = Trace { to: RefCell::new(to), counter, told: Cell::new(0) };
-        // The thread holds the first line by now; a place that came free among the next ones would go to a count of fewer.
-        trace.record(1.0, seen(50));
-        begins.recv().expect("it is written");
-        (0..50).for_each(|n| trace.record(1.0, seen(n)));
+        let (queue, guard) = builder.finish(Stuck { begun, release, written });
+        let counter = queue.error_counter();
+        let trace = Trace { queue: RefCell::new(queue), counter, recorded_lost_lines: Cell::new(0) };
+        // Once the thread has taken the first line, no further line leaves the queue. Otherwise one could
+        // make room for a count of fewer lost lines.
+        trace.record(1.0, event(50));
+        begins.recv().expect("a write begins");
+        (0..50).for_each(|n| trace.record(1.0, event(n)));
         assert!(trace.counter.dropped_lines() > 40);
-        drop(lets_go);
-        // Four wait; once they are written there is room for the count.
+        drop(releaser);
+        // Four lines are queued; once they are written, there is room for the count.
         for _ in 0..4 {
-            told.recv().expect("goes on");
+            written_lines.recv().expect("the thread continues");
         }
         let mut written = Vec::new();
         while written.iter().all(|line: &Vec<u8>| !String::from_utf8_lossy(line).contains("lost")) {
-            trace.record(2.0, seen(99));
-            written.extend(told.try_iter());
+            trace.record(2.0, event(99));
+            written.extend(written_lines.try_iter());
         }
         let lost = written.iter().find(|line| String::from_utf8_lossy(line).contains("lost"));
-        let line: TraceRecord = serde_json::from_slice(lost.expect("found")).expect("a line");
-        assert!(matches!(line.seen, TraceEvent::Lost { lines } if lines > 40), "{line:?}");
+        let record: TraceRecord = serde_json::from_slice(lost.expect("found")).expect("a record");
+        assert!(matches!(record.seen, TraceEvent::Lost { lines } if lines > 40), "{record:?}");
         drop(guard);
     }
 }
--- a/crates/spurdrum-trace/src/lib.rs
+++ b/crates/spurdrum-trace/src/lib.rs
@@ -1,11 +1,13 @@
-//! What a node did with each request, and what it was told of servers, one line of JSON each, in a file that is bounded.
+//! A trace of what a node did with each request and what it learned about servers: one JSON object per line,
+//! in a file of limited size.
 //!
-//! - [`record`]: what is noted, and how it is read again.
-//! - [`bound`]: when a file is full and the next one is begun; no I/O.
-//! - [`mod@file`]: the thread that writes, behind a bounded queue: neither a slow disk nor a full one is felt by those who are
-//!   served. What finds no room is counted, and the count is noted in its place.
+//! - [`record`]: the records, and how they are read.
+//! - [`bound`]: when a file is full and the next one is started; no I/O.
+//! - [`mod@file`]: the thread that writes, behind a bounded queue, so that neither a slow nor a full disk
+//!   affects the requests. Records that do not fit into the queue are counted, and the count is written
+//!   instead of them.
 //!
-//! It is off unless a file is named for it.
+//! Tracing is off unless a file is configured for it.
 
 pub mod bound;
 pub mod file;
--- a/crates/spurdrum-trace/src/record.rs
+++ b/crates/spurdrum-trace/src/record.rs
@@ -1,108 +1,110 @@
-//! What is noted.
+//! The records of a trace.
 
 use std::path::Path;
 
 use serde::{Deserialize, Serialize};
 
-/// What a list says of a server.
+/// The availability of a server according to a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServerState {
-    /// It takes requests.
+    /// The server accepts requests.
     Ready,
-    /// Nothing new may be sent.
+    /// No new requests may be sent to the server.
     Draining,
-    /// It is no longer there.
+    /// The server is no longer listed.
     Gone,
 }
 
-/// One thing that happened at a node. Requests are named as their clients named them, servers by their ids.
+/// An event at a node. Requests are identified by the names that their clients gave them, servers by their
+/// ids.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "saw", rename_all = "snake_case")]
 pub enum TraceEvent {
-    /// A request was taken.
+    /// A request was accepted.
     Asked {
-        /// Its name.
+        /// The name of the request.
         id: String,
-        /// The place of its class.
+        /// The index of its class.
         class: usize,
     },
-    /// A server was chosen; the attempt begins.
+    /// A server was chosen for an attempt, and the attempt begins.
     Placed {
-        /// The request.
+        /// The name of the request.
         id: String,
-        /// From zero, in the order of sending.
+        /// The number of the attempt: from zero, in the order of sending.
         attempt: usize,
-        /// Where it goes.
+        /// The server that the attempt is sent to.
         server: String,
     },
-    /// The decisions gave an attempt up.
+    /// The decision module gave up an attempt.
     GivenUp {
-        /// The request.
+        /// The name of the request.
         id: String,
-        /// The attempt.
+        /// The number of the attempt.
         attempt: usize,
     },
-    /// An attempt is over: nothing of it is out any more.
+    /// An attempt has ended: no part of it is in flight any more.
     Ended {
-        /// The request.
+        /// The name of the request.
         id: String,
-        /// The attempt.
+        /// The number of the attempt.
         attempt: usize,
-        /// How: `Served`, `TimedOut`, `Reset` and so on.
+        /// The ending of the attempt: `Served`, `TimedOut`, `Reset` and so on.
         how: String,
     },
-    /// The final answer: `served`, `refused` or `failed`.
+    /// A request got its final answer.
     Answered {
-        /// The request.
+        /// The name of the request.
         id: String,
-        /// Which.
+        /// The kind of answer: `served`, `refused` or `failed`.
         answer: String,
     },
-    /// The client left, or its time was up.
+    /// The client left before the answer, or its deadline passed.
     Left {
-        /// The request.
+        /// The name of the request.
         id: String,
     },
-    /// A list said something new of a server.
+    /// The availability of a server according to a list has changed.
     #[serde(rename = "told")]
     ServerChanged {
-        /// The server.
+        /// The id of the server.
         server: String,
-        /// What.
+        /// The new availability.
         state: ServerState,
     },
-    /// So many more could not be noted, counted from the start.
+    /// Records were lost because the queue was full.
     Lost {
-        /// How many.
+        /// The number of records lost since the start of the process.
         lines: u64,
     },
 }
 
-/// One line.
+/// One record of a trace, written as one line.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TraceRecord {
     /// Unix time in milliseconds; at one node it never runs backwards.
     pub at: f64,
-    /// What.
+    /// The event.
     #[serde(flatten)]
     pub seen: TraceEvent,
 }
 
-/// The lines of a file and of the one before it. A line that is not whole is left out: the process may have been killed in
-/// the middle of one.
+/// Returns the records of the previous and the current file of a trace. Incomplete lines are skipped: the
+/// process may have been killed while it wrote one.
 ///
 /// # Errors
 ///
-/// The file cannot be read; one that is not there is empty.
+/// A file cannot be read. A missing file counts as empty.
 pub fn read(path: &Path) -> std::io::Result<Vec<TraceRecord>> {
-    let mut lines = Vec::new();
+    let mut records = Vec::new();
     for path in [crate::file::previous_path(path), path.to_owned()] {
         let text = match std::fs::read(&path) {
             Err(error) if error.kind() == std::io::ErrorKind::NotFound => continue,
             text => text?,
         };
-        lines.extend(text.split(|byte| *byte == b'\n').filter_map(|line| serde_json::from_slice(line).ok()));
+        records
+            .extend(text.split(|byte| *byte == b'\n').filter_map(|line| serde_json::from_slice(line).ok()));
     }
-    Ok(lines)
+    Ok(records)
 }
