--- a/crates/spurdrum/tests/net/mod.rs
+++ b/crates/spurdrum/tests/net/mod.rs
@@ -98,7 +98,7 @@
             let no_changes = list(known["revision"].as_u64().expect("a version"), false, &[]).to_string();
             // Only the first call is answered here; the watch that follows is left to the test.
             let mut answered = false;
-            wait_until("the node is healthy", || {
+            wait_until("the node does not become healthy", || {
                 let first_call = if answered { None } else { node.discovery.poll() };
                 if let Some(first_call) = first_call {
                     assert!(
@@ -125,7 +125,7 @@
     pub fn start_without_discovery_with(config: &Value, catalog: &str) -> Self {
         let file = format!("[sources.catalog]\nready_within_ms = 1\n{catalog}");
         let node = Self::start_unconfirmed(config, Some(&file));
-        wait_until("the node is healthy", || node.health().status() == 200);
+        wait_until("the node does not become healthy", || node.health().status() == 200);
         node
     }
 
--- a/crates/spurdrum/tests/node/edges.rs
+++ b/crates/spurdrum/tests/node/edges.rs
@@ -1,12 +1,12 @@
-//! Settings that lack a part, and classes whose limits are at their edges: a node serves by them, or ends with one line that names the
-//! key.
+//! Settings with a part missing, and classes with extreme limits: a node either serves with them or exits
+//! with one line that names the key.
 
 use super::*;
 use std::io::BufRead;
 use std::process::Stdio;
 
-/// Every key of an object, and of the objects and lists in it, as a JSON pointer.
-fn pointers(value: &Value, at: &str, to: &mut Vec<String>) {
+/// Appends the JSON pointer of every key of an object, and of the objects and lists in it.
+fn pointers(value: &Value, prefix: &str, pointers_found: &mut Vec<String>) {
     let entries: Vec<(String, &Value)> = match value {
         Value::Object(fields) => fields.iter().map(|(key, value)| (key.clone(), value)).collect(),
         Value::Array(entries) => {
@@ -15,9 +15,9 @@
         _ => return,
     };
     for (key, value) in entries {
-        let pointer = format!("{at}/{key}");
-        pointers(value, &pointer, to);
-        to.push(pointer);
+        let pointer = format!("{prefix}/{key}");
+        pointers(value, &pointer, pointers_found);
+        pointers_found.push(pointer);
     }
 }
 
@@ -26,13 +26,14 @@
     let (parent, key) = pointer.rsplit_once('/').expect("a pointer");
     match config.pointer_mut(parent).expect("there") {
         Value::Object(fields) => drop(fields.remove(key)),
-        Value::Array(entries) => drop(entries.remove(key.parse().expect("a place"))),
+        Value::Array(entries) => drop(entries.remove(key.parse().expect("an index"))),
         _ => unreachable!("a key's parent"),
     }
     config
 }
 
-/// Starts with this configuration: true where it listens, false where it ends with one line that names a key.
+/// Starts a node with this configuration. Returns whether it listens; if it exits instead, it must have
+/// printed one line that names a key.
 fn starts(config: &Value, case: &str) -> bool {
     let (address, discovery) = (own_address(), Server::start());
     let mut command = command(&config.to_string(), address, discovery.address);
@@ -45,7 +46,7 @@
         if let Some(status) = child.try_wait().expect("waited for") {
             break Some(status);
         }
-        assert!(since.elapsed() < LONG, "{case}: it neither listens nor ends");
+        assert!(since.elapsed() < LONG, "{case}: the node neither listens nor exits");
         std::thread::sleep(Duration::from_millis(2));
     };
     if let Some(status) = status {
@@ -67,8 +68,8 @@
     true
 }
 
-/// What the platform's pages always state and nothing can be guessed in place of.
-const NEEDED: [&str; 33] = [
+/// The keys that the platform always provides and for which there is no default.
+const REQUIRED: [&str; 33] = [
     "/known/complete",
     "/known/members/0/cell",
     "/known/members/0/flavor",
@@ -105,27 +106,27 @@
 ];
 
 #[test]
-fn settings_that_lack_any_one_part_start_a_node_or_are_named() {
+fn a_node_starts_without_any_one_setting_or_names_it() {
     let server = Server::start();
-    let whole = config(&members(&[&server]));
+    let full_config = config(&members(&[&server]));
     let mut all = Vec::new();
-    pointers(&whole, "", &mut all);
+    pointers(&full_config, "", &mut all);
     assert!(all.len() > 50);
-    let needed: Vec<&str> = all
+    let required: Vec<&str> = all
         .iter()
-        .filter(|pointer| !starts(&without(&whole, pointer), pointer))
+        .filter(|pointer| !starts(&without(&full_config, pointer), pointer))
         .map(String::as_str)
         .collect();
-    assert_eq!(needed, NEEDED);
-    let mut bare = whole.clone();
+    assert_eq!(required, REQUIRED);
+    let mut minimal = full_config.clone();
     for key in ["parties", "zones", "kinds", "stats", "rules", "discovery"] {
-        bare["settings"].as_object_mut().expect("an object").remove(key);
+        minimal["settings"].as_object_mut().expect("an object").remove(key);
     }
-    assert!(starts(&bare, "without all of them"));
+    assert!(starts(&minimal, "without all of them"));
 }
 
 #[test]
-fn classes_with_limits_at_their_edges_are_served_or_answered() {
+fn classes_with_extreme_limits_are_served_or_answered() {
     for (key, value) in
         [("dedup_window_ms", 0.0), ("deadline_ms", 1.0), ("promise_ms", 0.001), ("deadline_ms", 3.6e6)]
     {
@@ -141,15 +142,15 @@
             for class in ["read", "update", "pay"] {
                 let mut client = node.client();
                 client.send(&request(class, 20.0));
-                // It is sent on, or answered without that.
-                if let Some(got) = forwarded_or_answered(&client, &server) {
-                    assert!(got.request.header("x-request-id").is_some(), "{case}");
-                    got.answer(OK, "", b"");
+                // The request is forwarded, or answered without that.
+                if let Some(exchange) = forwarded_or_answered(&client, &server) {
+                    assert!(exchange.request.header("x-request-id").is_some(), "{case}");
+                    exchange.answer(OK, "", b"");
                 }
                 let status = client.answer().status();
                 assert!([200, 502, 503, 504].contains(&status), "{case}: {class} {status}");
             }
-            // A client that waits less than a round trip takes.
+            // A client whose deadline is shorter than a round trip.
             let status = node.client().ask(&request("read", 0.000_001)).status();
             assert!([200, 502, 503, 504].contains(&status), "{case}: {status}");
         }
--- a/crates/spurdrum/tests/node/registry.rs
+++ b/crates/spurdrum/tests/node/registry.rs
@@ -6,12 +6,12 @@
 
 use super::net::{own_address, request, Node, Server};
 
-fn file(listen: SocketAddr, registry: &Etcd, more: &str) -> String {
+fn config_file(listen: SocketAddr, registry: &Etcd, extra_config: &str) -> String {
     let endpoints: Vec<String> = registry.uris().iter().map(|uri| format!("\"{uri}\"")).collect();
     format!(
         "[node]\nlisten = \"{listen}\"\nzone = \"a\"\n\
          [[class]]\nname = \"read\"\neffect = \"safe\"\naim_ms = 1000\ndeadline_ms = 20000\n\
-         [sources.registry]\nendpoints = [{}]\n{more}",
+         [sources.registry]\nendpoints = [{}]\n{extra_config}",
         endpoints.join(", ")
     )
 }
@@ -24,20 +24,20 @@
     format!(r#"{{"address":"{}","zone":"a","phase":"{phase}","started_ms":1000000}}"#, server.address)
 }
 
-/// What health tells, once it tells this.
-pub fn wait_for_health_text(node: &Node, told: &str) -> String {
+/// Polls the health endpoint until its text contains `expected`, and returns that text.
+pub fn wait_for_health_text(node: &Node, expected: &str) -> String {
     loop {
         let answer = node.client().ask("GET /_health HTTP/1.1\r\nhost: n\r\n\r\n");
         let text = String::from_utf8_lossy(&answer.body).into_owned();
-        if text.contains(told) {
+        if text.contains(expected) {
             return text;
         }
         std::thread::yield_now();
     }
 }
 
-/// Sends one request, which this server must get.
-fn goes_to(node: &Node, server: &Server) {
+/// Sends one request, which must arrive at this server.
+fn expect_served_by(node: &Node, server: &Server) {
     let mut client = node.client();
     client.send(&request("read", 20.0));
     server.request().answer("200 OK", "", b"done");
@@ -45,28 +45,29 @@
 }
 
 #[test]
-fn servers_come_and_drain_by_the_registry_through_breaks_and_compactions() {
+fn the_registrys_servers_are_followed_through_disconnects_and_compactions() {
     let registry = Etcd::start(2, None).expect("started");
-    let (one, other) = (Server::start(), Server::start());
-    registry.with(|keys| keys.put(&key("one"), &value(&one, "active")));
+    let (first, second) = (Server::start(), Server::start());
+    registry.with(|keys| keys.put(&key("one"), &value(&first, "active")));
     let listen = own_address();
-    let node = Node::start_from_file(listen, &file(listen, &registry, ""));
+    let node = Node::start_from_file(listen, &config_file(listen, &registry, ""));
     wait_for_health_text(&node, "of the registry 1,");
-    goes_to(&node, &one);
-    // What is leaving gets nothing new from the moment on that the node shows the change.
+    expect_served_by(&node, &first);
+    // Once the node shows the change, a draining server gets nothing new.
     let revision = registry.with(|keys| {
-        keys.put(&key("other"), &value(&other, "active"));
-        keys.put(&key("one"), &value(&one, "leaving"))
+        keys.put(&key("other"), &value(&second, "active"));
+        keys.put(&key("one"), &value(&first, "leaving"))
     });
     wait_for_health_text(&node, &format!("revision {revision};"));
-    (0..20).for_each(|_| goes_to(&node, &other));
-    // It is gone, back and known by its start, while the node is cut off and history is forgotten.
+    (0..20).for_each(|_| expect_served_by(&node, &second));
+    // While the node is disconnected, `one` is removed and added again as active with the same start time, and
+    // the history of the registry is compacted, so that the watch cannot be resumed from its revision.
     for endpoint in 0..2 {
         registry.pause(endpoint, true);
     }
     registry.with(|keys| {
         keys.delete(&key("one"));
-        keys.put(&key("one"), &value(&one, "active"));
+        keys.put(&key("one"), &value(&first, "active"));
         keys.delete(&key("other"));
         keys.compact(keys.revision());
     });
@@ -76,27 +77,27 @@
     }
     wait_for_health_text(&node, "compactions 1");
     wait_for_health_text(&node, "of the registry 1,");
-    (0..20).for_each(|_| goes_to(&node, &one));
+    (0..20).for_each(|_| expect_served_by(&node, &first));
 }
 
 #[test]
-fn a_value_that_cannot_be_read_holds_back_one_server_and_is_logged_once() {
+fn an_invalid_value_affects_only_its_server_and_is_logged_once() {
     let registry = Etcd::start(1, None).expect("started");
-    let (one, other) = (Server::start(), Server::start());
+    let (first, second) = (Server::start(), Server::start());
     registry.with(|keys| {
-        keys.put(&key("one"), &value(&one, "active"));
-        keys.put(&key("other"), &value(&other, "asleep"));
+        keys.put(&key("one"), &value(&first, "active"));
+        keys.put(&key("other"), &value(&second, "asleep"));
     });
     let listen = own_address();
-    let mut node = Node::start_from_file(listen, &file(listen, &registry, "value_bytes = 200\n"));
+    let mut node = Node::start_from_file(listen, &config_file(listen, &registry, "value_bytes = 200\n"));
     wait_for_health_text(&node, "of the registry 1,");
-    (0..5).for_each(|_| goes_to(&node, &one));
+    (0..5).for_each(|_| expect_served_by(&node, &first));
     let revision = registry.with(|keys| {
-        keys.put(&key("other"), &value(&other, "active"));
+        keys.put(&key("other"), &value(&second, "active"));
         keys.put(&key("one"), &"x".repeat(1 << 20))
     });
     wait_for_health_text(&node, &format!("revision {revision};"));
-    (0..20).for_each(|_| goes_to(&node, &other));
+    (0..20).for_each(|_| expect_served_by(&node, &second));
     let mut faults = Vec::new();
     node.terminate();
     assert_eq!(node.wait().code(), Some(0));
@@ -114,7 +115,7 @@
 }
 
 #[test]
-fn a_registry_that_is_emptied_at_once_is_doubted_but_a_drain_is_kept() {
+fn a_registry_that_is_emptied_at_once_is_not_believed_but_a_drain_is_applied() {
     let registry = Etcd::start(1, None).expect("started");
     let servers: Vec<Server> = (0..5).map(|_| Server::start()).collect();
     registry.with(|keys| {
@@ -123,10 +124,10 @@
         }
     });
     let listen = own_address();
-    let node = Node::start_from_file(listen, &file(listen, &registry, ""));
+    let node = Node::start_from_file(listen, &config_file(listen, &registry, ""));
     wait_for_health_text(&node, "of the registry 5,");
-    let emptied: Vec<_> = (0..5).map(|n| (key(&n.to_string()).into_bytes(), None, 0)).collect();
-    registry.with(|keys| keys.commit(&emptied));
+    let deletions: Vec<_> = (0..5).map(|n| (key(&n.to_string()).into_bytes(), None, 0)).collect();
+    registry.with(|keys| keys.commit(&deletions));
     wait_for_health_text(&node, "kept in doubt 5");
     let revision = registry.with(|keys| {
         for (n, server) in servers.iter().enumerate().skip(1) {
@@ -135,17 +136,17 @@
         keys.revision()
     });
     wait_for_health_text(&node, &format!("revision {revision};"));
-    (0..10).for_each(|_| goes_to(&node, &servers[0]));
+    (0..10).for_each(|_| expect_served_by(&node, &servers[0]));
 }
 
 #[test]
-fn a_node_registers_itself_and_takes_itself_out_before_it_ends() {
+fn a_node_registers_itself_and_deregisters_before_it_ends() {
     let registry = Etcd::start(2, None).expect("started");
     let server = Server::start();
     registry.with(|keys| keys.put(&key("one"), &value(&server, "active")));
     let listen = own_address();
-    let more = "[sources.registry.register]\nkey = \"/nodes/n0\"\nttl_ms = 2000\ndrain_ms = 300\n";
-    let mut node = Node::start_from_file(listen, &file(listen, &registry, more));
+    let extra_config = "[sources.registry.register]\nkey = \"/nodes/n0\"\nttl_ms = 2000\ndrain_ms = 300\n";
+    let mut node = Node::start_from_file(listen, &config_file(listen, &registry, extra_config));
     let phase = || {
         let state = registry.with(|keys| keys.state(keys.revision()));
         let value =
@@ -155,23 +156,23 @@
             value.contains("leaving")
         })
     };
-    let stands = |wanted: Option<bool>| {
+    let wait_for_phase = |wanted: Option<bool>| {
         while phase() != wanted {
             std::thread::yield_now();
         }
     };
-    stands(Some(false));
-    // Its lease is lost: it comes back under another.
+    wait_for_phase(Some(false));
+    // The node's lease is revoked: it registers again under a new one.
     for lease in 1..10 {
         registry.with(|keys| keys.revoke(lease));
     }
-    stands(Some(false));
+    wait_for_phase(Some(false));
     wait_for_health_text(&node, "of the registry 1,");
     node.terminate();
-    stands(Some(true));
-    // It still serves while others hear of it.
-    goes_to(&node, &server);
-    stands(None);
+    wait_for_phase(Some(true));
+    // The node still serves while others learn that it drains.
+    expect_served_by(&node, &server);
+    wait_for_phase(None);
     assert_eq!(node.wait().code(), Some(0));
     assert_eq!(registry.with(|keys| keys.leases()), 0);
 }
--- a/crates/spurdrum/tests/node/stalled.rs
+++ b/crates/spurdrum/tests/node/stalled.rs
@@ -1,21 +1,22 @@
-//! One process takes over from another while one of them, or both, stand still, as on a busy machine: a process that is not running
-//! has neither gone nor been slow to answer. The order of events is forced; times are the least that the order needs.
+//! Handovers while one of the processes, or both, are paused, as on a busy machine: a paused process is
+//! neither gone nor slow to answer. The order of events is forced; the times are the shortest that this order
+//! needs.
 
 use super::incoming::Incoming;
 use super::ops::{admin_call, config_with_admin};
-use super::outgoing::{calls_waiting, Call, Outgoing, Ran};
+use super::outgoing::{calls_waiting, Call, ExecutedRequests, Outgoing};
 use super::*;
 
 use spurdrum_handover::Message as Handover;
 
-/// A pause of an outgoing process.
+/// How long an outgoing process is paused.
 const STALL: Duration = Duration::from_millis(1_300);
-/// A pause of an incoming process: longer than it waits for an answer.
+/// How long an incoming process is paused: longer than it waits for an answer.
 const LONG_STALL: Duration = Duration::from_millis(4_300);
 
-/// A node's configuration with aims as long as its clients wait: what stands still here is the node, and no request is to be
-/// refused for that.
-fn patient(servers: &[&Server]) -> (Value, SocketAddr) {
+/// Returns a configuration whose latency objectives are as long as its deadlines, and its admin address. The
+/// node is what pauses here, and no request is to be refused for that.
+fn config_with_long_deadlines(servers: &[&Server]) -> (Value, SocketAddr) {
     let (mut config, ops) = config_with_admin(servers);
     for class in config["settings"]["classes"].as_array_mut().expect("a list") {
         (class["deadline_ms"], class["promise_ms"]) = (json!(20_000.0), json!(20_000.0));
@@ -23,110 +24,121 @@
     (config, ops)
 }
 
-/// Waits until a process says yes.
+/// Waits until the process with this admin address reports that it is ready.
 fn ready(ops: SocketAddr) {
-    wait_until("it is not ready", || {
+    wait_until("the process is not ready", || {
         TcpStream::connect(ops).is_ok() && admin_call(ops, "readyz").starts_with("YES")
     });
 }
 
-/// Told to a process that is to take over: it needs no answer of discovery.
-const AT_ONCE: &str = "[sources.catalog]\nready_within_ms = 1\n";
-
-/// The request of a client that has sent one, at the server; a client that is refused or cut off fails the test at once.
-fn arrived(client: &Client, server: &Server, ran: &mut Ran, who: &str) -> Exchange {
-    let exchange =
-        forwarded_or_answered(client, server).unwrap_or_else(|| panic!("{who}: it is not sent on"));
-    ran.count(&exchange.request);
+/// The configuration file of an incoming process, which makes it serve without waiting for discovery.
+const NO_WAIT_FOR_DISCOVERY: &str = "[sources.catalog]\nready_within_ms = 1\n";
+
+/// Returns the request that a client has sent as it arrives at the server. Fails the test at once if the
+/// client is refused or disconnected instead.
+fn request_at_server(
+    client: &Client,
+    server: &Server,
+    executed: &mut ExecutedRequests,
+    client_name: &str,
+) -> Exchange {
+    let exchange = forwarded_or_answered(client, server)
+        .unwrap_or_else(|| panic!("{client_name}: the request is not forwarded"));
+    executed.record(&exchange.request);
     exchange
 }
 
-/// The answer, which must leave the connection open.
-fn goes_on(client: &mut Client, who: &str) {
-    let answer = Message::read(&mut client.stream).unwrap_or_else(|| panic!("{who}: no whole answer"));
-    assert_eq!((answer.status(), answer.header("connection")), (200, None), "{who}");
+/// Reads the client's answer, which must leave the connection open.
+fn expect_answer_and_open_connection(client: &mut Client, client_name: &str) {
+    let answer =
+        Message::read(&mut client.stream).unwrap_or_else(|| panic!("{client_name}: no complete answer"));
+    assert_eq!((answer.status(), answer.header("connection")), (200, None), "{client_name}");
 }
 
-/// One request from end to end on a client's connection, which must go on.
-fn serve(client: &mut Client, server: &Server, ran: &mut Ran, who: &str) {
+/// Serves one request on a client's connection, which must stay open.
+fn serve_one(client: &mut Client, server: &Server, executed: &mut ExecutedRequests, client_name: &str) {
     client.send(&request("update", 20.0));
-    arrived(client, server, ran, who).answer(OK, "", b"served");
-    goes_on(client, who);
+    request_at_server(client, server, executed, client_name).answer(OK, "", b"served");
+    expect_answer_and_open_connection(client, client_name);
 }
 
-/// The clients of a node when its process is replaced.
+/// The clients of a node whose process is about to be replaced.
 struct Clients {
     server: Server,
-    ran: Ran,
-    resting: Client,
-    asking: Client,
-    open: Option<Exchange>,
+    executed: ExecutedRequests,
+    idle: Client,
+    waiting: Client,
+    pending: Option<Exchange>,
 }
 
 impl Clients {
-    /// One client that rests between two requests, and one whose request is at the server.
-    fn of(node: &Node, server: Server) -> Self {
-        let (mut ran, mut resting, mut asking) = (Ran::default(), node.client(), node.client());
-        serve(&mut resting, &server, &mut ran, "before");
-        asking.send(&request("pay", 20.0));
-        let open = Some(arrived(&asking, &server, &mut ran, "before"));
-        Self { server, ran, resting, asking, open }
+    /// Connects one client that is idle between two requests, and one whose request is pending at the server.
+    fn connect(node: &Node, server: Server) -> Self {
+        let (mut executed, mut idle, mut waiting) =
+            (ExecutedRequests::default(), node.client(), node.client());
+        serve_one(&mut idle, &server, &mut executed, "before");
+        waiting.send(&request("pay", 20.0));
+        let pending = Some(request_at_server(&waiting, &server, &mut executed, "before"));
+        Self { server, executed, idle, waiting, pending }
     }
 
-    /// The old process is told to end while another serves: every client goes on, on the connection that it has.
-    fn go_on_past(mut self, mut old: Node, mut anew: Vec<Client>) {
-        let (server, ran) = (&self.server, &mut self.ran);
-        for client in &mut anew {
-            serve(client, server, ran, "who came while it stood still");
+    /// Terminates the old process while another serves: every client must be served on the connection that it
+    /// has.
+    fn survive_end_of(mut self, mut old: Node, mut new_clients: Vec<Client>) {
+        let (server, executed) = (&self.server, &mut self.executed);
+        for client in &mut new_clients {
+            serve_one(client, server, executed, "the client that connected during the pause");
         }
-        // It rests anew, however long the stop was.
-        serve(&mut self.resting, server, ran, "who rested while it stood still");
+        // The connection is idle for a fresh period afterwards, however long the pause was.
+        serve_one(&mut self.idle, server, executed, "the client that was idle during the pause");
         old.terminate();
         let mut next = old.client();
-        serve(&mut next, server, ran, "who comes after the signal");
-        self.open.take().expect("open").answer(OK, "", b"late");
-        goes_on(&mut self.asking, "who asked before the signal");
-        serve(&mut self.resting, server, ran, "who rested");
-        serve(&mut self.asking, server, ran, "who was answered");
+        serve_one(&mut next, server, executed, "the client that connects after the signal");
+        self.pending.take().expect("pending").answer(OK, "", b"late");
+        expect_answer_and_open_connection(&mut self.waiting, "the client that was waiting at the signal");
+        serve_one(&mut self.idle, server, executed, "the idle client");
+        serve_one(&mut self.waiting, server, executed, "the client that was answered");
         assert!(old.wait().success());
-        for client in anew.iter_mut().chain([&mut self.resting, &mut self.asking, &mut next]) {
-            serve(client, server, ran, "once the old process has gone");
+        for client in new_clients.iter_mut().chain([&mut self.idle, &mut self.waiting, &mut next]) {
+            serve_one(client, server, executed, "once the old process has exited");
         }
-        assert!(!server.has_request(), "it ran twice");
+        assert!(!server.has_request(), "the request ran twice");
     }
 }
 
-/// A replacement whose outgoing process stands still from before the incoming one starts until so long after its call.
-fn replaced_while_the_old_process_stands_still(stall: Duration) {
+/// Replaces a process that is paused from before the incoming one starts until `stall` after the incoming one
+/// has connected.
+fn replace_while_the_old_process_is_paused(stall: Duration) {
     let server = Server::start();
-    let (config, _) = patient(&[&server]);
+    let (config, _) = config_with_long_deadlines(&[&server]);
     let old = Node::start(&config);
-    let clients = Clients::of(&old, server);
+    let clients = Clients::connect(&old, server);
     old.pause();
     let ops = own_address();
     let _new = old.start_second_process(&config, ops);
-    wait_until("the new process does not call", || calls_waiting(old.address) > 0);
-    let anew = (0..2).map(|_| old.client()).collect();
+    wait_until("the new process does not connect", || calls_waiting(old.address) > 0);
+    let new_clients = (0..2).map(|_| old.client()).collect();
     std::thread::sleep(stall);
     old.resume();
     ready(ops);
-    clients.go_on_past(old, anew);
+    clients.survive_end_of(old, new_clients);
 }
 
-/// Guards against an incoming process that takes a stopped one for none, and listens beside it.
+/// Without this, an incoming process would take a paused outgoing process for an absent one and listen beside
+/// it.
 #[test]
-fn an_outgoing_process_that_stands_still_for_longer_than_it_is_waited_for_is_taken_over_from() {
-    replaced_while_the_old_process_stands_still(STALL);
+fn an_outgoing_process_paused_for_longer_than_the_answer_timeout_still_hands_over() {
+    replace_while_the_old_process_is_paused(STALL);
 }
 
-/// Guards against a wait that was only made a little longer.
+/// The same with a longer pause: a slightly longer timeout is not enough to pass.
 #[test]
-fn an_outgoing_process_that_stands_still_for_three_seconds_is_taken_over_from() {
-    replaced_while_the_old_process_stands_still(Duration::from_secs(3));
+fn an_outgoing_process_paused_for_three_seconds_still_hands_over() {
+    replace_while_the_old_process_is_paused(Duration::from_secs(3));
 }
 
-/// A scripted process that has a client, and the real one that is to take over from it.
-struct Scripted {
+/// A scripted outgoing process that has a client, and the real process that is to take over from it.
+struct ScriptedHandover {
     server: Server,
     outgoing: Outgoing,
     client: Client,
@@ -135,126 +147,135 @@
     ops: SocketAddr,
 }
 
-impl Scripted {
+impl ScriptedHandover {
     fn start() -> Self {
         let address = own_address();
-        Self::start_with(address, |command| add_config_file(command, address, AT_ONCE))
+        Self::start_with(address, |command| add_config_file(command, address, NO_WAIT_FOR_DISCOVERY))
     }
 
-    fn start_with(address: SocketAddr, tell: impl FnOnce(&mut std::process::Command)) -> Self {
+    fn start_with(address: SocketAddr, customize: impl FnOnce(&mut std::process::Command)) -> Self {
         let server = Server::start();
-        let (config, ops) = patient(&[&server]);
+        let (config, ops) = config_with_long_deadlines(&[&server]);
         let outgoing = Outgoing::start(address);
         let client = Client::connect(address);
         let (connection, _) = outgoing.listener.accept().expect("accepted");
-        let new = Node::spawn_at(address, &config, ops, tell);
+        let new = Node::spawn_at(address, &config, ops, customize);
         Self { server, outgoing, client, connection, new, ops }
     }
 
-    /// The incoming process has called, and says who it is.
-    fn greeted(&self) -> Call {
-        let mut call = self.outgoing.called();
-        assert!(matches!(call.next(), Some(Handover::Hello(_))));
+    /// Accepts the incoming process's handover connection and its `Hello`.
+    fn accept_hello(&self) -> Call {
+        let mut call = self.outgoing.accept_call();
+        assert!(matches!(call.receive(), Some(Handover::Hello(_))));
         call
     }
 
-    /// The offer is confirmed, the client is handed over and served, and the listening socket is shared.
-    fn takes_over(mut self, mut call: Call) {
+    /// Makes the offer and checks that it is confirmed, that the client is handed over and served, and that
+    /// the listening socket is shared.
+    fn expect_takeover(mut self, mut call: Call) {
         let offered = call.offer(&self.outgoing.listener);
-        self.takes_over_what_was_offered(call, offered);
+        self.expect_takeover_after_offer(call, offered);
     }
 
-    fn takes_over_what_was_offered(&mut self, mut call: Call, offered: bool) {
-        let confirmed = if offered { call.next() } else { None };
-        assert_eq!(confirmed, Some(Handover::Confirm), "it says: {}", self.new.next_log_line());
+    fn expect_takeover_after_offer(&mut self, mut call: Call, offered: bool) {
+        let confirmed = if offered { call.receive() } else { None };
+        assert_eq!(
+            confirmed,
+            Some(Handover::Confirm),
+            "not confirmed; the log says: {}",
+            self.new.next_log_line()
+        );
         ready(self.ops);
-        call.pass(&self.connection);
-        let (server, mut ran) = (&self.server, Ran::default());
-        serve(&mut self.client, server, &mut ran, "who is handed over");
-        serve(&mut self.new.client(), server, &mut ran, "who connects anew");
+        call.hand_over(&self.connection);
+        let (server, mut executed) = (&self.server, ExecutedRequests::default());
+        serve_one(&mut self.client, server, &mut executed, "the client that is handed over");
+        serve_one(&mut self.new.client(), server, &mut executed, "a new client");
         drop(call);
-        serve(&mut self.client, server, &mut ran, "who was handed over");
+        serve_one(&mut self.client, server, &mut executed, "the client after the handover");
     }
 }
 
-/// Guards against an incoming process that counts its own pause against the other: the answer has come when it goes on.
+/// An incoming process must not count its own pause as the other's delay: here the answer has arrived when it
+/// resumes.
 #[test]
-fn an_incoming_process_that_stands_still_between_its_call_and_the_answer_takes_over() {
-    let mut scripted = Scripted::start();
-    let mut call = scripted.greeted();
-    // Stopped in its wait for events, it hears of the time before it hears of the answer.
-    wait_until("it does not wait", || scripted.new.state() == Some('S'));
+fn an_incoming_process_paused_between_its_call_and_the_answer_takes_over() {
+    let mut scripted = ScriptedHandover::start();
+    let mut call = scripted.accept_hello();
+    // Paused while it waits for events, the process handles its timer before the answer when it resumes.
+    wait_until("the process does not wait for events", || scripted.new.state() == Some('S'));
     scripted.new.pause();
     std::thread::sleep(LONG_STALL);
     let offered = call.offer(&scripted.outgoing.listener);
     scripted.new.resume();
-    scripted.takes_over_what_was_offered(call, offered);
+    scripted.expect_takeover_after_offer(call, offered);
 }
 
-/// Guards against the same where the answer comes only after the pause.
+/// The same when the answer comes only after the pause.
 #[test]
-fn an_incoming_process_that_stood_still_waits_for_an_answer_afterwards() {
-    let scripted = Scripted::start();
-    let call = scripted.greeted();
+fn an_incoming_process_that_was_paused_still_waits_for_an_answer_afterwards() {
+    let scripted = ScriptedHandover::start();
+    let call = scripted.accept_hello();
     scripted.new.pause();
     std::thread::sleep(LONG_STALL);
     scripted.new.resume();
     std::thread::sleep(Duration::from_millis(50));
-    scripted.takes_over(call);
+    scripted.expect_takeover(call);
 }
 
-/// Guards against a pause before the call that spoils it: the process stops while it waits for the rest of its file.
+/// A pause before the connection must not make it fail: the process is paused while it waits for the rest of
+/// its configuration file.
 #[test]
-fn an_incoming_process_that_stands_still_before_its_call_takes_over() {
+fn an_incoming_process_paused_before_its_call_takes_over() {
     let address = own_address();
-    let pipe = node_directory(address).join("told.toml");
+    let pipe = node_directory(address).join("pipe.toml");
     let made = std::process::Command::new("mkfifo").arg(&pipe).status();
     assert!(made.expect("made").success());
-    let scripted = Scripted::start_with(address, |command| {
+    let scripted = ScriptedHandover::start_with(address, |command| {
         command.arg("--config").arg(&pipe);
     });
-    // It opens when the process reads.
-    let mut told = std::fs::OpenOptions::new().write(true).open(&pipe).expect("opened");
+    // Opening blocks until the process reads the file.
+    let mut file = std::fs::OpenOptions::new().write(true).open(&pipe).expect("opened");
     scripted.new.pause();
-    told.write_all(AT_ONCE.as_bytes()).expect("told");
-    drop(told);
+    file.write_all(NO_WAIT_FOR_DISCOVERY.as_bytes()).expect("written");
+    drop(file);
     std::thread::sleep(LONG_STALL);
     assert_eq!(calls_waiting(address), 0);
     scripted.new.resume();
-    let call = scripted.greeted();
-    scripted.takes_over(call);
+    let call = scripted.accept_hello();
+    scripted.expect_takeover(call);
 }
 
-/// Guards against an incoming process that listens beside one that has accepted its call and answers late.
+/// Without this, an incoming process would listen beside one that has accepted its connection but answers
+/// late.
 #[test]
 fn a_call_that_is_answered_late_is_waited_for() {
-    let scripted = Scripted::start();
-    let call = scripted.greeted();
+    let scripted = ScriptedHandover::start();
+    let call = scripted.accept_hello();
     std::thread::sleep(Duration::from_millis(2_500));
-    scripted.takes_over(call);
+    scripted.expect_takeover(call);
 }
 
-/// Guards against an incoming process that listens beside one that has heard its call only late.
+/// Without this, an incoming process would listen beside one that accepts its connection late.
 #[test]
 fn a_call_that_is_accepted_late_is_waited_for() {
-    let scripted = Scripted::start();
+    let scripted = ScriptedHandover::start();
     let address = scripted.new.address;
-    wait_until("the new process does not call", || calls_waiting(address) > 0);
+    wait_until("the new process does not connect", || calls_waiting(address) > 0);
     std::thread::sleep(Duration::from_millis(2_500));
-    let call = scripted.greeted();
-    scripted.takes_over(call);
+    let call = scripted.accept_hello();
+    scripted.expect_takeover(call);
 }
 
-/// Both stand still after the call; which goes on first is the argument.
-fn both_stand_still(old_first: bool) {
+/// Pauses both processes once the incoming one has connected; `old_first` says which one resumes first.
+fn replace_while_both_are_paused(old_first: bool) {
     let server = Server::start();
-    let (config, _) = patient(&[&server]);
+    let (config, _) = config_with_long_deadlines(&[&server]);
     let old = Node::start(&config);
-    let clients = Clients::of(&old, server);
+    let clients = Clients::connect(&old, server);
     old.pause();
     let ops = own_address();
     let new = old.start_second_process(&config, ops);
-    wait_until("the new process does not call", || calls_waiting(old.address) > 0);
+    wait_until("the new process does not connect", || calls_waiting(old.address) > 0);
     new.pause();
     std::thread::sleep(STALL);
     let (first, second) = if old_first { (&old, &new) } else { (&new, &old) };
@@ -262,23 +283,24 @@
     std::thread::sleep(Duration::from_millis(100));
     second.resume();
     ready(ops);
-    clients.go_on_past(old, Vec::new());
+    clients.survive_end_of(old, Vec::new());
 }
 
-/// Guards against a pause of the incoming process that counts against an answer which has come.
+/// A pause of the incoming process must not count against an answer that has arrived.
 #[test]
-fn where_both_stand_still_and_the_old_one_goes_on_first_it_is_taken_over_from() {
-    both_stand_still(true);
+fn when_both_are_paused_and_the_old_one_resumes_first_it_hands_over() {
+    replace_while_both_are_paused(true);
 }
 
-/// Guards against an incoming process that gives up as it goes on, before the other one can.
+/// The incoming process must not give up when it resumes, before the other one can resume.
 #[test]
-fn where_both_stand_still_and_the_new_one_goes_on_first_it_takes_over() {
-    both_stand_still(false);
+fn when_both_are_paused_and_the_new_one_resumes_first_it_takes_over() {
+    replace_while_both_are_paused(false);
 }
 
-/// The request that a client has sent on a connection that was handed over, answered here in place of a process.
-fn answer_by_hand(connection: TcpStream) {
+/// Reads the request that a client has sent on a handed-over connection, and answers it in place of a
+/// process.
+fn answer_request_on(connection: TcpStream) {
     connection.set_nonblocking(false).expect("set");
     connection.set_read_timeout(Some(LONG)).expect("set");
     let mut reader = std::io::BufReader::new(connection.try_clone().expect("cloned"));
@@ -287,7 +309,7 @@
     writer.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nhere").expect("answered");
 }
 
-/// Whether a client's connection has been ended by now.
+/// Returns whether a client's connection has been closed by now.
 fn has_ended(client: &Client) -> bool {
     let stream = client.stream.get_ref();
     stream.set_nonblocking(true).expect("set");
@@ -296,29 +318,33 @@
     !matches!(seen, Ok(1..) | Err(std::io::ErrorKind::WouldBlock))
 }
 
-/// The next connection is handed over, and it is this client's.
-fn handed_over(incoming: &mut Incoming, client: &mut Client, who: &str) {
+/// Checks that the next connection is handed over and belongs to this client.
+fn expect_handed_over(incoming: &mut Incoming, client: &mut Client, client_name: &str) {
     let mut connection = None;
-    wait_until("it is not handed over", || {
+    wait_until("the connection is not handed over", || {
         connection = incoming.poll_connection();
-        assert!(connection.is_some() || !has_ended(client), "{who}: it is closed, not handed over");
+        assert!(
+            connection.is_some() || !has_ended(client),
+            "{client_name}: the connection was closed, not handed over"
+        );
         connection.is_some()
     });
     let connection = connection.expect("handed over");
-    assert_eq!(connection.peer_addr().ok(), client.stream.get_ref().local_addr().ok(), "{who}");
+    assert_eq!(connection.peer_addr().ok(), client.stream.get_ref().local_addr().ok(), "{client_name}");
     client.send(&request("update", 20.0));
-    answer_by_hand(connection);
-    goes_on(client, who);
+    answer_request_on(connection);
+    expect_answer_and_open_connection(client, client_name);
 }
 
-/// Guards against a wait for the confirmation that counts time in which the process was not running: it ran for 50 ms here.
+/// The wait for the confirmation must not count time in which the process was paused: it ran for only 50 ms
+/// here.
 #[test]
-fn a_confirmation_that_comes_while_the_ending_process_stands_still_hands_over() {
+fn a_confirmation_that_arrives_while_the_ending_process_is_paused_leads_to_a_handover() {
     let server = Server::start();
-    let (config, _) = patient(&[&server]);
+    let (config, _) = config_with_long_deadlines(&[&server]);
     let mut old = Node::start(&config);
-    let mut clients = Clients::of(&old, server);
-    let (mut incoming, _listener) = Incoming::offered(old.address);
+    let mut clients = Clients::connect(&old, server);
+    let (mut incoming, _listener) = Incoming::take_offer(old.address);
     old.pause();
     old.terminate();
     std::thread::sleep(Duration::from_millis(400));
@@ -328,223 +354,230 @@
     incoming.confirm();
     std::thread::sleep(Duration::from_millis(400));
     old.resume();
-    handed_over(&mut incoming, &mut clients.resting, "who rested");
-    clients.open.take().expect("open").answer(OK, "", b"late");
-    goes_on(&mut clients.asking, "who asked before the signal");
-    handed_over(&mut incoming, &mut clients.asking, "who was answered");
+    expect_handed_over(&mut incoming, &mut clients.idle, "the idle client");
+    clients.pending.take().expect("pending").answer(OK, "", b"late");
+    expect_answer_and_open_connection(&mut clients.waiting, "the client that was waiting at the signal");
+    expect_handed_over(&mut incoming, &mut clients.waiting, "the client that was answered");
     assert!(old.wait().success());
     assert!(incoming.connection().is_none());
-    assert!(!clients.server.has_request(), "it ran twice");
+    assert!(!clients.server.has_request(), "the request ran twice");
 }
 
-/// Guards against an ending process that takes its own pause for a time in which nobody connects, and resets who waits to be accepted.
+/// An ending process must not take its own pause for a time in which nobody connects. If it did, it would
+/// reset the connections that wait to be accepted.
 #[test]
-fn who_connects_while_an_ending_process_stands_still_is_answered() {
+fn clients_that_connect_while_an_ending_process_is_paused_are_answered() {
     let server = Server::start();
     let (config, ops) = config_with_admin(&[&server]);
     let mut node = Node::start(&config);
     node.terminate();
-    wait_until("it is not ending", || admin_call(ops, "readyz") == "NO ending\n");
+    wait_until("the process is not ending", || admin_call(ops, "readyz") == "NO ending\n");
     node.pause();
     let mut clients: Vec<_> = (0..4).map(|_| node.client()).collect();
     clients.iter_mut().for_each(|client| client.send(&request("update", 20.0)));
     std::thread::sleep(Duration::from_millis(900));
     node.resume();
-    let mut ran = Ran::default();
+    let mut executed = ExecutedRequests::default();
     for client in &clients {
-        arrived(client, &server, &mut ran, "who connected meanwhile").answer(OK, "", b"served");
+        request_at_server(client, &server, &mut executed, "a client that connected during the pause")
+            .answer(OK, "", b"served");
     }
     for client in &mut clients {
-        let answer = Message::read(&mut client.stream).expect("a whole answer");
+        let answer = Message::read(&mut client.stream).expect("a complete answer");
         assert_eq!(answer.status(), 200);
     }
     assert!(node.wait().success());
 }
 
-/// Longer than a process with a longest deadline of 2 s has to end: 2.6 s.
-const PAST_THE_END: Duration = Duration::from_millis(2_800);
+/// Longer than the time in which a process whose longest deadline is 2 s has to exit: 2.6 s.
+const PAST_EXIT_DEADLINE: Duration = Duration::from_millis(2_800);
 
-/// Guards against a process that goes on past its own deadline and ends at once: what it owes is owed still.
+/// A process that resumes past its exit deadline must not exit at once: it still owes handovers and final
+/// answers.
 #[test]
-fn a_process_that_stands_still_past_its_end_hands_over_and_gives_its_last_answers() {
+fn a_process_paused_past_its_exit_deadline_hands_over_and_sends_its_final_answers() {
     let server = Server::start();
     let (config, ops) = config_with_admin(&[&server]);
     let mut old = Node::start(&config);
-    let mut clients = Clients::of(&old, server);
-    let (mut incoming, _listener) = Incoming::offered(old.address);
+    let mut clients = Clients::connect(&old, server);
+    let (mut incoming, _listener) = Incoming::take_offer(old.address);
     old.terminate();
-    // It has begun to count, and waits for the confirmation still.
-    wait_until("it is not ending", || admin_call(ops, "readyz") == "NO ending\n");
+    // The exit deadline is running, and the process still waits for the confirmation.
+    wait_until("the process is not ending", || admin_call(ops, "readyz") == "NO ending\n");
     old.pause();
     incoming.confirm();
-    std::thread::sleep(PAST_THE_END);
+    std::thread::sleep(PAST_EXIT_DEADLINE);
     old.resume();
-    handed_over(&mut incoming, &mut clients.resting, "who rested");
-    // The server says nothing: it may have run.
-    let last = Message::read(&mut clients.asking.stream).expect("a last answer");
-    assert_eq!(last.status(), 504);
+    expect_handed_over(&mut incoming, &mut clients.idle, "the idle client");
+    // The server has not answered, so the request may have run.
+    let final_answer = Message::read(&mut clients.waiting.stream).expect("a final answer");
+    assert_eq!(final_answer.status(), 504);
     assert!(old.wait().success());
-    assert!(!clients.server.has_request(), "it was sent again");
+    assert!(!clients.server.has_request(), "the request was sent again");
 }
 
-/// Guards against a process that goes on past its end and begins what it reads only then, with no time left to answer it.
+/// A process that resumes past its exit deadline must not start requests that it reads only then: no time is
+/// left to answer them.
 #[test]
-fn a_process_that_stands_still_past_its_end_hands_over_unread_what_has_come_meanwhile() {
+fn a_process_paused_past_its_exit_deadline_hands_over_unread_requests() {
     let server = Server::start();
     let (config, ops) = config_with_admin(&[&server]);
     let mut old = Node::start(&config);
-    let mut clients = Clients::of(&old, server);
-    let mut anew = old.client();
-    // The process has accepted it.
-    serve(&mut clients.resting, &clients.server, &mut clients.ran, "who rested");
-    let (mut incoming, _listener) = Incoming::offered(old.address);
+    let mut clients = Clients::connect(&old, server);
+    let mut new_client = old.client();
+    // That this request is served shows that the new client has been accepted too.
+    serve_one(&mut clients.idle, &clients.server, &mut clients.executed, "the idle client");
+    let (mut incoming, _listener) = Incoming::take_offer(old.address);
     old.terminate();
-    wait_until("it is not ending", || admin_call(ops, "readyz") == "NO ending\n");
+    wait_until("the process is not ending", || admin_call(ops, "readyz") == "NO ending\n");
     old.pause();
     incoming.confirm();
-    clients.resting.send(&request("pay", 20.0));
-    anew.send(&request("pay", 20.0));
-    std::thread::sleep(PAST_THE_END);
+    clients.idle.send(&request("pay", 20.0));
+    new_client.send(&request("pay", 20.0));
+    std::thread::sleep(PAST_EXIT_DEADLINE);
     old.resume();
-    for who in ["who asks again", "who asks for the first time"] {
+    for client_name in ["the idle client's next request", "the new client's first request"] {
         let mut connection = None;
-        wait_until("it is not handed over", || {
+        wait_until("the connection is not handed over", || {
             connection = incoming.poll_connection();
-            assert!(!clients.server.has_request(), "{who}: it is begun here");
+            assert!(!clients.server.has_request(), "{client_name}: the request was started here");
             connection.is_some()
         });
-        answer_by_hand(connection.expect("handed over"));
+        answer_request_on(connection.expect("handed over"));
     }
-    for client in [&mut clients.resting, &mut anew] {
-        goes_on(client, "who asked meanwhile");
+    for client in [&mut clients.idle, &mut new_client] {
+        expect_answer_and_open_connection(client, "a client that sent its request during the pause");
     }
-    let last = Message::read(&mut clients.asking.stream).expect("a last answer");
-    assert_eq!(last.status(), 504);
+    let final_answer = Message::read(&mut clients.waiting.stream).expect("a final answer");
+    assert_eq!(final_answer.status(), 504);
     assert!(old.wait().success());
-    assert!(!clients.server.has_request(), "it was sent on");
+    assert!(!clients.server.has_request(), "the request was forwarded");
 }
 
-/// Guards against an attempt that a process which goes on past its end begins with no time left for its answer: here a connection
-/// to the server comes up in that moment.
+/// A process that resumes past its exit deadline must not start an attempt with no time left for its answer.
+/// Here a connection to the server comes up at that moment.
 #[test]
-fn a_process_that_stands_still_past_its_end_hands_over_what_no_server_has_been_sent() {
+fn a_process_paused_past_its_exit_deadline_hands_over_requests_not_yet_sent() {
     let (slow, address, filler) = full_listener();
     let (mut config, ops) = config_with_admin(&[]);
     config["known"] = list(1, true, &[member("slow", address, "active")]);
     let mut old = Node::start(&config);
     let mut client = old.client();
     client.send(&request("pay", 20.0));
-    wait_until("the node does not connect", || pending_connects(address) > 0);
-    let (mut incoming, _listener) = Incoming::offered(old.address);
+    wait_until("the node has not begun to connect", || pending_connects(address) > 0);
+    let (mut incoming, _listener) = Incoming::take_offer(old.address);
     old.terminate();
-    wait_until("it is not ending", || admin_call(ops, "readyz") == "NO ending\n");
+    wait_until("the process is not ending", || admin_call(ops, "readyz") == "NO ending\n");
     old.pause();
     incoming.confirm();
     drop(slow.accept().expect("the filler"));
     drop(filler);
     let (mut upstream, _) = slow.accept().expect("the node's connection");
-    std::thread::sleep(PAST_THE_END);
+    std::thread::sleep(PAST_EXIT_DEADLINE);
     old.resume();
     let (mut connection, read) = incoming.request();
     let text = String::from_utf8(read).expect("text");
-    let handed = Message::read(&mut std::io::BufReader::new(text.as_bytes())).expect("a whole request");
-    assert!(handed.first.starts_with("POST /api"), "{text}");
-    let left: f64 = handed.header("x-deadline").and_then(|left| left.parse().ok()).expect("told");
-    assert!(left > 10.0 && left < 20.0 - PAST_THE_END.as_secs_f64(), "{left}");
+    let request = Message::read(&mut std::io::BufReader::new(text.as_bytes())).expect("a complete request");
+    assert!(request.first.starts_with("POST /api"), "{text}");
+    let remaining: f64 =
+        request.header("x-deadline").and_then(|remaining| remaining.parse().ok()).expect("a deadline");
+    assert!(remaining > 10.0 && remaining < 20.0 - PAST_EXIT_DEADLINE.as_secs_f64(), "{remaining}");
     connection.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nhere").expect("answered");
     assert_eq!(client.answer().body, b"here");
     assert!(old.wait().success());
     upstream.set_read_timeout(Some(LONG)).expect("set");
-    assert_eq!(upstream.read(&mut [0; 1]).ok(), Some(0), "it was sent on");
+    assert_eq!(upstream.read(&mut [0; 1]).ok(), Some(0), "the request was forwarded");
 }
 
-/// Guards against the same where all that rests has been handed over, and one request is at the server.
+/// The same once all idle connections have been handed over, with one request pending at the server.
 #[test]
-fn a_process_that_stands_still_past_its_end_passes_on_an_answer_that_has_come() {
+fn a_process_paused_past_its_exit_deadline_forwards_an_answer_that_has_arrived() {
     let server = Server::start();
     let (config, _) = config_with_admin(&[&server]);
     let mut old = Node::start(&config);
-    let mut clients = Clients::of(&old, server);
+    let mut clients = Clients::connect(&old, server);
     let ops = own_address();
     let _new = old.start_second_process(&config, ops);
     ready(ops);
     old.terminate();
     old.log_line_containing("shutdown: connections are handed over");
-    serve(&mut clients.resting, &clients.server, &mut clients.ran, "who rested");
+    serve_one(&mut clients.idle, &clients.server, &mut clients.executed, "the idle client");
     old.pause();
-    clients.open.take().expect("open").answer(OK, "", b"late");
-    std::thread::sleep(PAST_THE_END);
+    clients.pending.take().expect("pending").answer(OK, "", b"late");
+    std::thread::sleep(PAST_EXIT_DEADLINE);
     old.resume();
-    let last = Message::read(&mut clients.asking.stream).expect("a last answer");
-    assert_eq!(last.status(), 200);
+    let final_answer = Message::read(&mut clients.waiting.stream).expect("a final answer");
+    assert_eq!(final_answer.status(), 200);
     assert!(old.wait().success());
-    assert!(!clients.server.has_request(), "it ran twice");
+    assert!(!clients.server.has_request(), "the request ran twice");
 }
 
-/// Lets a process run for some milliseconds at a time only, until told otherwise, as on a machine that is far too busy.
-struct Slowed {
-    over: std::sync::Arc<std::sync::atomic::AtomicBool>,
-    slowing: Option<std::thread::JoinHandle<()>>,
+/// Throttles a process until dropped: it runs for only some milliseconds at a time, as on an overloaded
+/// machine.
+struct Throttled {
+    stop: std::sync::Arc<std::sync::atomic::AtomicBool>,
+    worker: Option<std::thread::JoinHandle<()>>,
 }
 
-impl Slowed {
+impl Throttled {
     fn begin(node: &Node, stopped_ms: u64, runs_ms: u64) -> Self {
-        let (pid, over) =
+        let (pid, stop) =
             (node.pid().to_string(), std::sync::Arc::<std::sync::atomic::AtomicBool>::default());
-        let done = std::sync::Arc::clone(&over);
+        let stopped = std::sync::Arc::clone(&stop);
         let signal = move |signal: &str| {
-            // It fails where the process has ended.
+            // Fails if the process has exited.
             let _ = std::process::Command::new("kill")
                 .args([signal, pid.as_str()])
                 .stderr(std::process::Stdio::null())
                 .status();
         };
-        let slowing = std::thread::spawn(move || {
-            while !done.load(std::sync::atomic::Ordering::Relaxed) {
+        let worker = std::thread::spawn(move || {
+            while !stopped.load(std::sync::atomic::Ordering::Relaxed) {
                 signal("-STOP");
                 std::thread::sleep(Duration::from_millis(stopped_ms));
                 signal("-CONT");
                 std::thread::sleep(Duration::from_millis(runs_ms));
             }
         });
-        Self { over, slowing: Some(slowing) }
+        Self { stop, worker: Some(worker) }
     }
 }
 
-impl Drop for Slowed {
+impl Drop for Throttled {
     fn drop(&mut self) {
-        self.over.store(true, std::sync::atomic::Ordering::Relaxed);
-        self.slowing.take().expect("once").join().expect("slowed");
+        self.stop.store(true, std::sync::atomic::Ordering::Relaxed);
+        self.worker.take().expect("once").join().expect("throttled");
     }
 }
 
-/// Guards against a process that takes its own slowness for pauses over and over, and never gives its last answers. In what time it
-/// does is held by the tests of the state machine: here it depends on the machine, too.
+/// A process must not keep treating its own slowness as pauses and so never send its final answers. How long
+/// it may take is covered by the tests of the state machine: here that depends on the machine as well.
 #[test]
-fn a_process_that_is_slow_as_it_ends_gives_its_last_answers() {
+fn a_process_that_is_throttled_while_it_ends_sends_its_final_answers() {
     let server = Server::start();
     let (config, ops) = config_with_admin(&[&server]);
     let mut old = Node::start(&config);
-    let mut clients = Clients::of(&old, server);
+    let mut clients = Clients::connect(&old, server);
     old.terminate();
     let since = Instant::now();
-    wait_until("it is not ending", || admin_call(ops, "readyz") == "NO ending\n");
+    wait_until("the process is not ending", || admin_call(ops, "readyz") == "NO ending\n");
     std::thread::sleep(Duration::from_millis(1_900).saturating_sub(since.elapsed()));
-    let slowed = Slowed::begin(&old, 130, 5);
-    let last = Message::read(&mut clients.asking.stream).expect("a last answer");
-    drop(slowed);
-    assert_eq!(last.status(), 504);
+    let throttled = Throttled::begin(&old, 130, 5);
+    let final_answer = Message::read(&mut clients.waiting.stream).expect("a final answer");
+    drop(throttled);
+    assert_eq!(final_answer.status(), 504);
     assert!(old.wait().success());
 }
 
-/// Guards against a wait for an outgoing process that grows with the slowness of the incoming one: it is to serve within 6 s.
+/// The wait for an outgoing process must not grow with the slowness of the incoming one: it must serve within
+/// 6 s.
 #[test]
-fn an_incoming_process_that_is_slow_gives_up_one_that_never_answers_in_time_to_serve() {
-    let scripted = Scripted::start();
-    let _call = scripted.greeted();
+fn a_throttled_incoming_process_gives_up_an_unanswered_call_in_time_to_serve() {
+    let scripted = ScriptedHandover::start();
+    let _call = scripted.accept_hello();
     let since = Instant::now();
-    let slowed = Slowed::begin(&scripted.new, 180, 60);
-    wait_until("it does not serve", || TcpStream::connect(scripted.ops).is_ok());
-    drop(slowed);
+    let throttled = Throttled::begin(&scripted.new, 180, 60);
+    wait_until("the process does not serve", || TcpStream::connect(scripted.ops).is_ok());
+    drop(throttled);
     assert!(since.elapsed() < Duration::from_secs(6), "{:?}", since.elapsed());
 }
--- a/crates/spurdrum/tests/node/unread.rs
+++ b/crates/spurdrum/tests/node/unread.rs
@@ -1,60 +1,63 @@
-//! Requests that lie in the node's sockets before it reads them, as on a busy machine: a client's time runs from when it sent.
+//! Requests that wait in the node's socket buffers before it reads them, as on a busy machine. A client's
+//! deadline runs from when it sent its request.
 
 use std::thread;
 
 use super::*;
 
-/// The node does not run for so long.
+/// How long the node is paused.
 const PAUSE: Duration = Duration::from_millis(1_200);
-/// The system's clock is coarse, and the request and the node's first steps take a moment.
+/// The kernel's clock is coarse, and the request and the node's first steps take a moment.
 const TOLERANCE: Duration = Duration::from_millis(100);
 
-/// Sends this while the node stands still.
-fn sent_during_a_pause(node: &Node, client: &mut Client, text: &str) {
+/// Pauses the node, sends `text` during the pause, and resumes the node.
+fn send_during_a_pause(node: &Node, client: &mut Client, text: &str) {
     node.pause();
     client.send(text);
     thread::sleep(PAUSE);
     node.resume();
 }
 
-/// How long the node will wait, as it tells a server.
-fn told_to_server(got: &Exchange) -> Duration {
-    let left = got.request.header("x-deadline").and_then(|left| left.parse().ok());
-    Duration::from_secs_f64(left.expect("told"))
+/// Returns the remaining time that the node states to a server.
+fn deadline_at_server(exchange: &Exchange) -> Duration {
+    let remaining = exchange.request.header("x-deadline").and_then(|remaining| remaining.parse().ok());
+    Duration::from_secs_f64(remaining.expect("a deadline"))
 }
 
-/// Guards against servers that work for longer than a client waits: what a request lay unread counts.
+/// The time that a request was unread must count. Without this, a server could work for longer than its
+/// client waits.
 #[test]
-fn a_server_is_told_what_is_left_of_a_clients_time_when_its_request_is_read_late() {
+fn the_deadline_sent_to_a_server_counts_from_when_the_client_sent_its_request() {
     for class in ["read", "update", "pay"] {
         let server = Server::start();
         let node = Node::with_servers(&[&server]);
         let mut client = node.client();
-        sent_during_a_pause(&node, &mut client, &request(class, 5.0));
-        let got = server.request();
-        let left = told_to_server(&got);
-        assert!(left <= Duration::from_secs(5) - PAUSE + TOLERANCE, "{class}: {left:?} left");
-        got.answer(OK, "", b"x");
+        send_during_a_pause(&node, &mut client, &request(class, 5.0));
+        let exchange = server.request();
+        let remaining = deadline_at_server(&exchange);
+        assert!(remaining <= Duration::from_secs(5) - PAUSE + TOLERANCE, "{class}: {remaining:?} left");
+        exchange.answer(OK, "", b"x");
         assert_eq!(client.answer().status(), 200);
     }
 }
 
-/// Guards against an attempt, and an answer some seconds later, for a client whose time is over.
+/// Without this, the node would start an attempt, and answer some seconds later, for a client whose deadline
+/// has passed.
 #[test]
-fn a_request_that_is_read_when_its_clients_time_is_over_is_refused_at_once_and_sent_to_nobody() {
+fn a_request_that_is_read_after_its_deadline_is_refused_at_once_and_not_sent() {
     for class in ["read", "update", "pay"] {
         let server = Server::start();
         let node = Node::with_servers(&[&server]);
         let mut client = node.client();
-        sent_during_a_pause(&node, &mut client, &request(class, PAUSE.as_secs_f64() / 2.0));
+        send_during_a_pause(&node, &mut client, &request(class, PAUSE.as_secs_f64() / 2.0));
         assert_eq!(client.answer().status(), 503, "{class}");
         assert!(!server.has_request(), "{class}");
-        // The connection goes on, and what is read in time has all of its time.
+        // The connection stays open, and a request that is read in time has all of its time.
         client.send(&request(class, 5.0));
-        let got = server.request();
-        let left = told_to_server(&got);
-        assert!(left >= Duration::from_secs(5) - TOLERANCE, "{class}: {left:?} left");
-        got.answer(OK, "", b"x");
+        let exchange = server.request();
+        let remaining = deadline_at_server(&exchange);
+        assert!(remaining >= Duration::from_secs(5) - TOLERANCE, "{class}: {remaining:?} left");
+        exchange.answer(OK, "", b"x");
         assert_eq!(client.answer().status(), 200);
     }
 }
