--- a/crates/spurdrum-ops/src/lib.rs
+++ b/crates/spurdrum-ops/src/lib.rs
@@ -14,11 +14,11 @@
 //! evicted in favour of a new one. [`serve`] is the thin I/O layer round it.
 
 mod calls;
-mod desk;
-mod figures;
+mod endpoint;
 mod shell;
+mod telemetry;
 
 pub use calls::{AdminOperations, NodeCalls};
-pub use desk::{Action, AdminEndpoint, CallerId, Event, Settings};
-pub use figures::{latencies, telemetry, ServerCounts};
+pub use endpoint::{Action, AdminEndpoint, CallerId, Event, Settings};
 pub use shell::{serve, CallHandler};
+pub use telemetry::{latencies, telemetry, ServerCounts};
--- a/crates/spurdrum-ops/src/shell.rs
+++ b/crates/spurdrum-ops/src/shell.rs
@@ -11,7 +11,7 @@
 use tokio::sync::{oneshot, Notify};
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-use crate::desk::{Action, AdminEndpoint, CallerId, Event, Settings};
+use crate::endpoint::{Action, AdminEndpoint, CallerId, Event, Settings};
 
 /// How long a caller may take to receive its answer and close. An answer fits into the buffers of a socket,
 /// so writing it does not depend on the caller.
--- a/crates/spurdrum/src/main.rs
+++ b/crates/spurdrum/src/main.rs
@@ -22,6 +22,7 @@
 use tokio::sync::oneshot;
 use tokio::task::LocalSet;
 
+mod admin;
 mod affinity;
 mod config;
 mod file;
@@ -29,7 +30,6 @@
 mod list;
 mod log;
 mod merge;
-mod operated;
 mod platform;
 mod registry;
 mod replace;
@@ -353,7 +353,7 @@
     let shutting_down = Rc::new(Cell::new(false));
     if let Some(admin_listener) = admin_listener {
         let node_status =
-            operated::NodeStatus { node: Rc::clone(&node), shutting_down: Rc::clone(&shutting_down) };
+            admin::NodeStatus { node: Rc::clone(&node), shutting_down: Rc::clone(&shutting_down) };
         let calls = spurdrum_ops::NodeCalls(node_status);
         tokio::task::spawn_local(spurdrum_ops::serve(
             admin_listener,
