--- a/crates/spurdrum-handover/src/incoming.rs
+++ b/crates/spurdrum-handover/src/incoming.rs
@@ -75,8 +75,8 @@
                 actions.push(IncomingAction::TakeOver { share, state });
                 actions.push(IncomingAction::Send(Message::Confirm));
             }
-            (State::HelloSent, IncomingEvent::Received(Message::Decline(why))) => {
-                self.start_alone(why, actions)
+            (State::HelloSent, IncomingEvent::Received(Message::Decline(reason))) => {
+                self.start_alone(reason, actions)
             }
             (State::TakenOver, IncomingEvent::Received(Message::Share(share))) => {
                 actions.push(IncomingAction::Share(share));
@@ -101,6 +101,7 @@
         }
     }
 
+    /// Gives up the takeover for this reason.
     fn start_alone(&mut self, reason: String, actions: &mut Vec<IncomingAction>) {
         self.state = State::Alone;
         actions.push(IncomingAction::StartAlone(reason));
--- a/crates/spurdrum-handover/src/offer.rs
+++ b/crates/spurdrum-handover/src/offer.rs
@@ -145,6 +145,7 @@
         }
     }
 
+    /// Performs an action of the state machine.
     fn perform(self: &Rc<Self>, action: OutgoingAction) {
         match action {
             OutgoingAction::Offer(id) => self.offer(id),
@@ -179,10 +180,12 @@
         }
     }
 
+    /// Closes the channel of this process once its queued messages are sent.
     fn close(&self, id: IncomingId) {
         self.channels.borrow_mut().remove(&id);
     }
 
+    /// Queues a message for this process, if its channel is open.
     fn queue(&self, id: IncomingId, message: Message, descriptor: Option<OwnedFd>) {
         if let Some(queue) = self.channels.borrow().get(&id) {
             let _ = queue.send((message, descriptor));
@@ -218,7 +221,7 @@
                 requests = bind(&self.path)
                     .inspect_err(|error| {
                         tracing::warn!(
-                            "cannot accept takeover requests; replacing this process will interrupt clients: {error}"
+                            "cannot accept takeover requests, a replacement will interrupt clients: {error}"
                         )
                     })
                     .ok();
@@ -254,6 +257,7 @@
         self.handle(OutgoingEvent::Lost(id));
     }
 
+    /// Sends the queued messages until the queue is closed or the channel fails.
     async fn write_queued(
         &self,
         channel: &Channel,
@@ -268,6 +272,7 @@
         Ok(())
     }
 
+    /// Feeds the received messages to the state machine until the channel fails.
     async fn read_messages(self: &Rc<Self>, id: IncomingId, channel: &Channel) -> io::Result<Infallible> {
         loop {
             let (message, _) = channel.receive().await?;
--- a/crates/spurdrum-handover/src/outgoing.rs
+++ b/crates/spurdrum-handover/src/outgoing.rs
@@ -95,6 +95,7 @@
         }
     }
 
+    /// Handles a message of a connected process.
     fn handle_message(&mut self, id: IncomingId, message: &Message, actions: &mut Vec<OutgoingAction>) {
         match (self.state, message) {
             (State::AwaitingHello(current), Message::Hello(identity)) if current == id => {
@@ -127,6 +128,7 @@
         }
     }
 
+    /// Handles the loss of the channel to a process.
     fn handle_lost(&mut self, id: IncomingId, actions: &mut Vec<OutgoingAction>) {
         match self.state {
             State::AwaitingHello(current) if current == id => self.state = State::Alone,
--- a/crates/spurdrum-ops/src/endpoint.rs
+++ b/crates/spurdrum-ops/src/endpoint.rs
@@ -116,6 +116,7 @@
         }
     }
 
+    /// Removes a caller whose line is complete and answers or rejects the line.
     fn finish_line(&mut self, id: CallerId, actions: &mut Vec<Action>) {
         let Some(caller) = self.callers.remove(&id) else { return };
         actions.push(match parse_line(&caller.line) {
--- a/crates/spurdrum/src/affinity.rs
+++ b/crates/spurdrum/src/affinity.rs
@@ -23,7 +23,8 @@
 /// How soon the next tick follows if more bindings have expired than one tick removes.
 const BUSY_TICK_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Table `[affinity]`. Times are in milliseconds.
+/// Table `[affinity]`. Times are in milliseconds. [`AffinityTable::to_config`] maps the keys to
+/// [`AffinityKeySettings`] and [`Settings`], where they are explained.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AffinityTable {
@@ -59,7 +60,8 @@
     Ring,
 }
 
-/// Table `[affinity.store]`. Times are in milliseconds.
+/// Table `[affinity.store]`. Times are in milliseconds. [`StoreTable::to_config`] maps the keys to
+/// [`spurdrum_store::Settings`], where they are explained.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct StoreTable {
--- a/crates/spurdrum/src/file.rs
+++ b/crates/spurdrum/src/file.rs
@@ -44,20 +44,29 @@
 struct NodeTable {
     #[serde(default = "node_name")]
     name: String,
+    /// The address on which the node listens for clients.
     listen: SocketAddr,
+    /// The address of the admin endpoint.
     ops: Option<SocketAddr>,
+    /// Whether the node records latency histograms.
     #[serde(default)]
     latencies: bool,
     seed: Option<u64>,
+    /// The maximum number of open file descriptors.
     #[serde(default = "sockets")]
     sockets: usize,
+    /// The limit on the memory of connections.
     memory_mb: Option<u64>,
+    /// The maximum number of pending requests.
     #[serde(default = "most_held")]
     most_held: usize,
+    /// The number of nodes that share the load.
     #[serde(default = "one")]
     nodes: usize,
+    /// This node's index among them.
     #[serde(default)]
     me: usize,
+    /// This node's zone.
     #[serde(default)]
     zone: String,
     #[serde(default)]
@@ -66,6 +75,7 @@
     kinds: Vec<String>,
     #[serde(default)]
     tenants: Vec<String>,
+    /// The longest retry-after time that a client may be given; none if absent.
     retry_after_most_ms: Option<f64>,
 }
 
@@ -99,11 +109,16 @@
     name: String,
     effect: EffectName,
     #[serde(default)]
+    /// The servers that discard repeats with the same key, for a keyed class.
     group: GroupName,
+    /// How long they discard repeats, for a keyed class. Times are in milliseconds.
     window_ms: Option<f64>,
+    /// The latency objective; the deadline if absent.
     aim_ms: Option<f64>,
     deadline_ms: f64,
+    /// The value of an answer within the latency objective.
     worth: Option<f64>,
+    /// The fraction of the value that remains after the latency objective.
     late_worth: Option<f64>,
 }
 
@@ -124,14 +139,18 @@
     Cell,
 }
 
-/// Table `[servers]`.
+/// Table `[servers]`. Times are in milliseconds.
 #[derive(Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 struct ServersTable {
+    /// How long a server keeps an idle connection open.
     idle_ms: Option<u64>,
+    /// The time-out for connecting to a server.
     dial_timeout_ms: Option<u64>,
     max_attempts: Option<usize>,
+    /// The duration of slow start.
     cold_ms: Option<f64>,
+    /// The fraction of its capacity that a server has at the beginning of slow start, at least.
     cold_from: Option<f64>,
 }
 
@@ -147,8 +166,10 @@
 #[serde(deny_unknown_fields)]
 struct TraceTable {
     path: PathBuf,
+    /// The maximum size of the file.
     #[serde(default = "trace_mb")]
     most_mb: u64,
+    /// The maximum number of lines that wait to be written.
     #[serde(default = "trace_queue")]
     queue: usize,
 }
@@ -172,7 +193,8 @@
     merge: Option<MergeTable>,
 }
 
-/// Table `[sources.catalog]`. Times are in milliseconds.
+/// Table `[sources.catalog]`. Times are in milliseconds. [`File::follower_settings`] maps the keys to
+/// [`follower::Settings`], where they are explained.
 #[derive(Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 struct Following {
@@ -188,7 +210,8 @@
     extra: Option<f64>,
 }
 
-/// Table `[connections]`. Times are in milliseconds, rates in bytes a second, parts between 0 and 1.
+/// Table `[connections]`. Times are in milliseconds, rates in bytes per second, shares between 0 and 1.
+/// [`File::connections`] maps the keys to [`Settings`], where they are explained.
 #[derive(Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 struct Connections {
@@ -219,6 +242,7 @@
     retry_after_ms: Option<u64>,
 }
 
+/// A time limit that grows with the bytes transferred, see [`TransferTimeout`].
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct PaceTable {
--- a/crates/spurdrum/src/list.rs
+++ b/crates/spurdrum/src/list.rs
@@ -21,6 +21,8 @@
         list.members.iter().map(|member| self.to_server(member)).collect()
     }
 
+    /// Converts a member of a list to the core's type. A zone or kind without a name in the settings gets the
+    /// index after the last.
     fn to_server(&self, member: &Member) -> ListedServer {
         let index_of = |names: &[String], name| names.iter().position(|n| n == name).unwrap_or(names.len());
         let entry = ServerEntry {
--- a/crates/spurdrum/src/main.rs
+++ b/crates/spurdrum/src/main.rs
@@ -194,7 +194,7 @@
 
     let connections =
         Connections::new(config.connections.clone(), config.limits, config.settings.max_retry_after_ms)
-            .map_err(|(key, why)| format!("`connections.{key}`: {why}"))?;
+            .map_err(|(key, reason)| format!("`connections.{key}`: {reason}"))?;
     let mut handed_over_state = takeover.as_ref().and_then(replace::HandedOverState::from_takeover);
     let handed_over = replace::follow(takeover, &connections);
     // The list that the outgoing process had received, including drains, counts as received by this process.
@@ -209,7 +209,7 @@
             let initial = &config.initial_list;
             let revision = (initial.revision > 0 || !initial.members.is_empty()).then_some(initial.revision);
             let catalog = Catalog::new(address, config.follower_settings.clone(), config.seed, revision);
-            let catalog = catalog.map_err(|(key, why)| format!("`sources.catalog.{key}`: {why}"))?;
+            let catalog = catalog.map_err(|(key, reason)| format!("`sources.catalog.{key}`: {reason}"))?;
             catalog.restore_leaving(config.initial_list.clone());
             Some(catalog)
         }
@@ -289,7 +289,7 @@
                 (registry.register.take(), &registry.backend)
             {
                 let etcd = Etcd::new(cluster.clone());
-                let etcd = etcd.map_err(|(key, why)| format!("`sources.registry.{key}`: {why}"))?;
+                let etcd = etcd.map_err(|(key, reason)| format!("`sources.registry.{key}`: {reason}"))?;
                 registration = Some(register_node(etcd, register, config.seed));
             }
             let merged = MergedList::new(
@@ -299,7 +299,7 @@
             )?;
             tokio::task::spawn_local(Rc::clone(&merged).run_timer());
             let status = follow_registry(&merged, registry, config.seed)
-                .map_err(|(key, why)| format!("`sources.registry.{key}`: {why}"))?;
+                .map_err(|(key, reason)| format!("`sources.registry.{key}`: {reason}"))?;
             Some((merged, status))
         }
     };
--- a/crates/spurdrum/src/merge.rs
+++ b/crates/spurdrum/src/merge.rs
@@ -37,7 +37,7 @@
         settings: Settings,
     ) -> Result<Rc<Self>, String> {
         let reconciler = Reconciler::new(settings, SOURCE_NAMES.len(), unix_ms()?);
-        let reconciler = reconciler.map_err(|(key, why)| format!("`sources.merge.{key}`: {why}"))?;
+        let reconciler = reconciler.map_err(|(key, reason)| format!("`sources.merge.{key}`: {reason}"))?;
         Ok(Rc::new(Self {
             node,
             zones_and_kinds,
@@ -51,6 +51,7 @@
         self.update(source, list.complete, list.members, Vec::new());
     }
 
+    /// Feeds changes of a source's servers to the reconciler.
     fn update(&self, source: usize, complete: bool, members: Vec<Member>, gone: Vec<String>) {
         self.handle(Event::Update { source, complete, members, gone });
     }
--- a/crates/spurdrum/src/registry.rs
+++ b/crates/spurdrum/src/registry.rs
@@ -86,7 +86,8 @@
     Consul,
 }
 
-/// Table `[sources.registry]`. Times are in milliseconds.
+/// Table `[sources.registry]`. Times are in milliseconds. [`RegistryTable::to_config`] maps the keys to
+/// [`follower::Settings`] and [`Schema`], where they are explained.
 #[derive(Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RegistryTable {
@@ -153,7 +154,8 @@
     }
 }
 
-/// Table `[sources.merge]`. Times are in milliseconds.
+/// Table `[sources.merge]`. Times are in milliseconds. [`MergeTable::to_settings`] maps the keys to
+/// [`reconciler::Settings`], where they are explained.
 #[derive(Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct MergeTable {
--- a/crates/spurdrum/src/replace.rs
+++ b/crates/spurdrum/src/replace.rs
@@ -66,6 +66,7 @@
 }
 
 impl StateSource {
+    /// Returns the current state, serialized for the handover.
     fn snapshot(&self) -> serde_json::Value {
         let (ids, learned) = self.node.export_learned();
         let names = self.names.borrow();
@@ -137,9 +138,7 @@
     let offer = listener.and_then(|listener| Offer::new(path, identity(name, listen), listener, budget));
     offer
         .inspect_err(|error| {
-            tracing::warn!(
-                "cannot accept takeover requests; replacing this process will interrupt clients: {error}"
-            )
+            tracing::warn!("cannot accept takeover requests, a replacement will interrupt clients: {error}")
         })
         .ok()
 }
