--- a/crates/spurdrum-load/src/firsts.rs
+++ b/crates/spurdrum-load/src/firsts.rs
@@ -1,117 +1,130 @@
-//! Tries put together by the first one of each request. A retry counts toward the request that was first due, and so
-//! does its latency.
+//! Groups attempts by the request that they belong to. A retry counts towards the request whose first attempt it
+//! repeats, and so does its latency.
 
 use std::collections::{BTreeSet, HashMap};
 
 use crate::client::Outcome;
 use crate::Arrival;
 
-/// What became of a request, over all its tries.
+/// Final outcome of a request, over all its attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// Served this many microseconds after its first try was due.
+    /// Served this many microseconds after its first attempt was due.
     Served(u64),
-    /// Its last try was refused.
+    /// The last attempt was refused.
     Refused,
-    /// It failed.
+    /// The last attempt failed.
     Failed,
-    /// Nothing was heard in its time.
+    /// No response arrived before the deadline.
     Lost,
-    /// Its client left early.
+    /// The client left early.
     Left,
-    /// The generator never sent it.
+    /// The generator never sent the request.
     NotSent,
 }
 
-struct Open {
+struct TrackedRequest {
     arrival: Arrival,
-    /// Tries under way.
-    out: u32,
-    /// From when no further try can count.
-    until_us: u64,
+    /// Number of attempts in flight, including a retry that waits for its back-off.
+    in_flight: u32,
+    /// Time of the deadline; a response after it does not count.
+    deadline_us: u64,
     served_us: Option<u64>,
-    last: Option<Outcome>,
+    last_outcome: Option<Outcome>,
 }
 
-/// Requests whose tries may not all be known: as many as are due within a deadline.
+/// Requests for which further attempts may still be made or end: as many as are due within a deadline.
 #[derive(Default)]
 pub struct RequestTracker {
-    open: HashMap<u64, Open>,
-    by_until: BTreeSet<(u64, u64)>,
-    /// Retries whose first try was never seen, or was over long before.
+    requests: HashMap<u64, TrackedRequest>,
+    by_deadline: BTreeSet<(u64, u64)>,
+    /// Number of retries whose first attempt was never seen, or was finalized before the retry was due.
     orphans: u64,
 }
 
 impl RequestTracker {
-    /// Room for so many from the start.
+    /// Creates a tracker with memory reserved for this many requests.
     pub fn with_capacity(requests: usize) -> Self {
-        Self { open: HashMap::with_capacity(requests), ..Self::default() }
+        Self { requests: HashMap::with_capacity(requests), ..Self::default() }
     }
 
-    /// A try is due. Its request's deadline is so long.
-    pub fn begin(&mut self, arrival: Arrival, deadline_us: u64) {
-        let first = arrival.first.unwrap_or(arrival.id);
-        match self.open.get_mut(&first) {
-            Some(open) => open.out += 1,
-            None if arrival.first.is_some() => self.orphans += 1,
+    /// Records that an attempt is due. `timeout_us` is the time from the due time of the request's first attempt to
+    /// its deadline.
+    pub fn attempt_due(&mut self, arrival: Arrival, timeout_us: u64) {
+        let request_id = arrival.retry_of.unwrap_or(arrival.id);
+        match self.requests.get_mut(&request_id) {
+            Some(request) => request.in_flight += 1,
+            None if arrival.retry_of.is_some() => self.orphans += 1,
             None => {
-                let until_us = arrival.due_us + deadline_us;
-                self.open.insert(first, Open { arrival, out: 1, until_us, served_us: None, last: None });
-                self.by_until.insert((until_us, first));
+                let deadline_us = arrival.due_us + timeout_us;
+                self.requests.insert(
+                    request_id,
+                    TrackedRequest {
+                        arrival,
+                        in_flight: 1,
+                        deadline_us,
+                        served_us: None,
+                        last_outcome: None,
+                    },
+                );
+                self.by_deadline.insert((deadline_us, request_id));
             }
         }
     }
 
-    /// A try has ended, so many microseconds after the start. Tells the request and what became of it, where that is
-    /// settled and `retries` says that no further try is on its way.
-    pub fn end(&mut self, arrival: &Arrival, outcome: Outcome, at_us: u64, more: bool) {
-        let Some(open) = self.open.get_mut(&arrival.first.unwrap_or(arrival.id)) else { return };
-        open.out += u32::from(more);
-        open.out = open.out.saturating_sub(1);
+    /// Records that an attempt ended `now_us` microseconds after the start of the run. `will_retry` says that the
+    /// client will make a further attempt, which then counts as in flight without a call of
+    /// [`attempt_due`](Self::attempt_due).
+    pub fn attempt_ended(&mut self, arrival: &Arrival, outcome: Outcome, now_us: u64, will_retry: bool) {
+        let Some(request) = self.requests.get_mut(&arrival.retry_of.unwrap_or(arrival.id)) else { return };
+        request.in_flight += u32::from(will_retry);
+        request.in_flight = request.in_flight.saturating_sub(1);
         if outcome == Outcome::Served {
-            open.served_us = Some(open.served_us.map_or(at_us, |before| before.min(at_us)));
+            request.served_us = Some(request.served_us.map_or(now_us, |earlier| earlier.min(now_us)));
         }
-        open.last = Some(outcome);
+        request.last_outcome = Some(outcome);
     }
 
-    /// Those that are settled by now: no try of them is out, and no further one can count.
-    pub fn settle(&mut self, now_us: u64, mut each: impl FnMut(&Arrival, RequestOutcome)) {
-        let mut waiting = Vec::new();
-        while let Some((until, first)) = self.by_until.first().copied().filter(|(until, _)| *until <= now_us)
+    /// Removes every request whose deadline has passed and that has no attempt in flight, and calls `on_final` with its
+    /// final outcome. With `u64::MAX` as the time, removes all requests, also those with attempts in flight.
+    pub fn finalize(&mut self, now_us: u64, mut on_final: impl FnMut(&Arrival, RequestOutcome)) {
+        let mut in_flight = Vec::new();
+        while let Some((deadline_us, request_id)) =
+            self.by_deadline.first().copied().filter(|(deadline_us, _)| *deadline_us <= now_us)
         {
-            self.by_until.remove(&(until, first));
-            let open = self.open.get(&first).expect("listed");
-            if open.out > 0 && now_us != u64::MAX {
-                waiting.push((until, first));
+            self.by_deadline.remove(&(deadline_us, request_id));
+            let request = self.requests.get(&request_id).expect("listed");
+            if request.in_flight > 0 && now_us != u64::MAX {
+                in_flight.push((deadline_us, request_id));
                 continue;
             }
-            let open = self.open.remove(&first).expect("listed");
-            each(&open.arrival, open.outcome());
+            let request = self.requests.remove(&request_id).expect("listed");
+            on_final(&request.arrival, request.outcome());
         }
-        self.by_until.extend(waiting);
+        self.by_deadline.extend(in_flight);
     }
 
-    /// Requests that are not settled.
+    /// Returns the number of requests that are not finalized.
     pub fn len(&self) -> usize {
-        self.open.len()
+        self.requests.len()
     }
 
-    /// Whether all are settled.
+    /// Returns whether all requests are finalized.
     pub fn is_empty(&self) -> bool {
-        self.open.is_empty()
+        self.requests.is_empty()
     }
 
-    /// Retries that belong to no request that was seen.
+    /// Returns the number of retries that belong to no tracked request.
     pub fn orphans(&self) -> u64 {
         self.orphans
     }
 }
 
-impl Open {
+impl TrackedRequest {
     fn outcome(&self) -> RequestOutcome {
-        let in_time = |at: &u64| *at <= self.until_us;
-        match (self.served_us.filter(in_time), self.last) {
-            (Some(at), _) => RequestOutcome::Served(at.saturating_sub(self.arrival.due_us)),
+        let before_deadline = |served_us: &u64| *served_us <= self.deadline_us;
+        match (self.served_us.filter(before_deadline), self.last_outcome) {
+            (Some(served_us), _) => RequestOutcome::Served(served_us.saturating_sub(self.arrival.due_us)),
             (None, Some(Outcome::Refused { .. })) => RequestOutcome::Refused,
             (None, Some(Outcome::Failed | Outcome::Broken | Outcome::Unreached)) => RequestOutcome::Failed,
             (None, Some(Outcome::Left)) => RequestOutcome::Left,
@@ -125,52 +138,52 @@
 mod tests {
     use super::*;
 
-    fn try_of(id: u64, first: Option<u64>, due_us: u64) -> Arrival {
-        Arrival { due_us, id, first, class: 0, tenant: 0, key: 0, bytes: 0 }
+    fn attempt(id: u64, retry_of: Option<u64>, due_us: u64) -> Arrival {
+        Arrival { due_us, id, retry_of, class: 0, tenant: 0, key: 0, bytes: 0 }
     }
 
-    fn settled(firsts: &mut RequestTracker, now: u64) -> Vec<(u64, RequestOutcome)> {
+    fn finalized(tracker: &mut RequestTracker, now_us: u64) -> Vec<(u64, RequestOutcome)> {
         let mut all = Vec::new();
-        firsts.settle(now, |arrival, outcome| all.push((arrival.id, outcome)));
+        tracker.finalize(now_us, |arrival, outcome| all.push((arrival.id, outcome)));
         all
     }
 
     #[test]
-    fn a_retry_that_is_served_counts_from_the_first_try() {
-        let mut firsts = RequestTracker::default();
-        let (one, two) = (try_of(1, None, 1000), try_of(2, Some(1), 300_000));
-        firsts.begin(one, 800_000);
-        firsts.end(&one, Outcome::Refused { retry_after: None }, 5000, false);
-        assert_eq!(settled(&mut firsts, 700_000), []);
-        firsts.begin(two, 800_000);
-        firsts.end(&two, Outcome::Served, 350_000, false);
-        assert_eq!(settled(&mut firsts, 801_000), [(1, RequestOutcome::Served(349_000))]);
-        assert!(firsts.is_empty());
+    fn latency_of_a_served_retry_counts_from_the_first_attempt() {
+        let mut tracker = RequestTracker::default();
+        let (first, retry) = (attempt(1, None, 1000), attempt(2, Some(1), 300_000));
+        tracker.attempt_due(first, 800_000);
+        tracker.attempt_ended(&first, Outcome::Refused { retry_after: None }, 5000, false);
+        assert_eq!(finalized(&mut tracker, 700_000), []);
+        tracker.attempt_due(retry, 800_000);
+        tracker.attempt_ended(&retry, Outcome::Served, 350_000, false);
+        assert_eq!(finalized(&mut tracker, 801_000), [(1, RequestOutcome::Served(349_000))]);
+        assert!(tracker.is_empty());
     }
 
     #[test]
-    fn a_retry_that_is_served_after_the_first_tries_deadline_does_not_count() {
-        let mut firsts = RequestTracker::default();
-        let (one, two) = (try_of(1, None, 0), try_of(2, Some(1), 700_000));
-        firsts.begin(one, 800_000);
-        firsts.end(&one, Outcome::Failed, 10, false);
-        firsts.begin(two, 800_000);
-        assert_eq!(settled(&mut firsts, 800_001), [], "a try is still out");
-        firsts.end(&two, Outcome::Served, 900_000, false);
-        assert_eq!(settled(&mut firsts, 900_000), [(1, RequestOutcome::Lost)]);
-        let late = try_of(3, Some(1), 950_000);
-        firsts.begin(late, 800_000);
-        assert_eq!((firsts.orphans(), firsts.len()), (1, 0));
+    fn a_retry_served_after_the_deadline_of_the_first_attempt_does_not_count() {
+        let mut tracker = RequestTracker::default();
+        let (first, retry) = (attempt(1, None, 0), attempt(2, Some(1), 700_000));
+        tracker.attempt_due(first, 800_000);
+        tracker.attempt_ended(&first, Outcome::Failed, 10, false);
+        tracker.attempt_due(retry, 800_000);
+        assert_eq!(finalized(&mut tracker, 800_001), [], "an attempt is still in flight");
+        tracker.attempt_ended(&retry, Outcome::Served, 900_000, false);
+        assert_eq!(finalized(&mut tracker, 900_000), [(1, RequestOutcome::Lost)]);
+        let late_retry = attempt(3, Some(1), 950_000);
+        tracker.attempt_due(late_retry, 800_000);
+        assert_eq!((tracker.orphans(), tracker.len()), (1, 0));
     }
 
     #[test]
-    fn the_end_settles_all() {
-        let mut firsts = RequestTracker::default();
+    fn the_end_of_the_run_finalizes_all_requests() {
+        let mut tracker = RequestTracker::default();
         for id in 1..100 {
-            firsts.begin(try_of(id, None, id), 800_000);
+            tracker.attempt_due(attempt(id, None, id), 800_000);
         }
-        firsts.end(&try_of(50, None, 50), Outcome::NotSent, 60, false);
-        let all = settled(&mut firsts, u64::MAX);
+        tracker.attempt_ended(&attempt(50, None, 50), Outcome::NotSent, 60, false);
+        let all = finalized(&mut tracker, u64::MAX);
         assert_eq!(all.len(), 99);
         assert_eq!(all.iter().filter(|(_, outcome)| *outcome == RequestOutcome::NotSent).count(), 1);
     }
--- a/crates/spurdrum-load/src/lib.rs
+++ b/crates/spurdrum-load/src/lib.rs
@@ -1,20 +1,21 @@
 //! An open-loop load generator.
 //!
-//! Requests are due at times that a plan or a trace sets, whatever happens to earlier ones, and a latency counts from
-//! the moment that its request was due. A generator that waits for an answer before it sends the next request
-//! slows down with the server and never measures the wait of those that would have come meanwhile; this one
-//! doesn't. How late requests were really sent is measured apart, so that a report shows when the generator itself was
-//! the bottleneck.
+//! A plan or a trace determines when each request is due, regardless of how earlier requests went, and latency is
+//! measured from the moment a request was due. A closed-loop generator, which waits for a response before it sends the
+//! next request, slows down together with the server and never measures how long the requests that should have been
+//! sent in the meantime would have waited (coordinated omission); an open-loop generator does measure them. How late
+//! requests were actually sent is recorded separately, so that a report shows when the generator itself was the
+//! bottleneck.
 //!
-//! - [`plan`]: what is asked for, from a TOML file
-//! - [`schedule`]: when requests are due and what they are, from a plan and a seed, with no clock
+//! - [`plan`]: the load to generate, from a TOML file
+//! - [`schedule`]: when requests are due and what they contain, from a plan and a seed, without a clock
 //! - [`trace`]: the same from a recorded file, read as a stream
-//! - [`client`]: whether a client tries again, and when
-//! - [`firsts`]: tries put together by the first one of each request
-//! - [`run`]: the engine that sends
-//! - [`report`]: figures, requirements, JSON and histogram log
-//! - [`transport`]: connections to a target, as clients keep them
-//! - [`html`]: the report as one page
+//! - [`client`]: whether and when a client retries
+//! - [`firsts`]: groups the attempts of each request
+//! - [`run`]: the engine that sends requests
+//! - [`report`]: statistics, requirements, JSON and histogram log
+//! - [`transport`]: connections to a target, pooled as clients do
+//! - [`html`]: the report as a single HTML page
 
 pub mod client;
 pub mod firsts;
@@ -27,21 +28,21 @@
 pub mod trace;
 pub mod transport;
 
-/// Due, and then sent at its time: one try of a request.
+/// One attempt of a request that the schedule, a trace or a client's retry makes due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Arrival {
-    /// Microseconds from the start of the run.
+    /// When the attempt is due, in microseconds from the start of the run.
     pub due_us: u64,
-    /// Its number; no two are the same.
+    /// Unique id of this attempt.
     pub id: u64,
-    /// Where it is a retry, the number of the first try.
-    pub first: Option<u64>,
-    /// Index of its class in the plan.
+    /// For a retry, the id of the request's first attempt.
+    pub retry_of: Option<u64>,
+    /// Index of the request's class in the plan.
     pub class: u16,
-    /// Index of its tenant in the plan.
+    /// Index of the request's tenant in the plan.
     pub tenant: u16,
-    /// What it is about.
+    /// Number of the key that the request asks for.
     pub key: u64,
-    /// Length of its body.
+    /// Length of the body in bytes.
     pub bytes: u32,
 }
--- a/crates/spurdrum-load/src/report.rs
+++ b/crates/spurdrum-load/src/report.rs
@@ -222,8 +222,8 @@
     }
 
     /// A try is due.
-    pub fn due(&mut self, arrival: &Arrival) {
-        if arrival.first.is_none() {
+    pub fn record_due(&mut self, arrival: &Arrival) {
+        if arrival.retry_of.is_none() {
             self.due += 1;
             self.bin(arrival.due_us).due += 1;
         } else {
@@ -232,24 +232,24 @@
     }
 
     /// A try of a client's own is due again.
-    pub fn retried(&mut self) {
+    pub fn record_retry(&mut self) {
         self.retries += 1;
     }
 
     /// A try is begun so long after it was due.
-    pub fn sent(&mut self, lag: Duration) {
+    pub fn record_sent(&mut self, lag: Duration) {
         self.tries += 1;
         self.lag.saturating_record(lag.as_micros() as u64);
     }
 
     /// A try has ended.
-    pub fn tried(&mut self, outcome: Outcome) {
+    pub fn record_attempt_ended(&mut self, outcome: Outcome) {
         self.unreached += u64::from(outcome == Outcome::Unreached);
         self.gave_up += u64::from(outcome == Outcome::GaveUp);
     }
 
     /// A request is settled.
-    pub fn settled(&mut self, arrival: &Arrival, outcome: RequestOutcome) {
+    pub fn record_final(&mut self, arrival: &Arrival, outcome: RequestOutcome) {
         let aim = self.aims_us[usize::from(arrival.class)];
         self.all.note(outcome, aim);
         self.classes[usize::from(arrival.class)].note(outcome, aim);
@@ -266,7 +266,7 @@
     }
 
     /// A line on how things stand.
-    pub fn line(&self, second: u64, in_flight: usize) -> String {
+    pub fn progress_line(&self, second: u64, in_flight: usize) -> String {
         let q = Quantiles::of(&self.all.latency);
         let lag = self.lag.value_at_quantile(0.99) as f64 / 1000.0;
         let done = &self.all.counts;
@@ -516,10 +516,10 @@
         for (n, us) in latencies_us.iter().enumerate() {
             let due_us = n as u64 * 10_000;
             let arrival =
-                Arrival { due_us, id: n as u64, first: None, class: 0, tenant: 0, key: 0, bytes: 0 };
-            recorder.due(&arrival);
-            recorder.sent(Duration::from_micros(50));
-            recorder.settled(
+                Arrival { due_us, id: n as u64, retry_of: None, class: 0, tenant: 0, key: 0, bytes: 0 };
+            recorder.record_due(&arrival);
+            recorder.record_sent(Duration::from_micros(50));
+            recorder.record_final(
                 &arrival,
                 if *us > 800_000 { RequestOutcome::Lost } else { RequestOutcome::Served(*us) },
             );
--- a/crates/spurdrum-load/src/run.rs
+++ b/crates/spurdrum-load/src/run.rs
@@ -1,4 +1,5 @@
-//! The engine: a thread that keeps the schedule's time, and event loops that send, each in a thread of its own.
+//! The engine: one thread that releases requests when they are due (the pacer), and event loops that send them, each in
+//! a thread of its own.
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -23,41 +24,44 @@
 use crate::transport::Pool;
 use crate::Arrival;
 
-/// Requests that are due and that the event loop has not taken yet.
-const WAITING_MOST: usize = 65_536;
-/// How often requests are settled: few at a time, as those that are due meanwhile wait.
-const SETTLE: Duration = Duration::from_millis(10);
-/// Room is made beforehand for so many requests that are not settled. Guards against sends that wait for a table to grow.
-const ROOM_MOST: f64 = 1e6;
-/// The thread that keeps time looks this often whether the run is to end.
-const LOOK: Duration = Duration::from_millis(50);
+/// Maximum number of requests that are due and that the event loops have not taken yet.
+const MAX_QUEUED: usize = 65_536;
+/// Interval at which requests are finalized. It is short, so that few are finalized at a time: requests that become due
+/// in the meantime have to wait.
+const FINALIZE_INTERVAL: Duration = Duration::from_millis(10);
+/// Upper limit on the number of unfinalized requests for which memory is reserved at the start. Without the reservation,
+/// sends would be delayed while the table of requests grows.
+const MAX_RESERVED_REQUESTS: f64 = 1e6;
+/// Interval at which the pacer thread and the progress output check whether the run is to end.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What a run needs beside its plan.
+/// Options of a run that are not part of its plan.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Where the target listens.
+    /// Address on which the target listens.
     pub target: SocketAddr,
-    /// Drives what clients do.
+    /// Seed of the clients' random choices.
     pub seed: u64,
-    /// Instead of a schedule, so many clients that wait for each answer before they ask again; for as long.
-    /// Its latencies hide what a stalled target does to those that would have come: it is here to show that.
+    /// Closed loop: instead of a schedule, this many clients, each of which waits for a response before it sends its
+    /// next request, for this long. Its latencies hide what a stalled target does to the requests that would have been
+    /// sent in the meantime; the mode exists to demonstrate that.
     pub closed: Option<(usize, Duration)>,
-    /// The run is cut off after so long.
+    /// The run is stopped after this time.
     pub max_duration: Duration,
-    /// Event loops that send; what clients hold (connections, requests under way) is dealt out among them.
+    /// Number of event loops that send. The limits on connections and on attempts in flight are divided among them.
     pub threads: usize,
 }
 
-/// The requests that are due, in their order. An error ends the run.
+/// The attempts to send, in the order in which they are due. An error ends the run.
 pub type Arrivals = Box<dyn Iterator<Item = Result<Arrival, String>> + Send>;
 
-/// What all event loops share.
+/// State shared by all event loops.
 struct Shared {
     plan: Plan,
     options: Options,
     start: Instant,
     recorder: Mutex<Recorder>,
-    /// The run is to end.
+    /// Whether the run is to end early.
     stopped: AtomicBool,
     in_flight: AtomicUsize,
     connections: AtomicU64,
@@ -70,25 +74,25 @@
     }
 }
 
-/// One event loop.
+/// State of one event loop.
 struct Context {
     shared: Arc<Shared>,
     pool: Pool,
-    firsts: RefCell<RequestTracker>,
+    tracker: RefCell<RequestTracker>,
     rng: RefCell<fastrand::Rng>,
     in_flight: Cell<usize>,
-    in_flight_most: usize,
+    max_in_flight: usize,
     next_id: Cell<u64>,
 }
 
-/// Runs until the schedule is over and every request settled, or `stop` is done. `live` is told the figures of each
-/// second.
+/// Runs until the schedule has ended and every request is finalized, or until `stop` completes. Calls `on_progress`
+/// with a line of statistics once a second.
 pub fn run(
     plan: &Plan,
     arrivals: Arrivals,
     options: &Options,
     stop: impl Future<Output = ()>,
-    mut live: impl FnMut(&str),
+    mut on_progress: impl FnMut(&str),
 ) -> Result<Report, String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|error| format!("cannot start the event loop: {error}"))?;
@@ -103,48 +107,50 @@
         connections: AtomicU64::new(0),
         orphans: AtomicU64::new(0),
     });
-    let (mut given, mut loops) = (Vec::new(), Vec::new());
-    for n in 0..threads {
-        let (due, dues) = mpsc::channel(WAITING_MOST / threads);
+    let (mut queues, mut loops) = (Vec::new(), Vec::new());
+    for index in 0..threads {
+        let (sender, receiver) = mpsc::channel(MAX_QUEUED / threads);
         let shared = Arc::clone(&shared);
-        given.push(due);
-        loops.push(std::thread::spawn(move || send(shared, n, threads, dues)));
+        queues.push(sender);
+        loops.push(std::thread::spawn(move || run_event_loop(shared, index, threads, receiver)));
     }
     let pacer = match options.closed {
         Some(_) => None,
         None => {
             let shared = Arc::clone(&shared);
-            Some(std::thread::spawn(move || pace(&shared, arrivals, &given)))
+            Some(std::thread::spawn(move || pace(&shared, arrivals, &queues)))
         }
     };
     runtime.block_on(async {
         let mut stop = pin!(stop);
-        let mut look = interval(LOOK);
-        look.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let (mut second, mut stops) = (0, false);
+        let mut check = interval(STOP_CHECK_INTERVAL);
+        check.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let (mut second, mut stop_requested) = (0, false);
         while !loops.iter().all(std::thread::JoinHandle::is_finished) {
             tokio::select! {
                 biased;
-                () = &mut stop, if !stops => {
-                    stops = true;
+                () = &mut stop, if !stop_requested => {
+                    stop_requested = true;
                     shared.stopped.store(true, Ordering::Relaxed);
                 }
-                _ = look.tick() => {}
+                _ = check.tick() => {}
             }
             let now = shared.start.elapsed().as_secs();
             if now > second {
                 second = now;
-                live(&shared.recorder().line(second, shared.in_flight.load(Ordering::Relaxed)));
+                on_progress(
+                    &shared.recorder().progress_line(second, shared.in_flight.load(Ordering::Relaxed)),
+                );
             }
         }
     });
-    for sender in loops {
-        sender.join().unwrap_or_else(|_| Err("an event loop died".into()))?;
+    for event_loop in loops {
+        event_loop.join().unwrap_or_else(|_| Err("an event loop panicked".into()))?;
     }
-    let (paced, error) =
-        pacer.map_or((0, None), |pacer| pacer.join().unwrap_or((0, Some("the pacer died".into()))));
-    if let Some(why) = error {
-        return Err(why);
+    let (paced, error) = pacer
+        .map_or((0, None), |pacer| pacer.join().unwrap_or((0, Some("the pacer thread panicked".into()))));
+    if let Some(error) = error {
+        return Err(error);
     }
     let (connections, orphans) =
         (shared.connections.load(Ordering::Relaxed), shared.orphans.load(Ordering::Relaxed));
@@ -152,95 +158,102 @@
     Ok(report)
 }
 
-/// The `n`th event loop of so many: sends what is given to it until there is no more, and waits for the answers.
-fn send(
+/// Runs the event loop with this index, of `threads` in total: sends the attempts that arrive on its queue until the
+/// queue is closed, then waits for the responses.
+fn run_event_loop(
     shared: Arc<Shared>,
-    n: usize,
+    index: usize,
     threads: usize,
-    mut dues: mpsc::Receiver<Arrival>,
+    mut queue: mpsc::Receiver<Arrival>,
 ) -> Result<(), String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|error| format!("cannot start an event loop: {error}"))?;
-    // The first loops take what does not divide evenly.
-    let share = |all: usize| all / threads + usize::from(n < all % threads);
+    // The first loops get the remainder of the division.
+    let share = |total: usize| total / threads + usize::from(index < total % threads);
     let clients = &shared.plan.clients;
-    let longest = shared.plan.classes.iter().map(|class| class.deadline_s).fold(0.0, f64::max);
-    let rates = |phase: &Phase| phase.rates.iter().copied().fold(phase.rate, f64::max);
-    let room = 1.5 * longest * shared.plan.phases.iter().map(rates).fold(0.0, f64::max);
+    let max_deadline_s = shared.plan.classes.iter().map(|class| class.deadline_s).fold(0.0, f64::max);
+    let max_rate = |phase: &Phase| phase.rates.iter().copied().fold(phase.rate, f64::max);
+    let expected_requests =
+        1.5 * max_deadline_s * shared.plan.phases.iter().map(max_rate).fold(0.0, f64::max);
     let context = Rc::new(Context {
         pool: Pool::new(shared.options.target, share(clients.connections).max(1)),
-        firsts: RefCell::new(RequestTracker::with_capacity((room.min(ROOM_MOST) / threads as f64) as usize)),
-        rng: RefCell::new(fastrand::Rng::with_seed(shared.options.seed ^ 0x5bd1_e995 ^ ((n as u64) << 32))),
+        tracker: RefCell::new(RequestTracker::with_capacity(
+            (expected_requests.min(MAX_RESERVED_REQUESTS) / threads as f64) as usize,
+        )),
+        rng: RefCell::new(fastrand::Rng::with_seed(
+            shared.options.seed ^ 0x5bd1_e995 ^ ((index as u64) << 32),
+        )),
         in_flight: Cell::new(0),
-        in_flight_most: share(clients.in_flight).max(1),
-        // Retries get numbers of their own, far from any schedule's, and from those of the other loops.
-        next_id: Cell::new((1 << 62) + ((n as u64) << 48)),
+        max_in_flight: share(clients.in_flight).max(1),
+        // Ids of retries are far from those of any schedule, and from those of the other loops.
+        next_id: Cell::new((1 << 62) + ((index as u64) << 48)),
         shared: Arc::clone(&shared),
     });
     LocalSet::new().block_on(&runtime, async {
-        let mut settle = interval(SETTLE);
-        settle.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let workers = shared.options.closed.map(|(clients, time)| {
-            let run =
-                (0..share(clients)).map(|_| tokio::task::spawn_local(closed(Rc::clone(&context), time)));
-            run.collect::<Vec<_>>()
+        let mut finalize = interval(FINALIZE_INTERVAL);
+        finalize.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let workers = shared.options.closed.map(|(clients, duration)| {
+            let tasks = (0..share(clients))
+                .map(|_| tokio::task::spawn_local(closed_loop_client(Rc::clone(&context), duration)));
+            tasks.collect::<Vec<_>>()
         });
         loop {
-            let over = workers.as_ref().is_some_and(|all| all.iter().all(|worker| worker.is_finished()));
-            let most = shared.start.elapsed() > shared.options.max_duration;
-            if most || over || shared.stopped.load(Ordering::Relaxed) {
+            let finished = workers.as_ref().is_some_and(|all| all.iter().all(|worker| worker.is_finished()));
+            let timed_out = shared.start.elapsed() > shared.options.max_duration;
+            if timed_out || finished || shared.stopped.load(Ordering::Relaxed) {
                 break;
             }
             tokio::select! {
                 biased;
-                _ = settle.tick() => context.settle(context.now_us()),
-                next = dues.recv(), if workers.is_none() => match next {
-                    Some(arrival) => context.take(arrival),
+                _ = finalize.tick() => context.finalize(context.now_us()),
+                next = queue.recv(), if workers.is_none() => match next {
+                    Some(arrival) => context.start_request(arrival),
                     None => break,
                 },
             }
         }
-        dues.close();
-        // Those that are under way have until their deadline.
-        let end = Instant::now() + Duration::from_secs_f64(longest) + SETTLE;
+        queue.close();
+        // Requests in flight may still be answered until their deadlines.
+        let end = Instant::now() + Duration::from_secs_f64(max_deadline_s) + FINALIZE_INTERVAL;
         while context.in_flight.get() > 0 && Instant::now() < end {
-            settle.tick().await;
-            context.settle(context.now_us());
+            finalize.tick().await;
+            context.finalize(context.now_us());
         }
-        context.settle(u64::MAX);
+        context.finalize(u64::MAX);
     });
     shared.connections.fetch_add(context.pool.connections_opened.get(), Ordering::Relaxed);
-    shared.orphans.fetch_add(context.firsts.borrow().orphans(), Ordering::Relaxed);
+    shared.orphans.fetch_add(context.tracker.borrow().orphans(), Ordering::Relaxed);
     Ok(())
 }
 
-/// Gives out requests when they are due. Sleeps in a thread of its own: an event loop that is busy, or whose timers are
-/// coarse, would be late for all.
-fn pace(shared: &Shared, arrivals: Arrivals, given: &[mpsc::Sender<Arrival>]) -> (u64, Option<String>) {
+/// Passes each attempt to the queue of an event loop when it is due, and returns how many it passed and the error that
+/// ended the arrivals, if any. It sleeps in a thread of its own: an event loop that is busy or has coarse timers would
+/// release every attempt late.
+fn pace(shared: &Shared, arrivals: Arrivals, queues: &[mpsc::Sender<Arrival>]) -> (u64, Option<String>) {
     let mut count = 0;
     for arrival in arrivals {
         let arrival = match arrival {
             Ok(arrival) => arrival,
-            Err(why) => return (count, Some(why)),
+            Err(error) => return (count, Some(error)),
         };
-        let at = Duration::from_micros(arrival.due_us);
-        if at > shared.options.max_duration {
+        let due = Duration::from_micros(arrival.due_us);
+        if due > shared.options.max_duration {
             break;
         }
         loop {
-            let left = at.saturating_sub(shared.start.elapsed());
-            if left.is_zero() {
+            let remaining = due.saturating_sub(shared.start.elapsed());
+            if remaining.is_zero() {
                 break;
             }
-            std::thread::sleep(left.min(LOOK));
+            std::thread::sleep(remaining.min(STOP_CHECK_INTERVAL));
             if shared.stopped.load(Ordering::Relaxed) {
                 return (count, None);
             }
         }
-        // A retry goes where its first try went: there it is counted.
-        let to = &given[(arrival.first.unwrap_or(arrival.id) % given.len() as u64) as usize];
-        // It waits where the event loop is behind: that shows as lag, and nothing is left out.
-        if to.blocking_send(arrival).is_err() {
+        // A retry goes to the event loop of its first attempt, which tracks the request.
+        let queue = &queues[(arrival.retry_of.unwrap_or(arrival.id) % queues.len() as u64) as usize];
+        // Blocks while the event loop is behind: the delay shows up as lag, and no attempt is dropped.
+        if queue.blocking_send(arrival).is_err() {
             break;
         }
         count += 1;
@@ -248,9 +261,9 @@
     (count, None)
 }
 
-/// A client that asks again when it has been answered.
-async fn closed(context: Rc<Context>, time: Duration) {
-    while context.shared.start.elapsed() < time {
+/// A client of a closed loop: sends its next request when the previous one has ended.
+async fn closed_loop_client(context: Rc<Context>, duration: Duration) {
+    while context.shared.start.elapsed() < duration {
         let id = context.new_id();
         let (class, tenant) = {
             let mut rng = context.rng.borrow_mut();
@@ -261,15 +274,15 @@
         let arrival = Arrival {
             due_us: context.now_us(),
             id,
-            first: None,
+            retry_of: None,
             class: class as u16,
             tenant: tenant as u16,
             key: id,
             bytes,
         };
-        context.begin(&arrival);
-        context.goes_out();
-        Rc::clone(&context).one(arrival).await;
+        context.record_due(&arrival);
+        context.increment_in_flight();
+        Rc::clone(&context).run_request(arrival).await;
     }
 }
 
@@ -283,92 +296,96 @@
         self.next_id.get()
     }
 
-    fn goes_out(&self) {
+    fn increment_in_flight(&self) {
         self.in_flight.set(self.in_flight.get() + 1);
         self.shared.in_flight.fetch_add(1, Ordering::Relaxed);
     }
 
-    fn settle(&self, now_us: u64) {
+    fn finalize(&self, now_us: u64) {
         let mut recorder = self.shared.recorder();
-        self.firsts.borrow_mut().settle(now_us, |arrival, outcome| recorder.settled(arrival, outcome));
+        self.tracker
+            .borrow_mut()
+            .finalize(now_us, |arrival, outcome| recorder.record_final(arrival, outcome));
     }
 
-    fn begin(&self, arrival: &Arrival) {
+    fn record_due(&self, arrival: &Arrival) {
         let deadline = self.shared.plan.classes[usize::from(arrival.class)].deadline_s;
-        self.firsts.borrow_mut().begin(*arrival, (deadline * 1e6) as u64);
-        self.shared.recorder().due(arrival);
+        self.tracker.borrow_mut().attempt_due(*arrival, (deadline * 1e6) as u64);
+        self.shared.recorder().record_due(arrival);
     }
 
-    fn take(self: &Rc<Self>, arrival: Arrival) {
-        self.begin(&arrival);
-        if self.in_flight.get() >= self.in_flight_most {
-            self.end(&arrival, Outcome::NotSent, false);
+    /// Starts the task of a request, or records the request as not sent where too many are in flight.
+    fn start_request(self: &Rc<Self>, arrival: Arrival) {
+        self.record_due(&arrival);
+        if self.in_flight.get() >= self.max_in_flight {
+            self.record_attempt_ended(&arrival, Outcome::NotSent, false);
             return;
         }
-        // Counted before its task first runs: the end of a run waits for all that are under way.
-        self.goes_out();
-        tokio::task::spawn_local(Rc::clone(self).one(arrival));
+        // Counted before the task first runs, because the end of a run waits for all requests in flight.
+        self.increment_in_flight();
+        tokio::task::spawn_local(Rc::clone(self).run_request(arrival));
     }
 
-    fn end(&self, arrival: &Arrival, outcome: Outcome, more: bool) {
-        let at = self.now_us();
-        self.shared.recorder().tried(outcome);
-        self.firsts.borrow_mut().end(arrival, outcome, at, more);
+    fn record_attempt_ended(&self, arrival: &Arrival, outcome: Outcome, will_retry: bool) {
+        let now_us = self.now_us();
+        self.shared.recorder().record_attempt_ended(outcome);
+        self.tracker.borrow_mut().attempt_ended(arrival, outcome, now_us, will_retry);
     }
 
-    /// One request, from its first try to the last. It is counted as under way by now.
-    async fn one(self: Rc<Self>, first: Arrival) {
+    /// Sends a request and its retries. The caller has counted the request as in flight.
+    async fn run_request(self: Rc<Self>, first: Arrival) {
         let class = &self.shared.plan.classes[usize::from(first.class)];
         let deadline = self.shared.start
             + Duration::from_micros(first.due_us)
             + Duration::from_secs_f64(class.deadline_s);
-        let (mut arrival, mut due, mut tries) = (first, Duration::from_micros(first.due_us), 0);
+        let (mut arrival, mut due, mut attempts) = (first, Duration::from_micros(first.due_us), 0);
         loop {
-            tries += 1;
+            attempts += 1;
             let lag = self.shared.start.elapsed().saturating_sub(due);
-            self.shared.recorder().sent(lag);
-            let outcome = self.attempt(&arrival, deadline, tries > 1 || first.first.is_some()).await;
-            let left = deadline.saturating_duration_since(Instant::now());
+            self.shared.recorder().record_sent(lag);
+            let outcome = self.attempt(&arrival, deadline, attempts > 1 || first.retry_of.is_some()).await;
+            let remaining = deadline.saturating_duration_since(Instant::now());
             let draw = self.rng.borrow_mut().f64();
-            let wait = retry_delay(&self.shared.plan.clients, outcome, tries, left, draw);
-            self.end(&arrival, outcome, wait.is_some());
-            let Some(wait) = wait else { break };
-            due = self.shared.start.elapsed() + wait;
-            if !wait.is_zero() {
-                sleep(wait).await;
+            let delay = retry_delay(&self.shared.plan.clients, outcome, attempts, remaining, draw);
+            self.record_attempt_ended(&arrival, outcome, delay.is_some());
+            let Some(delay) = delay else { break };
+            due = self.shared.start.elapsed() + delay;
+            if !delay.is_zero() {
+                sleep(delay).await;
             }
-            arrival = Arrival { id: self.new_id(), first: Some(first.first.unwrap_or(first.id)), ..first };
-            self.shared.recorder().retried();
+            arrival =
+                Arrival { id: self.new_id(), retry_of: Some(first.retry_of.unwrap_or(first.id)), ..first };
+            self.shared.recorder().record_retry();
         }
         self.in_flight.set(self.in_flight.get() - 1);
         self.shared.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// One try, for as long as its client waits.
-    async fn attempt(&self, arrival: &Arrival, deadline: Instant, repeat: bool) -> Outcome {
+    /// Makes one attempt, which ends at the latest when its client gives up or leaves.
+    async fn attempt(&self, arrival: &Arrival, deadline: Instant, is_retry: bool) -> Outcome {
         let clients = &self.shared.plan.clients;
         let class = &self.shared.plan.classes[usize::from(arrival.class)];
-        let (give_up, leaves, leave_at, keep) = {
+        let (give_up, leaves, leave_at, keep_alive) = {
             let mut rng = self.rng.borrow_mut();
-            let (least, most) = clients.give_up;
-            let give_up = least + (most - least) * rng.f64();
+            let (min, max) = clients.give_up;
+            let give_up = min + (max - min) * rng.f64();
             (give_up, rng.f64() < clients.leave, rng.f64(), rng.f64() < clients.keep)
         };
-        let left = deadline.saturating_duration_since(Instant::now());
-        let patience = Duration::from_secs_f64(class.deadline_s * give_up).min(left);
-        let request = self.request(arrival, patience, repeat);
-        let (limit, at_limit) = match leaves {
-            true => (patience.mul_f64(leave_at), Outcome::Left),
-            false => (patience, Outcome::GaveUp),
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        let attempt_timeout = Duration::from_secs_f64(class.deadline_s * give_up).min(remaining);
+        let request = self.request(arrival, attempt_timeout, is_retry);
+        let (limit, outcome_at_limit) = match leaves {
+            true => (attempt_timeout.mul_f64(leave_at), Outcome::Left),
+            false => (attempt_timeout, Outcome::GaveUp),
         };
-        timeout(limit, self.pool.send(request, keep)).await.unwrap_or(at_limit)
+        timeout(limit, self.pool.send(request, keep_alive)).await.unwrap_or(outcome_at_limit)
     }
 
-    fn request(&self, arrival: &Arrival, patience: Duration, repeat: bool) -> Request<Full<Bytes>> {
+    fn request(&self, arrival: &Arrival, attempt_timeout: Duration, is_retry: bool) -> Request<Full<Bytes>> {
         let class = &self.shared.plan.classes[usize::from(arrival.class)];
         let body = match class.effect {
             Effect::Safe => Bytes::new(),
-            // The same bytes for all: only their number matters.
+            // The content is the same for all requests: only its length matters.
             Effect::Keyed | Effect::Unsafe => Bytes::from(vec![b'x'; arrival.bytes as usize]),
         };
         let method = if class.effect == Effect::Safe { Method::GET } else { Method::POST };
@@ -378,15 +395,15 @@
             .header("host", "origin.svc")
             .header("x-request-id", format!("{:x}", arrival.id))
             .header("x-class", &class.name)
-            .header("x-deadline", format!("{:.3}", patience.as_secs_f64().max(0.001)));
+            .header("x-deadline", format!("{:.3}", attempt_timeout.as_secs_f64().max(0.001)));
         if let Some(tenant) = self.shared.plan.tenants.get(usize::from(arrival.tenant)) {
             request = request.header("x-tenant", &tenant.name);
         }
         if class.effect == Effect::Keyed {
-            let first = arrival.first.unwrap_or(arrival.id);
-            request = request.header("idempotency-key", format!("{first:032x}"));
+            let first_id = arrival.retry_of.unwrap_or(arrival.id);
+            request = request.header("idempotency-key", format!("{first_id:032x}"));
         }
-        if repeat && self.shared.plan.clients.marks_retry {
+        if is_retry && self.shared.plan.clients.marks_retry {
             request = request.header("x-retry", "1");
         }
         request.body(Full::new(body)).expect("names are checked as header values")
--- a/crates/spurdrum-load/src/schedule.rs
+++ b/crates/spurdrum-load/src/schedule.rs
@@ -63,7 +63,7 @@
         let tenant = pick(&self.tenants, self.rng.f64());
         let (least, most) = self.bytes[usize::from(class)];
         let bytes = self.rng.u32(least..=most);
-        Arrival { due_us, id, first: None, class, tenant, key: self.keys.draw(self.rng.f64()), bytes }
+        Arrival { due_us, id, retry_of: None, class, tenant, key: self.keys.draw(self.rng.f64()), bytes }
     }
 }
 
--- a/crates/spurdrum-load/src/trace.rs
+++ b/crates/spurdrum-load/src/trace.rs
@@ -66,7 +66,7 @@
         };
         let due = number(field("due_us"), "due_us")?;
         let id = number(field("id"), "id")?;
-        let first = match field("first").map_err(wrong)? {
+        let retry_of = match field("first").map_err(wrong)? {
             "-" => None,
             text => Some(number(Ok(text), "first")?),
         };
@@ -82,7 +82,7 @@
         if fields.next().is_some() {
             return Err("has too many fields".into());
         }
-        if first == Some(id) {
+        if retry_of == Some(id) {
             return Err("`first` is its own id".into());
         }
         let due_us = (due as f64 * self.stretch) as u64;
@@ -90,7 +90,7 @@
             return Err("`due_us` runs backwards".into());
         }
         self.last_due = due_us;
-        Ok(Arrival { due_us, id, first, class, tenant, key, bytes })
+        Ok(Arrival { due_us, id, retry_of, class, tenant, key, bytes })
     }
 }
 
@@ -148,7 +148,7 @@
 
     /// Writes one try.
     pub fn write(&mut self, a: &Arrival) -> std::io::Result<()> {
-        let first = a.first.map_or_else(|| "-".to_owned(), |first| first.to_string());
+        let first = a.retry_of.map_or_else(|| "-".to_owned(), |first| first.to_string());
         let class = &self.classes[usize::from(a.class)];
         let tenant = self.tenants.get(usize::from(a.tenant)).map_or("-", String::as_str);
         writeln!(self.to, "{}\t{}\t{first}\t{class}\t{tenant}\t{}\t{}", a.due_us, a.id, a.key, a.bytes)
