--- a/crates/spurdrum-load/src/html.rs
+++ b/crates/spurdrum-load/src/html.rs
@@ -1,4 +1,4 @@
-//! The report as one page that needs nothing else.
+//! Renders the report as a single self-contained HTML page.
 
 use plotters::prelude::*;
 
@@ -6,7 +6,7 @@
 
 const SIZE: (u32, u32) = (880, 260);
 
-/// A line of a chart: its name, its color, its points.
+/// A line of a chart.
 struct Line<'a> {
     name: &'a str,
     color: RGBColor,
@@ -18,7 +18,7 @@
 const RED: RGBColor = RGBColor(204, 51, 51);
 const GREY: RGBColor = RGBColor(136, 136, 136);
 
-/// The page.
+/// Returns the HTML page of a report.
 pub fn page(report: &Report) -> String {
     let mut text = String::from(
         "<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>Load report</title><style>\
@@ -29,7 +29,7 @@
     text.push_str(&escape(&report.table()));
     text.push_str("</pre>");
     let quantiles = (0..=200).map(|n| {
-        // Evenly in the number of nines.
+        // The x axis is linear in the number of nines of the percentile: 90 %, 99 %, 99.9 % and so on.
         let nines = f64::from(n) / 200.0 * 5.0;
         (nines, report.latency.value_at_quantile(1.0 - 10_f64.powf(-nines)) as f64 / 1000.0)
     });
@@ -37,8 +37,8 @@
     chart(&mut text, "Latency by percentile (ms)", &[line], |x| {
         format!("{}%", 100.0 - 100.0 * 10_f64.powf(-x))
     });
-    let series = |of: &dyn Fn(&crate::report::Second) -> f64| -> Vec<(f64, f64)> {
-        report.per_second.iter().enumerate().map(|(n, second)| (n as f64, of(second))).collect()
+    let series = |value: &dyn Fn(&crate::report::Second) -> f64| -> Vec<(f64, f64)> {
+        report.per_second.iter().enumerate().map(|(n, second)| (n as f64, value(second))).collect()
     };
     let seconds = |x: f64| format!("{x} s");
     let latency = [
@@ -63,29 +63,29 @@
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
 
-/// Appends a chart; one that can't be drawn is told in its place.
+/// Appends a chart, or the error message where it cannot be drawn.
 fn chart(text: &mut String, title: &str, lines: &[Line], label: impl Fn(f64) -> String) {
     let mut svg = String::new();
-    let drawn = draw(&mut svg, lines, &label);
+    let result = draw(&mut svg, lines, &label);
     text.push_str(&format!("<h2>{}</h2>", escape(title)));
-    match drawn {
+    match result {
         Ok(()) => text.push_str(&svg),
-        Err(why) => text.push_str(&escape(&why)),
+        Err(error) => text.push_str(&escape(&error)),
     }
 }
 
 fn draw(svg: &mut String, lines: &[Line], label: &dyn Fn(f64) -> String) -> Result<(), String> {
     let points = || lines.iter().flat_map(|line| &line.points);
-    let most_x = points().map(|p| p.0).fold(0.0, f64::max).max(1e-9);
-    let most_y = points().map(|p| p.1).fold(0.0, f64::max).max(1e-9);
+    let max_x = points().map(|p| p.0).fold(0.0, f64::max).max(1e-9);
+    let max_y = points().map(|p| p.1).fold(0.0, f64::max).max(1e-9);
     let root = SVGBackend::with_string(svg, SIZE).into_drawing_area();
-    let told = |error: DrawingAreaErrorKind<_>| format!("{error:?}");
+    let to_text = |error: DrawingAreaErrorKind<_>| format!("{error:?}");
     let mut chart = ChartBuilder::on(&root)
         .margin(10)
         .x_label_area_size(28)
         .y_label_area_size(64)
-        .build_cartesian_2d(0.0..most_x, 0.0..most_y * 1.05)
-        .map_err(told)?;
+        .build_cartesian_2d(0.0..max_x, 0.0..max_y * 1.05)
+        .map_err(to_text)?;
     let x = |x: &f64| label(*x);
     let mut mesh = chart.configure_mesh();
     mesh.x_labels(8)
@@ -93,18 +93,18 @@
         .x_label_formatter(&x)
         .light_line_style(TRANSPARENT)
         .bold_line_style(GREY.mix(0.25));
-    mesh.draw().map_err(told)?;
+    mesh.draw().map_err(to_text)?;
     for line in lines {
         let color = line.color;
         let series = LineSeries::new(line.points.iter().copied(), &color);
-        let drawn = chart.draw_series(series).map_err(told)?;
+        let drawn = chart.draw_series(series).map_err(to_text)?;
         drawn.label(line.name).legend(move |(x, y)| PathElement::new(vec![(x, y), (x + 16, y)], color));
     }
-    let mut names = chart.configure_series_labels();
-    names
+    let mut legend = chart.configure_series_labels();
+    legend
         .position(SeriesLabelPosition::UpperLeft)
         .background_style(WHITE.mix(0.8))
         .border_style(GREY.mix(0.4));
-    names.draw().map_err(told)?;
-    root.present().map_err(told)
+    legend.draw().map_err(to_text)?;
+    root.present().map_err(to_text)
 }
--- a/crates/spurdrum-load/src/plan.rs
+++ b/crates/spurdrum-load/src/plan.rs
@@ -1,180 +1,181 @@
-//! What is asked for.
+//! The plan of a run: load phases, request classes, tenants, keys and the behaviour of clients.
 
 use std::path::Path;
 
 use serde::Deserialize;
 use spurdrum_facts::file;
 
-/// A plan, as a TOML file has it.
+/// A plan, as read from a TOML file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// Phases, one after the other. None where a trace is replayed.
+    /// Load phases, one after the other. Empty where a trace is replayed.
     #[serde(default, rename = "phase")]
     pub phases: Vec<Phase>,
-    /// Kinds of requests.
+    /// Classes of requests.
     #[serde(rename = "class")]
     pub classes: Vec<Class>,
-    /// Whom they are for; there may be none.
+    /// Tenants that send the requests; there may be none.
     #[serde(default, rename = "tenant")]
     pub tenants: Vec<Tenant>,
-    /// What they are about.
+    /// Keys that requests ask for.
     #[serde(default)]
     pub keys: Keys,
-    /// How clients behave.
+    /// Behaviour of the clients.
     #[serde(default)]
     pub clients: Clients,
 }
 
-/// A stretch of time with one shape of load.
+/// A period of time with one shape of load.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Phase {
-    /// How long it lasts, in seconds.
+    /// Length of the phase in seconds.
     pub for_s: f64,
-    /// What the rate does.
+    /// How the rate changes over time.
     pub shape: Shape,
-    /// Requests a second: the mean of a wave, the start of a ramp, the base of bursts.
+    /// Requests per second: the constant rate, the mean of a wave, the start of a ramp, or the base rate between bursts.
     #[serde(default)]
     pub rate: f64,
-    /// Where a ramp ends.
+    /// Rate at the end of a ramp.
     pub to: Option<f64>,
-    /// Part of the rate by which a wave rises and falls.
+    /// Amplitude of a wave, as a fraction of the rate.
     pub swing: Option<f64>,
-    /// Time from crest to crest, or from burst to burst, in seconds.
+    /// Period of a wave, or time from one burst to the next, in seconds.
     pub period_s: Option<f64>,
-    /// The rates of steps, each for an equal part of the time.
+    /// Rates of the steps, each of which takes an equal part of the phase.
     #[serde(default)]
     pub rates: Vec<f64>,
-    /// Requests in one moment, for each burst.
+    /// Number of requests in each burst; all of them are due at the same moment.
     pub burst: Option<u32>,
-    /// How requests are spread at a given rate.
+    /// How requests are distributed in time at a given rate.
     #[serde(default)]
     pub arrivals: ArrivalProcess,
 }
 
-/// What the rate does.
+/// How the rate changes over time.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Shape {
-    /// It stays.
+    /// The rate is constant.
     Constant,
-    /// It changes evenly.
+    /// The rate changes linearly.
     Ramp,
-    /// It goes up and down as a sine.
+    /// The rate follows a sine wave.
     Wave,
-    /// It changes at once.
+    /// The rate changes in steps.
     Steps,
-    /// It stays, and many come in one moment each period.
+    /// The rate is constant, and many requests more are due at the same moment once in each period.
     Bursts,
 }
 
-/// How requests are spread.
+/// How requests are distributed in time.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum ArrivalProcess {
-    /// At even distances.
+    /// At equal intervals.
     Even,
-    /// Independent of one another.
+    /// Independently of one another, with exponentially distributed intervals.
     #[default]
     Poisson,
 }
 
-/// A kind of request.
+/// A class of requests.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Its name, as `X-Class` has it.
+    /// Name, sent in the `X-Class` header.
     pub name: String,
     /// How many of all, against the others' shares.
-    #[serde(default = "one")]
+    #[serde(default = "default_share")]
     pub share: f64,
-    /// What running it twice does, which gives the method and the key.
+    /// Effect of executing a request twice, which determines the method and whether an idempotency key is sent.
     #[serde(default)]
     pub effect: Effect,
-    /// When the answer is wanted, in seconds from when the request was due.
+    /// Latency objective in seconds from when the request was due; a later response counts as late.
     #[serde(rename = "aim_s")]
     pub latency_objective_s: f64,
-    /// When its client gives up.
+    /// Deadline in seconds from when the request was due, after which the client gives up.
     pub deadline_s: f64,
-    /// Length of its body: least and most.
+    /// Minimum and maximum length of the body in bytes.
     #[serde(default)]
     pub bytes: (u32, u32),
 }
 
-/// What running a request twice does.
+/// Effect of executing a request twice.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Effect {
-    /// Nothing: `GET`.
+    /// None: sent as `GET`.
     #[default]
     Safe,
-    /// Nothing, where the key is remembered: `POST` with `Idempotency-Key`.
+    /// None as long as the server remembers the key: sent as `POST` with `Idempotency-Key`.
     Keyed,
-    /// Harm: `POST`.
+    /// Harmful: sent as `POST`.
     Unsafe,
 }
 
-/// Whom requests are for.
+/// A tenant that sends requests.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// Its name, as `X-Tenant` has it.
+    /// Name, sent in the `X-Tenant` header.
     pub name: String,
     /// How many of all, against the others' shares.
-    #[serde(default = "one")]
+    #[serde(default = "default_share")]
     pub share: f64,
 }
 
-/// What requests are about.
+/// Keys that requests ask for.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Keys {
-    /// How many keys there are.
+    /// Number of keys.
     pub count: u64,
-    /// How unevenly they are asked for: 0 is even, 1 is Zipf's.
+    /// Exponent of the keys' popularity distribution: 0 is uniform, 1 is Zipf's law.
     pub zipf: f64,
 }
 
-/// How clients behave.
+/// Behaviour of the clients.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Clients {
-    /// Tries after the first.
+    /// Maximum number of attempts after the first.
     pub retries: u32,
-    /// The wait before a retry.
+    /// How the wait before a retry is determined.
     pub backoff: Backoff,
-    /// Its length, or that of the first, in milliseconds.
+    /// Length of the wait in milliseconds; with exponential back-off, of the first one.
     pub backoff_ms: f64,
-    /// Part of the clients that wait for as long as `Retry-After` says.
+    /// Fraction of the refused attempts whose client waits for as long as `Retry-After` says.
     pub honour: f64,
-    /// A try is given up after this part of the deadline: least and most.
+    /// Minimum and maximum fraction of the deadline after which a client gives up an attempt.
     pub give_up: (f64, f64),
-    /// Part of the tries whose client leaves early.
+    /// Fraction of the attempts whose client leaves early.
     pub leave: f64,
-    /// Part of the answers after which the connection is kept.
+    /// Fraction of the responses after which the connection is kept alive.
     pub keep: f64,
-    /// Connections at most.
+    /// Maximum number of connections.
     pub connections: usize,
     /// Whether retries carry `X-Retry: 1`.
     pub marks_retry: bool,
-    /// Tries under way at most: past it a request is not sent, and the report says that the generator is too small.
+    /// Maximum number of requests in flight. Requests beyond it are not sent, and the report says that the generator was
+    /// the bottleneck.
     pub in_flight: usize,
 }
 
-/// The wait before a retry.
+/// How the wait before a retry is determined.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Backoff {
-    /// None.
+    /// No wait.
     None,
-    /// Always the same.
+    /// The same wait each time.
     Fixed,
-    /// Twice as long each time, with jitter.
+    /// Exponential: twice as long each time, with jitter.
     Exp,
 }
 
-fn one() -> f64 {
+fn default_share() -> f64 {
     1.0
 }
 
@@ -202,85 +203,94 @@
 }
 
 impl Plan {
-    /// Reads a plan. The error names the file, the line and the key.
+    /// Reads a plan from a file. The error names the file, the line and the key.
     pub fn read(path: &Path) -> Result<Self, String> {
         file::read(path, Self::parse)
     }
 
-    /// Reads a plan's text. The error begins with the line.
+    /// Parses a plan. The error begins with the line number.
     pub fn parse(text: &str) -> Result<Self, String> {
         let plan: Self = file::from_toml(text)?;
-        plan.check().map_err(|(key, nth, why)| {
-            let named = |line: &&str| line.trim_start().split(['=', ' ']).next() == Some(key);
-            let lines = text.lines().enumerate().filter(|(_, line)| named(line)).map(|(n, _)| n + 1);
+        plan.check().map_err(|(key, nth, reason)| {
+            let has_key = |line: &&str| line.trim_start().split(['=', ' ']).next() == Some(key);
+            let lines = text.lines().enumerate().filter(|(_, line)| has_key(line)).map(|(n, _)| n + 1);
             let line = lines.clone().nth(nth).or_else(|| lines.last()).unwrap_or(1);
-            format!("{line}: `{key}`: {why}")
+            format!("{line}: `{key}`: {reason}")
         })?;
         Ok(plan)
     }
 
-    /// What makes no sense: the key, which of those of its name, and why.
+    /// Checks the values. The error has the key of the invalid value, the index among the keys of this name, and the
+    /// reason.
     fn check(&self) -> Result<(), (&'static str, usize, String)> {
         let positive = |x: f64| x.is_finite() && x > 0.0;
-        let part = |x: f64| (0.0..=1.0).contains(&x);
+        let fraction = |x: f64| (0.0..=1.0).contains(&x);
         for (n, phase) in self.phases.iter().enumerate() {
-            let rates = phase.rates.iter().all(|rate| rate.is_finite() && *rate >= 0.0);
+            let rates_are_valid = phase.rates.iter().all(|rate| rate.is_finite() && *rate >= 0.0);
             if !positive(phase.for_s) || phase.for_s > 86_400.0 {
-                return Err(("for_s", n, "no time above 0 and up to a day".into()));
+                return Err(("for_s", n, "must be above 0 and at most 86,400 s (a day)".into()));
             }
-            if !(phase.rate >= 0.0 && phase.rate <= 1e7 && rates) {
-                return Err(("rate", n, "no rate from 0 to 10,000,000 a second".into()));
+            if !(phase.rate >= 0.0 && phase.rate <= 1e7 && rates_are_valid) {
+                return Err(("rate", n, "must be from 0 to 10,000,000 requests per second".into()));
             }
-            let missing = match phase.shape {
+            let invalid_key = match phase.shape {
                 Shape::Constant => None,
                 Shape::Ramp => phase.to.filter(|to| *to >= 0.0).is_none().then_some("to"),
-                Shape::Wave if phase.swing.is_none_or(|swing| !part(swing)) => Some("swing"),
+                Shape::Wave if phase.swing.is_none_or(|swing| !fraction(swing)) => Some("swing"),
                 Shape::Wave => phase.period_s.is_none_or(|s| !positive(s)).then_some("period_s"),
                 Shape::Steps => phase.rates.is_empty().then_some("rates"),
                 Shape::Bursts if phase.burst.is_none() => Some("burst"),
                 Shape::Bursts => phase.period_s.is_none_or(|s| !positive(s)).then_some("period_s"),
             };
-            if let Some(key) = missing {
-                return Err((key, n, format!("a phase of shape {:?} needs it, and sound", phase.shape)));
+            if let Some(key) = invalid_key {
+                return Err((
+                    key,
+                    n,
+                    format!("missing or invalid: a phase of shape {:?} needs it", phase.shape),
+                ));
             }
         }
         if self.classes.is_empty() || self.classes.len() > 1000 || self.tenants.len() > 10_000 {
-            return Err(("class", 0, "needs 1 to 1,000 classes and up to 10,000 tenants".into()));
+            return Err(("class", 0, "a plan needs 1 to 1,000 classes and at most 10,000 tenants".into()));
         }
         for (n, class) in self.classes.iter().enumerate() {
             if !(positive(class.share)
                 && positive(class.latency_objective_s)
                 && class.latency_objective_s <= class.deadline_s)
             {
-                return Err(("aim_s", n, "needs 0 < aim_s <= deadline_s, and a share above 0".into()));
+                return Err(("aim_s", n, "a class needs 0 < aim_s <= deadline_s and a share above 0".into()));
             }
             if class.deadline_s > 3600.0 {
-                return Err(("deadline_s", n, "is above an hour".into()));
+                return Err(("deadline_s", n, "must be at most 3600 s (an hour)".into()));
             }
             if class.bytes.0 > class.bytes.1 || class.bytes.1 > 1 << 26 {
-                return Err(("bytes", n, "needs least <= most <= 64 MiB".into()));
+                return Err(("bytes", n, "must be [min, max] with min <= max <= 64 MiB".into()));
             }
         }
-        let shares = self.tenants.iter().position(|tenant| !positive(tenant.share));
-        if let Some(n) = shares {
-            return Err(("share", n, "is not above 0".into()));
+        let invalid_share = self.tenants.iter().position(|tenant| !positive(tenant.share));
+        if let Some(n) = invalid_share {
+            return Err(("share", n, "must be above 0".into()));
         }
-        let c = &self.clients;
-        if !(part(c.honour) && part(c.leave) && part(c.keep)) {
-            return Err(("honour", 0, "`honour`, `leave` and `keep` are parts from 0 to 1".into()));
+        let clients = &self.clients;
+        if !(fraction(clients.honour) && fraction(clients.leave) && fraction(clients.keep)) {
+            return Err(("honour", 0, "`honour`, `leave` and `keep` must be fractions from 0 to 1".into()));
         }
-        if !(c.give_up.0 > 0.0 && c.give_up.0 <= c.give_up.1 && c.give_up.1 <= 1.0) {
-            return Err(("give_up", 0, "needs 0 < least <= most <= 1".into()));
+        if !(clients.give_up.0 > 0.0 && clients.give_up.0 <= clients.give_up.1 && clients.give_up.1 <= 1.0) {
+            return Err(("give_up", 0, "must be [min, max] with 0 < min <= max <= 1".into()));
         }
-        if c.connections == 0 || c.in_flight == 0 || !(c.backoff_ms >= 0.0 && c.backoff_ms <= 60_000.0) {
+        if clients.connections == 0
+            || clients.in_flight == 0
+            || !(clients.backoff_ms >= 0.0 && clients.backoff_ms <= 60_000.0)
+        {
             return Err((
                 "connections",
                 0,
-                "`connections` and `in_flight` are above 0, `backoff_ms` up to a minute".into(),
+                "`connections` and `in_flight` must be above 0, `backoff_ms` from 0 to 60,000 (a minute)"
+                    .into(),
             ));
         }
         if self.keys.count == 0 || !(self.keys.zipf >= 0.0 && self.keys.zipf <= 5.0) {
-            return Err(("count", 0, "`count` is above 0 and `zipf` from 0 to 5".into()));
+            return Err(("count", 0, "`count` must be above 0 and `zipf` from 0 to 5".into()));
         }
         Ok(())
     }
--- a/crates/spurdrum-load/src/report.rs
+++ b/crates/spurdrum-load/src/report.rs
@@ -1,4 +1,4 @@
-//! Figures: what is counted while a run goes on, and what is made of it.
+//! Collects statistics during a run and turns them into a report.
 
 use std::fmt::Write as _;
 use std::io::Write;
@@ -14,44 +14,44 @@
 use crate::plan::Plan;
 use crate::Arrival;
 
-/// The longest latency that is told apart, in microseconds.
-const MOST_US: u64 = 3_600_000_000;
-/// Seconds of a run for which there are figures of their own.
-const SECONDS_MOST: usize = 7200;
-/// Buckets of a second's latencies, eight for each doubling.
-const BUCKETS: usize = 240;
+/// Longest latency that the histograms can represent, in microseconds; longer ones are recorded as this one.
+const MAX_LATENCY_US: u64 = 3_600_000_000;
+/// Maximum number of seconds of a run with statistics of their own; the last one includes everything later.
+const MAX_SECONDS: usize = 7200;
+/// Number of buckets for the latencies of a second, eight for each doubling.
+const LATENCY_BUCKETS: usize = 240;
 
-/// Requests, by what became of them.
+/// Numbers of requests by their final outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
-    /// First tries that were due and are settled.
+    /// Requests that were due and are finalized.
     pub due: u64,
-    /// Served within the aim.
+    /// Served within the latency objective.
     pub in_time: u64,
-    /// Served after it, before the deadline.
+    /// Served after the latency objective and before the deadline.
     pub late: u64,
-    /// Refused in the end.
+    /// Refused at the last attempt.
     pub refused: u64,
-    /// Failed.
+    /// Failed at the last attempt.
     pub failed: u64,
-    /// Nothing was heard in time.
+    /// Not answered before the deadline.
     pub lost: u64,
-    /// Their clients left early.
+    /// Cancelled early by their clients.
     pub left: u64,
-    /// The generator was too small to send them.
+    /// Not sent because the generator had too many requests in flight.
     pub not_sent: u64,
 }
 
 impl Counts {
-    /// Served in time, of all that were due.
+    /// Returns the fraction of the due requests that were served within the latency objective.
     pub fn goodput(&self) -> f64 {
         self.in_time as f64 / self.due.max(1) as f64
     }
 
-    fn note(&mut self, outcome: RequestOutcome, aim_us: u64) {
+    fn record(&mut self, outcome: RequestOutcome, latency_objective_us: u64) {
         self.due += 1;
         *match outcome {
-            RequestOutcome::Served(us) if us <= aim_us => &mut self.in_time,
+            RequestOutcome::Served(latency_us) if latency_us <= latency_objective_us => &mut self.in_time,
             RequestOutcome::Served(_) => &mut self.late,
             RequestOutcome::Refused => &mut self.refused,
             RequestOutcome::Failed => &mut self.failed,
@@ -62,133 +62,146 @@
     }
 }
 
-/// Latencies in milliseconds at some quantiles.
+/// Quantiles of latencies in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Quantiles {
-    /// How many.
+    /// Number of latencies.
     pub count: u64,
-    /// Their mean.
+    /// Mean.
     pub mean: f64,
-    /// Half are below it.
+    /// Median.
     pub p50: f64,
-    /// Nine in ten.
+    /// 90th percentile.
     pub p90: f64,
-    /// 99 in 100.
+    /// 99th percentile.
     pub p99: f64,
-    /// 999 in 1,000.
+    /// 99.9th percentile.
     pub p999: f64,
-    /// All.
+    /// Maximum.
     pub max: f64,
 }
 
 impl Quantiles {
     fn of(histogram: &Histogram<u64>) -> Self {
-        let at = |q| histogram.value_at_quantile(q) as f64 / 1000.0;
+        let quantile_ms = |q| histogram.value_at_quantile(q) as f64 / 1000.0;
         let count = histogram.len();
         if count == 0 {
             return Self::default();
         }
         let (mean, max) = (histogram.mean() / 1000.0, histogram.max() as f64 / 1000.0);
-        Self { count, mean, p50: at(0.5), p90: at(0.9), p99: at(0.99), p999: at(0.999), max }
+        Self {
+            count,
+            mean,
+            p50: quantile_ms(0.5),
+            p90: quantile_ms(0.9),
+            p99: quantile_ms(0.99),
+            p999: quantile_ms(0.999),
+            max,
+        }
     }
 }
 
-/// One second of a run, by when requests were due.
+/// Statistics of the requests that were due in one second of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Second {
-    /// First tries due in it.
+    /// Number of requests that were due.
     pub due: u64,
-    /// Of them, served.
+    /// Number of them that were served.
     pub served: u64,
-    /// Of them, served within the aim.
+    /// Number of them that were served within the latency objective.
     pub in_time: u64,
-    /// Latencies in milliseconds: half, 99 in 100, all are below.
+    /// Median latency in milliseconds.
     pub p50_ms: f64,
-    /// See `p50_ms`.
+    /// 99th percentile of the latency in milliseconds.
     pub p99_ms: f64,
-    /// See `p50_ms`.
+    /// Maximum latency in milliseconds.
     pub max_ms: f64,
 }
 
+/// Counters of the requests that were due in one second of a run.
 #[derive(Clone)]
-struct Bin {
+struct SecondCounters {
     due: u64,
     served: u64,
     in_time: u64,
     max_us: u64,
-    buckets: Box<[u32; BUCKETS]>,
+    buckets: Box<[u32; LATENCY_BUCKETS]>,
 }
 
-fn bucket(us: u64) -> usize {
-    ((us.max(1) as f64).log2() * 8.0) as usize
+/// Returns the index of the bucket of a latency.
+fn bucket_index(latency_us: u64) -> usize {
+    ((latency_us.max(1) as f64).log2() * 8.0) as usize
 }
 
-impl Bin {
+impl SecondCounters {
     fn new() -> Self {
-        Self { due: 0, served: 0, in_time: 0, max_us: 0, buckets: Box::new([0; BUCKETS]) }
+        Self { due: 0, served: 0, in_time: 0, max_us: 0, buckets: Box::new([0; LATENCY_BUCKETS]) }
     }
 
-    fn quantile(&self, q: f64) -> f64 {
-        let wanted = (self.served as f64 * q).ceil() as u64;
-        let mut passed = 0;
-        for (at, n) in self.buckets.iter().enumerate() {
-            passed += u64::from(*n);
-            if passed >= wanted && passed > 0 {
-                let upper = 2_f64.powf((at + 1) as f64 / 8.0);
-                return upper.min(self.max_us as f64) / 1000.0;
+    /// Returns a quantile of the latencies in milliseconds: the upper bound of its bucket, or the maximum if that is lower.
+    fn quantile_ms(&self, q: f64) -> f64 {
+        let target = (self.served as f64 * q).ceil() as u64;
+        let mut cumulative = 0;
+        for (index, count) in self.buckets.iter().enumerate() {
+            cumulative += u64::from(*count);
+            if cumulative >= target && cumulative > 0 {
+                let upper_us = 2_f64.powf((index + 1) as f64 / 8.0);
+                return upper_us.min(self.max_us as f64) / 1000.0;
             }
         }
         0.0
     }
 
-    fn second(&self) -> Second {
+    fn to_second(&self) -> Second {
         Second {
             due: self.due,
             served: self.served,
             in_time: self.in_time,
-            p50_ms: self.quantile(0.5),
-            p99_ms: self.quantile(0.99),
+            p50_ms: self.quantile_ms(0.5),
+            p99_ms: self.quantile_ms(0.99),
             max_ms: self.max_us as f64 / 1000.0,
         }
     }
 }
 
-struct Kind {
+/// Statistics of a group of requests: all, those of a class, or those of a tenant.
+struct GroupStatistics {
     name: String,
     counts: Counts,
     latency: Histogram<u64>,
 }
 
-impl Kind {
+impl GroupStatistics {
     fn new(name: &str) -> Self {
         Self { name: name.to_owned(), counts: Counts::default(), latency: histogram() }
     }
 
-    fn note(&mut self, outcome: RequestOutcome, aim_us: u64) {
-        self.counts.note(outcome, aim_us);
-        if let RequestOutcome::Served(us) = outcome {
-            self.latency.saturating_record(us);
+    fn record(&mut self, outcome: RequestOutcome, latency_objective_us: u64) {
+        self.counts.record(outcome, latency_objective_us);
+        if let RequestOutcome::Served(latency_us) = outcome {
+            self.latency.saturating_record(latency_us);
         }
     }
 
-    fn row(&self) -> Row {
+    fn to_row(&self) -> Row {
         Row { name: self.name.clone(), counts: self.counts, latency_ms: Quantiles::of(&self.latency) }
     }
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, MOST_US, 3).expect("sound bounds")
+    Histogram::new_with_bounds(1, MAX_LATENCY_US, 3).expect("valid bounds")
 }
 
-/// What is counted while a run goes on.
+/// Collects the statistics of a run.
 pub struct Recorder {
-    aims_us: Vec<u64>,
-    all: Kind,
-    classes: Vec<Kind>,
-    tenants: Vec<Kind>,
+    /// Latency objectives by class.
+    latency_objectives_us: Vec<u64>,
+    all: GroupStatistics,
+    classes: Vec<GroupStatistics>,
+    tenants: Vec<GroupStatistics>,
     lag: Histogram<u64>,
-    bins: Vec<Bin>,
-    tries: u64,
+    seconds: Vec<SecondCounters>,
+    attempts: u64,
     retries: u64,
     unreached: u64,
     gave_up: u64,
@@ -196,16 +209,20 @@
 }
 
 impl Recorder {
-    /// Nothing is counted yet.
+    /// Creates a recorder with all counters at zero.
     pub fn new(plan: &Plan) -> Self {
         Self {
-            aims_us: plan.classes.iter().map(|class| (class.latency_objective_s * 1e6) as u64).collect(),
-            all: Kind::new("all"),
-            classes: plan.classes.iter().map(|class| Kind::new(&class.name)).collect(),
-            tenants: plan.tenants.iter().map(|tenant| Kind::new(&tenant.name)).collect(),
+            latency_objectives_us: plan
+                .classes
+                .iter()
+                .map(|class| (class.latency_objective_s * 1e6) as u64)
+                .collect(),
+            all: GroupStatistics::new("all"),
+            classes: plan.classes.iter().map(|class| GroupStatistics::new(&class.name)).collect(),
+            tenants: plan.tenants.iter().map(|tenant| GroupStatistics::new(&tenant.name)).collect(),
             lag: histogram(),
-            bins: Vec::new(),
-            tries: 0,
+            seconds: Vec::new(),
+            attempts: 0,
             retries: 0,
             unreached: 0,
             gave_up: 0,
@@ -213,141 +230,142 @@
         }
     }
 
-    fn bin(&mut self, due_us: u64) -> &mut Bin {
-        let at = ((due_us / 1_000_000) as usize).min(SECONDS_MOST - 1);
-        if self.bins.len() <= at {
-            self.bins.resize_with(at + 1, Bin::new);
+    fn second_mut(&mut self, due_us: u64) -> &mut SecondCounters {
+        let index = ((due_us / 1_000_000) as usize).min(MAX_SECONDS - 1);
+        if self.seconds.len() <= index {
+            self.seconds.resize_with(index + 1, SecondCounters::new);
         }
-        &mut self.bins[at]
+        &mut self.seconds[index]
     }
 
-    /// A try is due.
+    /// Records that an attempt of the schedule or the trace is due.
     pub fn record_due(&mut self, arrival: &Arrival) {
         if arrival.retry_of.is_none() {
             self.due += 1;
-            self.bin(arrival.due_us).due += 1;
+            self.second_mut(arrival.due_us).due += 1;
         } else {
             self.retries += 1;
         }
     }
 
-    /// A try of a client's own is due again.
+    /// Records a retry that a client makes of its own accord, and not because the trace has it.
     pub fn record_retry(&mut self) {
         self.retries += 1;
     }
 
-    /// A try is begun so long after it was due.
+    /// Records that an attempt was sent this long after it was due.
     pub fn record_sent(&mut self, lag: Duration) {
-        self.tries += 1;
+        self.attempts += 1;
         self.lag.saturating_record(lag.as_micros() as u64);
     }
 
-    /// A try has ended.
+    /// Records the outcome of an attempt.
     pub fn record_attempt_ended(&mut self, outcome: Outcome) {
         self.unreached += u64::from(outcome == Outcome::Unreached);
         self.gave_up += u64::from(outcome == Outcome::GaveUp);
     }
 
-    /// A request is settled.
+    /// Records the final outcome of a request.
     pub fn record_final(&mut self, arrival: &Arrival, outcome: RequestOutcome) {
-        let aim = self.aims_us[usize::from(arrival.class)];
-        self.all.note(outcome, aim);
-        self.classes[usize::from(arrival.class)].note(outcome, aim);
+        let latency_objective_us = self.latency_objectives_us[usize::from(arrival.class)];
+        self.all.record(outcome, latency_objective_us);
+        self.classes[usize::from(arrival.class)].record(outcome, latency_objective_us);
         if let Some(tenant) = self.tenants.get_mut(usize::from(arrival.tenant)) {
-            tenant.note(outcome, aim);
+            tenant.record(outcome, latency_objective_us);
         }
-        if let RequestOutcome::Served(us) = outcome {
-            let bin = self.bin(arrival.due_us);
-            bin.served += 1;
-            bin.in_time += u64::from(us <= aim);
-            bin.max_us = bin.max_us.max(us);
-            bin.buckets[bucket(us).min(BUCKETS - 1)] += 1;
+        if let RequestOutcome::Served(latency_us) = outcome {
+            let second = self.second_mut(arrival.due_us);
+            second.served += 1;
+            second.in_time += u64::from(latency_us <= latency_objective_us);
+            second.max_us = second.max_us.max(latency_us);
+            second.buckets[bucket_index(latency_us).min(LATENCY_BUCKETS - 1)] += 1;
         }
     }
 
-    /// A line on how things stand.
+    /// Returns a line with the current statistics.
     pub fn progress_line(&self, second: u64, in_flight: usize) -> String {
-        let q = Quantiles::of(&self.all.latency);
+        let latency_ms = Quantiles::of(&self.all.latency);
         let lag = self.lag.value_at_quantile(0.99) as f64 / 1000.0;
-        let done = &self.all.counts;
+        let counts = &self.all.counts;
         format!(
             "{second:>5} s  due {:>8}  in flight {in_flight:>6}  goodput {:.4}  p50 {:.2} ms  p99 {:.2} ms  lag p99 {lag:.2} ms",
             self.due,
-            done.goodput(),
-            q.p50,
-            q.p99
+            counts.goodput(),
+            latency_ms.p50,
+            latency_ms.p99
         )
     }
 
-    /// The report on what has been counted.
-    pub fn report(&self, took: Duration, connections: u64, orphans: u64, paced: u64) -> Report {
+    /// Returns the report on everything recorded so far.
+    pub fn report(&self, elapsed: Duration, connections: u64, orphans: u64, paced: u64) -> Report {
         Report {
-            seconds: took.as_secs_f64(),
-            all: self.all.row(),
-            classes: self.classes.iter().map(Kind::row).collect(),
-            tenants: self.tenants.iter().map(Kind::row).collect(),
+            seconds: elapsed.as_secs_f64(),
+            all: self.all.to_row(),
+            classes: self.classes.iter().map(GroupStatistics::to_row).collect(),
+            tenants: self.tenants.iter().map(GroupStatistics::to_row).collect(),
             lag_ms: Quantiles::of(&self.lag),
-            tries: self.tries,
+            tries: self.attempts,
             retries: self.retries,
             unreached: self.unreached,
             gave_up: self.gave_up,
             connections,
             orphans,
             paced,
-            per_second: self.bins.iter().map(Bin::second).collect(),
+            per_second: self.seconds.iter().map(SecondCounters::to_second).collect(),
             latency: self.all.latency.clone(),
         }
     }
 }
 
-/// One kind of requests.
+/// Results of a group of requests: all, those of a class, or those of a tenant.
 #[derive(Clone, Debug, Serialize)]
 pub struct Row {
-    /// Its name.
+    /// Name of the class or tenant, or `all`.
     pub name: String,
-    /// How many came to what.
+    /// Numbers of requests by outcome.
     pub counts: Counts,
-    /// Latencies of those that were served, from when their first try was due.
+    /// Latencies of the served requests, measured from when their first attempt was due.
     pub latency_ms: Quantiles,
 }
 
-/// What a run came to.
+/// Results of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// Its length.
+    /// Length of the run in seconds.
     pub seconds: f64,
     /// All requests.
     pub all: Row,
-    /// By class.
+    /// Results by class.
     pub classes: Vec<Row>,
-    /// By tenant.
+    /// Results by tenant.
     pub tenants: Vec<Row>,
-    /// How late tries were begun: the generator's own doing.
+    /// How late attempts were sent; the generator itself causes this delay.
     pub lag_ms: Quantiles,
-    /// Tries that were begun.
+    /// Number of attempts sent.
     pub tries: u64,
-    /// Tries after the first.
+    /// Number of attempts after the first.
     pub retries: u64,
-    /// Tries for which no connection was to be had.
+    /// Number of attempts for which no connection could be opened.
     pub unreached: u64,
-    /// Tries whose client waited no longer.
+    /// Number of attempts that the client gave up because its time limit expired.
     pub gave_up: u64,
-    /// Connections that were made.
+    /// Number of connections opened.
     pub connections: u64,
-    /// Retries in a trace that belong to no request of it.
+    /// Number of retries in a trace that belong to no request of the trace.
     pub orphans: u64,
-    /// Tries that the schedule gave out.
+    /// Number of attempts that the pacer passed to the event loops.
     pub paced: u64,
-    /// By the second in which requests were due.
+    /// Statistics by the second in which requests were due.
     pub per_second: Vec<Second>,
-    /// All latencies, in microseconds.
+    /// Histogram of all latencies in microseconds.
     #[serde(skip)]
     pub latency: Histogram<u64>,
 }
 
 impl Report {
-    /// Whether the generator, and not the target, held requests up: the figures are then not the target's.
-    pub fn too_slow(&self) -> Option<String> {
+    /// Returns how the generator, and not the target, delayed requests, or none if it did not. If it did, the latencies
+    /// do not describe the target.
+    pub fn generator_bottleneck(&self) -> Option<String> {
         let due = self.all.counts.due.max(1);
         if self.all.counts.not_sent > 0 {
             let n = self.all.counts.not_sent;
@@ -357,11 +375,11 @@
         }
         let late = self.lag_ms.p99 > 10.0 && self.lag_ms.p99 * 10.0 > self.all.latency_ms.p50;
         late.then(|| {
-            format!("one try in 100 of {due} requests was sent {:.1} ms late or more", self.lag_ms.p99)
+            format!("one in 100 attempts of {due} requests was sent {:.1} ms late or more", self.lag_ms.p99)
         })
     }
 
-    /// A table for people.
+    /// Returns the results as a table of text.
     pub fn table(&self) -> String {
         let mut text = String::new();
         let _ = writeln!(
@@ -381,22 +399,22 @@
             "max ms"
         );
         for row in std::iter::once(&self.all).chain(&self.classes).chain(&self.tenants) {
-            let (c, q) = (&row.counts, &row.latency_ms);
+            let (counts, latency_ms) = (&row.counts, &row.latency_ms);
             let _ = writeln!(
                 text,
                 "{:<20} {:>9} {:>8.4} {:>7} {:>8} {:>7} {:>6} {:>8} {:>9.2} {:>9.2} {:>9.2} {:>9.2}",
                 row.name,
-                c.due,
-                c.goodput(),
-                c.late,
-                c.refused,
-                c.failed,
-                c.lost,
-                c.not_sent,
-                q.p50,
-                q.p99,
-                q.p999,
-                q.max
+                counts.due,
+                counts.goodput(),
+                counts.late,
+                counts.refused,
+                counts.failed,
+                counts.lost,
+                counts.not_sent,
+                latency_ms.p50,
+                latency_ms.p99,
+                latency_ms.p999,
+                latency_ms.max
             );
         }
         let rate = self.all.counts.due as f64 / self.seconds.max(1e-9);
@@ -414,38 +432,39 @@
         if self.orphans > 0 {
             let _ = writeln!(text, "{} retries belong to no request that was due", self.orphans);
         }
-        if let Some(why) = self.too_slow() {
-            let _ = writeln!(text, "THE GENERATOR WAS THE BOTTLENECK: {why}");
+        if let Some(reason) = self.generator_bottleneck() {
+            let _ = writeln!(text, "THE GENERATOR WAS THE BOTTLENECK: {reason}");
         }
         text
     }
 
-    /// The latencies as an HDR histogram log.
-    pub fn histogram_log(&self, to: &mut impl Write) -> Result<(), String> {
+    /// Writes the latencies as an HDR histogram log.
+    pub fn histogram_log(&self, sink: &mut impl Write) -> Result<(), String> {
         let mut serializer = V2Serializer::new();
         let mut log = IntervalLogWriterBuilder::new()
             .add_comment("latencies in microseconds, from when requests were due")
-            .begin_log_with(to, &mut serializer)
-            .map_err(|e| e.to_string())?;
+            .begin_log_with(sink, &mut serializer)
+            .map_err(|error| error.to_string())?;
         let length = Duration::from_secs_f64(self.seconds);
-        log.write_histogram(&self.latency, Duration::ZERO, length, None).map_err(|e| format!("{e:?}"))
+        log.write_histogram(&self.latency, Duration::ZERO, length, None).map_err(|error| format!("{error:?}"))
     }
 
-    fn figure(&self, name: &str) -> Option<f64> {
-        let (c, q) = (&self.all.counts, &self.all.latency_ms);
-        let part = |n: u64| n as f64 / c.due.max(1) as f64;
+    /// Returns the value of a metric that a requirement can name.
+    fn metric(&self, name: &str) -> Option<f64> {
+        let (counts, latency_ms) = (&self.all.counts, &self.all.latency_ms);
+        let fraction = |n: u64| n as f64 / counts.due.max(1) as f64;
         Some(match name {
-            "goodput" => c.goodput(),
-            "late" => part(c.late),
-            "refused" => part(c.refused),
-            "failed" => part(c.failed),
-            "lost" => part(c.lost),
-            "not_sent" => part(c.not_sent),
-            "mean" => q.mean,
-            "max" => q.max,
+            "goodput" => counts.goodput(),
+            "late" => fraction(counts.late),
+            "refused" => fraction(counts.refused),
+            "failed" => fraction(counts.failed),
+            "lost" => fraction(counts.lost),
+            "not_sent" => fraction(counts.not_sent),
+            "mean" => latency_ms.mean,
+            "max" => latency_ms.max,
             "lag_p99" => self.lag_ms.p99,
             "lag_max" => self.lag_ms.max,
-            "rate" => c.due as f64 / self.seconds.max(1e-9),
+            "rate" => counts.due as f64 / self.seconds.max(1e-9),
             _ => {
                 let percent =
                     name.strip_prefix('p')?.parse::<f64>().ok().filter(|p| (0.0..=100.0).contains(p))?;
@@ -458,10 +477,10 @@
 /// A threshold, such as `p99<50ms` or `goodput>0.99`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Requirement {
-    name: String,
+    metric: String,
     above: bool,
     or_equal: bool,
-    value: f64,
+    threshold: f64,
     text: String,
 }
 
@@ -469,39 +488,40 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
-        let wrong =
+        let invalid =
             |why: &str| format!("`{text}`: {why}; write as p99<50ms, goodput>0.99, failed<=0, lag_p99<1ms");
-        let at = text.find(['<', '>']).ok_or_else(|| wrong("has neither < nor >"))?;
-        let (name, rest) = text.split_at(at);
+        let operator_index = text.find(['<', '>']).ok_or_else(|| invalid("contains neither < nor >"))?;
+        let (metric, rest) = text.split_at(operator_index);
         let or_equal = rest[1..].starts_with('=');
         let value = rest[1 + usize::from(or_equal)..].trim();
         let units = [("us", 0.001), ("ms", 1.0), ("s", 1000.0)];
         let unit = units.iter().find_map(|(unit, ms)| Some((value.strip_suffix(unit)?, *ms)));
         let (number, factor) = unit.unwrap_or((value, 1.0));
-        let number: f64 = number.trim().parse().map_err(|_| wrong("has no number"))?;
-        let name = name.trim().to_owned();
+        let number: f64 = number.trim().parse().map_err(|_| invalid("has no valid number"))?;
+        let metric = metric.trim().to_owned();
         let known = [
             "goodput", "late", "refused", "failed", "lost", "not_sent", "mean", "max", "lag_p99", "lag_max",
             "rate",
         ];
-        let percent = name.strip_prefix('p').and_then(|p| p.parse::<f64>().ok()).is_some_and(|p| p <= 100.0);
-        if !percent && !known.contains(&name.as_str()) {
-            return Err(wrong("names no figure"));
+        let is_percentile =
+            metric.strip_prefix('p').and_then(|p| p.parse::<f64>().ok()).is_some_and(|p| p <= 100.0);
+        if !is_percentile && !known.contains(&metric.as_str()) {
+            return Err(invalid("unknown metric"));
         }
         let above = rest.starts_with('>');
-        Ok(Self { name, above, or_equal, value: number * factor, text: text.to_owned() })
+        Ok(Self { metric, above, or_equal, threshold: number * factor, text: text.to_owned() })
     }
 }
 
 impl Requirement {
-    /// What is wrong, where a report does not meet it.
+    /// Returns an error with the actual value if the report does not meet the requirement.
     pub fn check(&self, report: &Report) -> Result<(), String> {
-        let figure = report.figure(&self.name).unwrap_or(f64::NAN);
+        let actual = report.metric(&self.metric).unwrap_or(f64::NAN);
         let met = match self.above {
-            true => figure > self.value || self.or_equal && figure == self.value,
-            false => figure < self.value || self.or_equal && figure == self.value,
+            true => actual > self.threshold || self.or_equal && actual == self.threshold,
+            false => actual < self.threshold || self.or_equal && actual == self.threshold,
         };
-        met.then_some(()).ok_or_else(|| format!("not met: {}: it is {figure:.4}", self.text))
+        met.then_some(()).ok_or_else(|| format!("not met: {}: the actual value is {actual:.4}", self.text))
     }
 }
 
@@ -512,8 +532,8 @@
     fn report(latencies_us: &[u64]) -> Report {
         let plan =
             "[[class]]\nname = \"update\"\naim_s = 0.4\ndeadline_s = 0.8\n[[tenant]]\nname = \"inns\"\n";
-        let mut recorder = Recorder::new(&Plan::parse(plan).expect("sound"));
-        for (n, us) in latencies_us.iter().enumerate() {
+        let mut recorder = Recorder::new(&Plan::parse(plan).expect("valid"));
+        for (n, latency_us) in latencies_us.iter().enumerate() {
             let due_us = n as u64 * 10_000;
             let arrival =
                 Arrival { due_us, id: n as u64, retry_of: None, class: 0, tenant: 0, key: 0, bytes: 0 };
@@ -521,18 +541,22 @@
             recorder.record_sent(Duration::from_micros(50));
             recorder.record_final(
                 &arrival,
-                if *us > 800_000 { RequestOutcome::Lost } else { RequestOutcome::Served(*us) },
+                if *latency_us > 800_000 {
+                    RequestOutcome::Lost
+                } else {
+                    RequestOutcome::Served(*latency_us)
+                },
             );
         }
         recorder.report(Duration::from_secs(2), 1, 0, latencies_us.len() as u64)
     }
 
     #[test]
-    fn requests_are_counted_by_what_became_of_them() {
+    fn requests_are_counted_by_outcome() {
         let latencies: Vec<u64> = (1..=100).map(|n| n * 10_000).collect();
         let report = report(&latencies);
-        let wanted = Counts { due: 100, in_time: 40, late: 40, lost: 20, ..Counts::default() };
-        assert_eq!((report.all.counts, report.tenants[0].counts), (wanted, wanted));
+        let expected = Counts { due: 100, in_time: 40, late: 40, lost: 20, ..Counts::default() };
+        assert_eq!((report.all.counts, report.tenants[0].counts), (expected, expected));
         assert!((report.all.latency_ms.p50 - 400.0).abs() < 1.0, "{:?}", report.all.latency_ms);
         assert_eq!(report.per_second[0].due, 100);
         assert!((report.per_second[0].p50_ms / 400.0 - 1.0).abs() < 0.1, "{:?}", report.per_second[0]);
@@ -545,26 +569,26 @@
             ("lag_p99<100us", true),
             ("p99.9 > 700", true),
         ] {
-            let requirement: Requirement = text.parse().expect("sound");
+            let requirement: Requirement = text.parse().expect("valid");
             assert_eq!(requirement.check(&report).is_ok(), met, "{text}");
         }
     }
 
     #[test]
-    fn a_requirement_that_says_nothing_is_refused() {
+    fn a_malformed_requirement_is_rejected() {
         for text in ["p99", "p99<", "p101<5ms", "speed<3", "p99<5 parsecs", "<3"] {
             assert!(text.parse::<Requirement>().is_err(), "{text}");
         }
     }
 
     #[test]
-    fn the_log_and_the_table_tell_the_same() {
+    fn the_histogram_log_the_table_and_the_json_agree() {
         let report = report(&[100_000; 50]);
         let mut log = Vec::new();
         report.histogram_log(&mut log).expect("written");
         let log = String::from_utf8(log).expect("text");
         assert!(log.contains("latencies in microseconds") && log.contains("HIST"), "{log}");
-        assert!(report.table().contains("inns") && report.too_slow().is_none());
+        assert!(report.table().contains("inns") && report.generator_bottleneck().is_none());
         assert!(serde_json::to_string(&report).expect("JSON").contains("\"in_time\":50"));
     }
 }
--- a/crates/spurdrum-load/src/stream.rs
+++ b/crates/spurdrum-load/src/stream.rs
@@ -1,4 +1,4 @@
-//! A client's socket, which its pool can look at while hyper drives it.
+//! A client's socket that the connection pool can inspect while hyper drives it.
 
 use std::cell::Cell;
 use std::io::{self, ErrorKind, IoSlice};
@@ -12,43 +12,44 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// One socket with several owners.
+/// One socket with several owners: hyper and the pool.
 #[derive(Clone)]
 pub struct SharedStream {
     socket: Rc<TcpStream>,
     next_write: Rc<Cell<NextWrite>>,
 }
 
-/// What becomes of the next bytes that are to be written.
+/// What happens to the next write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum NextWrite {
-    /// They are written.
+    /// The bytes are written.
     Allowed,
-    /// They are, unless the target has ended the connection by then.
+    /// The bytes are written unless the target has ended the connection by then.
     UnlessEnded,
-    /// They were not, and nothing is any more.
+    /// A write was refused, and so is every later one.
     Refused,
 }
 
 impl SharedStream {
-    /// Shares this socket.
+    /// Wraps a socket.
     #[must_use]
     pub fn new(stream: TcpStream) -> Self {
         Self { socket: Rc::new(stream), next_write: Rc::new(Cell::new(NextWrite::Allowed)) }
     }
 
-    /// A request is to follow: nothing of it is written where the target has ended the connection by then.
+    /// Makes the next write, the beginning of a request, fail without writing anything if the target has ended the
+    /// connection by then.
     pub fn write_unless_ended(&self) {
         self.next_write.set(NextWrite::UnlessEnded);
     }
 
-    /// Whether nothing of that request was written, as the connection had ended.
+    /// Returns whether nothing of that request was written because the connection had ended.
     #[must_use]
     pub fn was_refused(&self) -> bool {
         self.next_write.get() == NextWrite::Refused
     }
 
-    /// Whether bytes may be written now.
+    /// Returns whether bytes may be written now.
     fn may_write(&self) -> bool {
         if self.next_write.get() == NextWrite::UnlessEnded {
             let next = if self.has_input() { NextWrite::Refused } else { NextWrite::Allowed };
@@ -57,12 +58,12 @@
         !self.was_refused()
     }
 
-    /// Whether the target has ended or broken the connection, or said something unasked. The socket itself is looked at: the event
-    /// loop may not have heard of it yet.
+    /// Returns whether the target has closed or reset the connection, or sent bytes that no request asked for. It peeks
+    /// at the socket itself, because the event loop may not have been notified yet.
     #[must_use]
     pub fn has_input(&self) -> bool {
-        let seen = SockRef::from(&*self.socket).peek(&mut [MaybeUninit::uninit()]);
-        !seen.is_err_and(|error| error.kind() == ErrorKind::WouldBlock)
+        let peeked = SockRef::from(&*self.socket).peek(&mut [MaybeUninit::uninit()]);
+        !peeked.is_err_and(|error| error.kind() == ErrorKind::WouldBlock)
     }
 }
 
@@ -90,16 +91,16 @@
     fn poll_write_vectored(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-        pieces: &[IoSlice<'_>],
+        buffers: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         if !self.may_write() {
             return Poll::Ready(Err(ErrorKind::ConnectionAborted.into()));
         }
         loop {
             ready!(self.socket.poll_write_ready(cx))?;
-            match self.socket.try_write_vectored(pieces) {
+            match self.socket.try_write_vectored(buffers) {
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {}
-                written => return Poll::Ready(written),
+                result => return Poll::Ready(result),
             }
         }
     }
--- a/crates/spurdrum-load/src/trace.rs
+++ b/crates/spurdrum-load/src/trace.rs
@@ -1,7 +1,7 @@
-//! Recorded traces, read as a stream: however long one is, a line of it is held at a time.
+//! Recorded traces, read as a stream: only one line is in memory at a time, however long the trace is.
 //!
-//! A trace is text. Its first line is `spurdrum-trace 1`; each further one is a try, its fields apart by single
-//! tabs, in the order in which they were due:
+//! A trace is text. Its first line is `spurdrum-trace 1`; each further line is an attempt with its fields separated by
+//! single tabs. The attempts are in the order in which they were due:
 //!
 //! ```text
 //! due_us  id  first  class  tenant  key  bytes
@@ -9,8 +9,9 @@
 //! 5000    2   1      update inns    77   212
 //! ```
 //!
-//! `first` is `-` for a first try, else the id of the first try that this one repeats. `class` and `tenant` are names
-//! from the plan, `tenant` is `-` where there are none. Empty lines and those that begin with `#` are passed over.
+//! `first` is `-` for a first attempt, and for a retry the id of the first attempt that it repeats. `class` and `tenant`
+//! are names from the plan; `tenant` is `-` if the plan has no tenants. Empty lines and lines that begin with `#` are
+//! skipped.
 
 use std::collections::HashMap;
 use std::io::{BufRead, Write};
@@ -19,85 +20,88 @@
 use crate::Arrival;
 
 const MAGIC: &str = "spurdrum-trace 1";
-/// A line may be this long.
-const LINE_MOST: u64 = 4096;
+/// Maximum length of a line in bytes.
+const MAX_LINE_BYTES: u64 = 4096;
 
-/// The tries of a trace, one by one. An error names its line and ends the stream.
+/// Iterator over the attempts of a trace. An error names its line and ends the iteration.
 pub struct Reader<R> {
-    from: R,
+    source: R,
     line: u64,
     classes: HashMap<String, u16>,
     tenants: HashMap<String, u16>,
-    /// Times are multiplied by this.
-    stretch: f64,
-    last_due: u64,
-    over: bool,
+    /// Factor by which times are multiplied.
+    time_factor: f64,
+    last_due_us: u64,
+    ended: bool,
 }
 
 impl<R: BufRead> Reader<R> {
-    /// Reads the first line. With `speed` 2, a trace is replayed in half of its time.
-    pub fn new(mut from: R, plan: &Plan, speed: f64) -> Result<Self, String> {
+    /// Creates a reader and reads the first line. With a `speed` of 2, the trace is replayed in half of its time.
+    pub fn new(mut source: R, plan: &Plan, speed: f64) -> Result<Self, String> {
         if !(speed.is_finite() && speed > 0.0) {
-            return Err(format!("a speed of {speed} is not above 0"));
+            return Err(format!("invalid speed {speed}: must be above 0"));
         }
-        let mut first = String::new();
-        limited(&mut from, &mut first).map_err(|e| format!("1: {e}"))?;
-        if first.trim_end() != MAGIC {
-            return Err(format!("1: is not `{MAGIC}`"));
+        let mut header = String::new();
+        read_limited_line(&mut source, &mut header).map_err(|error| format!("1: {error}"))?;
+        if header.trim_end() != MAGIC {
+            return Err(format!("1: not a trace: the first line must be `{MAGIC}`"));
         }
         let index = |names: Vec<&String>| names.into_iter().zip(0..).map(|(n, i)| (n.clone(), i)).collect();
         Ok(Self {
-            from,
+            source,
             line: 1,
             classes: index(plan.classes.iter().map(|class| &class.name).collect()),
             tenants: index(plan.tenants.iter().map(|tenant| &tenant.name).collect()),
-            stretch: 1.0 / speed,
-            last_due: 0,
-            over: false,
+            time_factor: 1.0 / speed,
+            last_due_us: 0,
+            ended: false,
         })
     }
 
+    /// Parses one line.
     fn parse(&mut self, text: &str) -> Result<Arrival, String> {
         let mut fields = text.split('\t');
         let mut field = |name: &'static str| fields.next().ok_or(name);
-        let wrong = |name: &str| format!("`{name}` is missing or malformed");
+        let invalid = |name: &str| format!("`{name}` is missing or malformed");
         let number = |text: Result<&str, &'static str>, name| {
-            text.ok().and_then(|text| text.parse::<u64>().ok()).ok_or_else(|| wrong(name))
+            text.ok().and_then(|text| text.parse::<u64>().ok()).ok_or_else(|| invalid(name))
         };
         let due = number(field("due_us"), "due_us")?;
         let id = number(field("id"), "id")?;
-        let retry_of = match field("first").map_err(wrong)? {
+        let retry_of = match field("first").map_err(invalid)? {
             "-" => None,
             text => Some(number(Ok(text), "first")?),
         };
         let class = field("class").ok().and_then(|name| self.classes.get(name)).copied();
         let class = class.ok_or("`class` is missing or not in the plan")?;
-        let tenant = match field("tenant").map_err(wrong)? {
+        let tenant = match field("tenant").map_err(invalid)? {
             "-" if self.tenants.is_empty() => 0,
             name => *self.tenants.get(name).ok_or("`tenant` is not in the plan")?,
         };
         let key = number(field("key"), "key")?;
         let bytes = number(field("bytes"), "bytes")?;
-        let bytes = u32::try_from(bytes).ok().filter(|n| *n <= 1 << 26).ok_or_else(|| wrong("bytes"))?;
+        let bytes = u32::try_from(bytes).ok().filter(|n| *n <= 1 << 26).ok_or_else(|| invalid("bytes"))?;
         if fields.next().is_some() {
             return Err("has too many fields".into());
         }
         if retry_of == Some(id) {
-            return Err("`first` is its own id".into());
+            return Err("`first` is the id of the attempt itself".into());
         }
-        let due_us = (due as f64 * self.stretch) as u64;
-        if due_us < self.last_due {
-            return Err("`due_us` runs backwards".into());
+        let due_us = (due as f64 * self.time_factor) as u64;
+        if due_us < self.last_due_us {
+            return Err("`due_us` is lower than on the line before".into());
         }
-        self.last_due = due_us;
+        self.last_due_us = due_us;
         Ok(Arrival { due_us, id, retry_of, class, tenant, key, bytes })
     }
 }
 
-fn limited(from: &mut impl BufRead, text: &mut String) -> Result<usize, String> {
-    let read = std::io::Read::take(from, LINE_MOST).read_line(text).map_err(|e| e.to_string())?;
-    if read as u64 == LINE_MOST && !text.ends_with('\n') {
-        return Err("is too long".into());
+/// Reads a line of limited length and returns its length, 0 at the end of the trace.
+fn read_limited_line(source: &mut impl BufRead, text: &mut String) -> Result<usize, String> {
+    let read =
+        std::io::Read::take(source, MAX_LINE_BYTES).read_line(text).map_err(|error| error.to_string())?;
+    if read as u64 == MAX_LINE_BYTES && !text.ends_with('\n') {
+        return Err("the line is too long".into());
     }
     Ok(read)
 }
@@ -107,10 +111,10 @@
 
     fn next(&mut self) -> Option<Self::Item> {
         let mut text = String::new();
-        while !self.over {
+        while !self.ended {
             text.clear();
             self.line += 1;
-            let arrival = match limited(&mut self.from, &mut text) {
+            let arrival = match read_limited_line(&mut self.source, &mut text) {
                 Ok(0) => break,
                 Ok(_) => {
                     let text = text.trim_end_matches(['\n', '\r']);
@@ -119,10 +123,10 @@
                     }
                     self.parse(text)
                 }
-                Err(why) => Err(why),
+                Err(error) => Err(error),
             };
-            self.over = arrival.is_err();
-            return Some(arrival.map_err(|why| format!("{}: {why}", self.line)));
+            self.ended = arrival.is_err();
+            return Some(arrival.map_err(|error| format!("{}: {error}", self.line)));
         }
         None
     }
@@ -130,33 +134,37 @@
 
 /// Writes a trace.
 pub struct Writer<W> {
-    to: W,
+    sink: W,
     classes: Vec<String>,
     tenants: Vec<String>,
 }
 
 impl<W: Write> Writer<W> {
-    /// Writes the first line.
-    pub fn new(mut to: W, plan: &Plan) -> std::io::Result<Self> {
-        writeln!(to, "{MAGIC}")?;
+    /// Creates a writer and writes the first line.
+    pub fn new(mut sink: W, plan: &Plan) -> std::io::Result<Self> {
+        writeln!(sink, "{MAGIC}")?;
         Ok(Self {
-            to,
+            sink,
             classes: plan.classes.iter().map(|class| class.name.clone()).collect(),
             tenants: plan.tenants.iter().map(|tenant| tenant.name.clone()).collect(),
         })
     }
 
-    /// Writes one try.
-    pub fn write(&mut self, a: &Arrival) -> std::io::Result<()> {
-        let first = a.retry_of.map_or_else(|| "-".to_owned(), |first| first.to_string());
-        let class = &self.classes[usize::from(a.class)];
-        let tenant = self.tenants.get(usize::from(a.tenant)).map_or("-", String::as_str);
-        writeln!(self.to, "{}\t{}\t{first}\t{class}\t{tenant}\t{}\t{}", a.due_us, a.id, a.key, a.bytes)
+    /// Writes one attempt.
+    pub fn write(&mut self, arrival: &Arrival) -> std::io::Result<()> {
+        let first = arrival.retry_of.map_or_else(|| "-".to_owned(), |id| id.to_string());
+        let class = &self.classes[usize::from(arrival.class)];
+        let tenant = self.tenants.get(usize::from(arrival.tenant)).map_or("-", String::as_str);
+        writeln!(
+            self.sink,
+            "{}\t{}\t{first}\t{class}\t{tenant}\t{}\t{}",
+            arrival.due_us, arrival.id, arrival.key, arrival.bytes
+        )
     }
 
-    /// Writes out what is still held.
+    /// Flushes what is still buffered.
     pub fn finish(mut self) -> std::io::Result<()> {
-        self.to.flush()
+        self.sink.flush()
     }
 }
 
@@ -171,36 +179,36 @@
             "[[phase]]\nfor_s = 5\nshape = 'constant'\nrate = 100\n[[class]]\nname = \"update\"\naim_s = 0.4\n\
              deadline_s = 0.8\nbytes = [10, 90]\n[[tenant]]\nname = \"inns\"\n[[tenant]]\nname = \"hotels\"\n",
         )
-        .expect("sound")
+        .expect("valid")
     }
 
     fn read(text: &str, speed: f64) -> Vec<Result<Arrival, String>> {
         match Reader::new(text.as_bytes(), &plan(), speed) {
             Ok(reader) => reader.collect(),
-            Err(why) => vec![Err(why)],
+            Err(error) => vec![Err(error)],
         }
     }
 
     #[test]
-    fn what_is_written_is_read_back() {
+    fn a_written_trace_is_read_back_unchanged() {
         let all: Vec<Arrival> = Schedule::new(&plan(), 5).collect();
         let mut text = Vec::new();
         let mut writer = Writer::new(&mut text, &plan()).expect("written");
         all.iter().for_each(|arrival| writer.write(arrival).expect("written"));
         writer.finish().expect("written");
-        let back: Result<Vec<Arrival>, String> =
+        let read_back: Result<Vec<Arrival>, String> =
             Reader::new(&text[..], &plan(), 1.0).expect("a trace").collect();
-        assert_eq!(back.expect("sound"), all);
+        assert_eq!(read_back.expect("valid"), all);
         let fast: Vec<Arrival> =
-            Reader::new(&text[..], &plan(), 2.0).expect("a trace").map(|a| a.expect("sound")).collect();
+            Reader::new(&text[..], &plan(), 2.0).expect("a trace").map(|a| a.expect("valid")).collect();
         assert!(all.iter().zip(&fast).all(|(a, b)| a.due_us / 2 == b.due_us));
     }
 
     #[test]
-    fn what_is_wrong_is_named_with_its_line() {
+    fn errors_name_the_line_and_the_field() {
         let cases = [
             ("nothing\n", "1: "),
-            ("spurdrum-trace 1\n\n# said\nx\t1\t-\tupdate\tinns\t7\t20\n", "4: `due_us`"),
+            ("spurdrum-trace 1\n\n# comment\nx\t1\t-\tupdate\tinns\t7\t20\n", "4: `due_us`"),
             ("spurdrum-trace 1\n0\t1\t-\tupdate\tinns\t7\n", "2: `bytes`"),
             ("spurdrum-trace 1\n0\t1\t-\tother\tinns\t7\t20\n", "2: `class`"),
             ("spurdrum-trace 1\n0\t1\t-\tupdate\t-\t7\t20\n", "2: `tenant`"),
@@ -208,18 +216,18 @@
             ("spurdrum-trace 1\n9\t1\t-\tupdate\tinns\t7\t20\n8\t2\t-\tupdate\tinns\t7\t20\n", "3: `due_us`"),
             ("spurdrum-trace 1\n9\t1\t-\tupdate\tinns\t7\t20\t\n", "2: has too many"),
         ];
-        for (text, named) in cases {
+        for (text, expected) in cases {
             let errors: Vec<String> = read(text, 1.0).into_iter().filter_map(Result::err).collect();
             assert_eq!(errors.len(), 1, "{text}");
-            assert!(errors[0].starts_with(named), "{text}: {}", errors[0]);
+            assert!(errors[0].starts_with(expected), "{text}: {}", errors[0]);
         }
-        let long = format!("spurdrum-trace 1\n{}\n", "9".repeat(10_000));
-        assert_eq!(read(&long, 1.0).len(), 1);
+        let long_line = format!("spurdrum-trace 1\n{}\n", "9".repeat(10_000));
+        assert_eq!(read(&long_line, 1.0).len(), 1);
     }
 
     proptest! {
         #[test]
-        fn no_text_breaks_the_reader(text in "\\PC*", fields in "[0-9a-z\t\n#-]{0,200}") {
+        fn the_reader_does_not_panic_on_arbitrary_text(text in "\\PC*", fields in "[0-9a-z\t\n#-]{0,200}") {
             read(&text, 1.0);
             read(&format!("{MAGIC}\n{fields}"), 3.0);
         }
--- a/crates/spurdrum-load/src/transport.rs
+++ b/crates/spurdrum-load/src/transport.rs
@@ -1,4 +1,4 @@
-//! Connections to the target, as clients keep them.
+//! Connections to the target, kept alive and reused as clients do.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -16,9 +16,10 @@
 use crate::client::Outcome;
 use crate::stream::SharedStream;
 
-struct Slot(Rc<Cell<usize>>);
+/// Counts one open connection until it is dropped.
+struct ConnectionPermit(Rc<Cell<usize>>);
 
-impl Drop for Slot {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
@@ -27,104 +28,113 @@
 struct Connection {
     sender: SendRequest<Full<Bytes>>,
     stream: SharedStream,
-    seen: ConnectionInfo,
-    _slot: Slot,
+    info: ConnectionInfo,
+    _permit: ConnectionPermit,
 }
 
-/// A connection as its client sees it when it sends a request.
+/// Facts about a connection at the time its client sends a request on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionInfo {
-    /// The client's end, by which the system's table of sockets names it.
+    /// The client's socket address, which identifies the connection in the operating system's table of sockets.
     pub client: SocketAddr,
-    /// When connecting began.
+    /// When the client began to connect.
     pub connect_started_at: Instant,
-    /// When it came up.
+    /// When the connection was established.
     pub connected_at: Instant,
-    /// Requests that were answered on it before.
+    /// Number of requests answered on the connection before.
     pub answered: u32,
 }
 
-/// How far a request has come.
+/// Progress of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Progress {
-    /// It has no connection yet.
+    /// The request has no connection yet.
     #[default]
     Unsent,
-    /// A connection is being made since then.
+    /// A connection for the request is being opened since this time.
     Connecting(Instant),
-    /// It has been given to this connection.
+    /// The request has been handed to this connection.
     Sent(ConnectionInfo),
 }
 
-/// The connections of all clients together.
+/// A pool of the connections of all clients.
 pub struct Pool {
     target: SocketAddr,
-    most: usize,
-    open: Rc<Cell<usize>>,
+    max_connections: usize,
+    open_connections: Rc<Cell<usize>>,
     idle: RefCell<Vec<Connection>>,
-    /// Connections that were made.
+    /// Number of connections that have been opened.
     pub connections_opened: Cell<u64>,
 }
 
 impl Pool {
-    /// To this target, so many at once.
+    /// Creates a pool of at most this many connections at a time to a target.
     #[must_use]
-    pub fn new(target: SocketAddr, most: usize) -> Self {
-        Self { target, most, open: Rc::default(), idle: RefCell::default(), connections_opened: Cell::new(0) }
+    pub fn new(target: SocketAddr, max_connections: usize) -> Self {
+        Self {
+            target,
+            max_connections,
+            open_connections: Rc::default(),
+            idle: RefCell::default(),
+            connections_opened: Cell::new(0),
+        }
     }
 
-    /// Where its connections go.
+    /// Returns the address that the pool connects to.
     #[must_use]
     pub fn target(&self) -> SocketAddr {
         self.target
     }
 
-    /// Sends a request and reads its whole answer. Dropped, it closes its connection.
-    pub async fn send(&self, request: Request<Full<Bytes>>, keep: bool) -> Outcome {
-        self.send_with_progress(request, keep, &Cell::default()).await
+    /// Sends a request and reads the whole response. Dropping the future closes the connection. `keep_alive` says whether
+    /// the connection is kept for further requests.
+    pub async fn send(&self, request: Request<Full<Bytes>>, keep_alive: bool) -> Outcome {
+        self.send_with_progress(request, keep_alive, &Cell::default()).await
     }
 
-    /// The same, and tells how far it has come: also one that is dropped.
+    /// Does the same as [`send`](Self::send) and keeps `progress` up to date, which stays readable after the future is
+    /// dropped.
     pub async fn send_with_progress(
         &self,
         mut request: Request<Full<Bytes>>,
-        keep: bool,
+        keep_alive: bool,
         progress: &Cell<Progress>,
     ) -> Outcome {
         loop {
             progress.set(Progress::Unsent);
-            let kept = self.idle.borrow_mut().pop();
-            let was_kept = kept.is_some();
-            let mut connection = match kept {
+            let idle = self.idle.borrow_mut().pop();
+            let is_reused = idle.is_some();
+            let mut connection = match idle {
                 Some(connection) => connection,
                 None => match self.connect(progress).await {
                     Some(connection) => connection,
                     None => return Outcome::Unreached,
                 },
             };
-            // Guards against a request on a connection whose end has come and which hyper has not been told of: the end was first, so
-            // nothing of the request is the target's to answer.
-            let has_ended = was_kept && connection.stream.has_input();
+            // Without this check, a request could be sent on a connection that the target has closed and whose end hyper
+            // has not seen yet, and would count as broken. The connection ended first, so the target cannot be expected
+            // to answer any of the request.
+            let has_ended = is_reused && connection.stream.has_input();
             if has_ended || connection.sender.ready().await.is_err() {
-                if was_kept {
+                if is_reused {
                     continue;
                 }
                 return Outcome::Unreached;
             }
-            progress.set(Progress::Sent(connection.seen));
-            let unsent = was_kept.then(|| request.clone());
-            if was_kept {
-                // The task that writes may have its turn much later, on a busy machine.
+            progress.set(Progress::Sent(connection.info));
+            let copy = is_reused.then(|| request.clone());
+            if is_reused {
+                // Checked again at the time of the write: on a busy machine, the task that writes may run much later.
                 connection.stream.write_unless_ended();
             }
             let response = match connection.sender.try_send_request(request).await {
                 Ok(response) => response,
                 Err(error) => {
                     let is_unsent = error.message().is_some() || connection.stream.was_refused();
-                    match unsent.filter(|_| is_unsent) {
-                        // It was closed between requests: the client sends once more, on another.
-                        Some(unsent) => {
-                            request = unsent;
+                    match copy.filter(|_| is_unsent) {
+                        // The connection was closed between requests: the client sends again on another one.
+                        Some(copy) => {
+                            request = copy;
                             continue;
                         }
                         None => return Outcome::Broken,
@@ -137,8 +147,8 @@
                     return Outcome::Broken;
                 }
             }
-            connection.seen.answered += 1;
-            if keep && !connection.sender.is_closed() {
+            connection.info.answered += 1;
+            if keep_alive && !connection.sender.is_closed() {
                 self.idle.borrow_mut().push(connection);
             }
             return match head.status {
@@ -155,21 +165,21 @@
     }
 
     async fn connect(&self, progress: &Cell<Progress>) -> Option<Connection> {
-        if self.open.get() >= self.most {
+        if self.open_connections.get() >= self.max_connections {
             return None;
         }
-        self.open.set(self.open.get() + 1);
-        let slot = Slot(Rc::clone(&self.open));
+        self.open_connections.set(self.open_connections.get() + 1);
+        let permit = ConnectionPermit(Rc::clone(&self.open_connections));
         let connect_started_at = Instant::now();
         progress.set(Progress::Connecting(connect_started_at));
         let stream = TcpStream::connect(self.target).await.ok()?;
         stream.set_nodelay(true).ok()?;
         let client = stream.local_addr().ok()?;
-        let seen = ConnectionInfo { client, connect_started_at, connected_at: Instant::now(), answered: 0 };
+        let info = ConnectionInfo { client, connect_started_at, connected_at: Instant::now(), answered: 0 };
         let stream = SharedStream::new(stream);
         let (sender, connection) = http1::handshake(TokioIo::new(stream.clone())).await.ok()?;
         tokio::task::spawn_local(connection);
         self.connections_opened.set(self.connections_opened.get() + 1);
-        Some(Connection { sender, stream, seen, _slot: slot })
+        Some(Connection { sender, stream, info, _permit: permit })
     }
 }
--- a/crates/spurdrum-load/tests/engine.rs
+++ b/crates/spurdrum-load/tests/engine.rs
@@ -218,7 +218,7 @@
     );
     let report = play(&plan, schedule(&plan), &options(&server));
     assert_eq!((report.all.counts.due, report.all.counts.not_sent), (49, 44));
-    assert!(report.too_slow().is_some() && report.table().contains("BOTTLENECK"));
+    assert!(report.generator_bottleneck().is_some() && report.table().contains("BOTTLENECK"));
     assert!(report.all.counts.goodput() < 0.2);
 }
 
