--- a/crates/spurdrum/tests/node/endings.rs
+++ b/crates/spurdrum/tests/node/endings.rs
@@ -294,13 +294,13 @@
     for round in 0..3 {
         call.answer("503 Down", "", b"");
         call = discovery_call_within(&node, 1)
-            .unwrap_or_else(|| panic!("turn {round}: refused, and none follows"));
+            .unwrap_or_else(|| panic!("round {round}: refused, and none follows"));
     }
     let mut silent = vec![call];
     for round in 0..4 {
         silent.push(
             discovery_call_within(&node, 2)
-                .unwrap_or_else(|| panic!("turn {round}: silent, and none follows")),
+                .unwrap_or_else(|| panic!("round {round}: silent, and none follows")),
         );
     }
 }
--- a/crates/spurdrum/tests/node/pauses.rs
+++ b/crates/spurdrum/tests/node/pauses.rs
@@ -64,8 +64,9 @@
 
 // ---- Requests that wait at servers
 
-/// Requests that wait at a server are answered during a pause of the node. Without this, the pause would be
-/// taken for slowness of the servers, and requests to an idle server would be refused.
+/// Answers requests that wait at a server while the node is paused, and checks that later requests are not
+/// refused. If the node took its pause for slowness of its servers, it would refuse requests to an idle
+/// server.
 fn expect_no_refusals_after_a_pause(class: &str) {
     let server = Server::start();
     let node = Node::with_servers(&[&server]);
@@ -103,9 +104,9 @@
     expect_no_refusals_after_a_pause("pay");
 }
 
-/// During a pause, attempts are in flight for longer than the timeout after which they are abandoned, but
-/// their answers have arrived at the node by then. Abandoning them would run the requests twice and eject
-/// their servers.
+/// Answers attempts during a pause that is longer than the time after which a silent attempt is abandoned,
+/// and checks that none is sent again. Abandoning them although their answers have arrived would run the
+/// requests twice and eject their servers.
 fn expect_no_retry_after_a_pause(length: usize) {
     let servers = [Server::start(), Server::start()];
     let (config, ops) = config_with_admin(&[&servers[0], &servers[1]]);
@@ -225,8 +226,8 @@
     }
 }
 
-/// A long answer must not be abandoned for 5 s of silence when the node was paused for the last part of these
-/// and the rest of the answer arrived during the pause.
+/// A long answer must not be abandoned for 5 s of silence when the node was paused for the last part of that
+/// time and the rest of the answer arrived during the pause.
 #[test]
 fn a_long_answer_whose_rest_arrives_during_a_pause_is_complete() {
     const LENGTH: usize = 8 << 20;
@@ -405,8 +406,8 @@
     asking.join().expect("sent").expect("sent");
 }
 
-/// A request is half sent when the node is paused, and the rest of it arrives during the pause. Without this,
-/// the node's pause would be taken for slowness of its clients.
+/// Sends a part of each request before a pause of the node and the rest during it, and checks that all are
+/// served. If the node took its pause for slowness of its clients, it would answer with a timeout.
 fn expect_served_when_the_rest_arrives_during_a_pause(part: impl Fn(usize) -> usize) {
     let server = Server::start();
     let node = Node::with_servers(&[&server]);
