--- a/crates/spurdrum-affinity/tests/affinity.rs
+++ b/crates/spurdrum-affinity/tests/affinity.rs
@@ -203,8 +203,8 @@
                 next.set(1, Availability::Ready);
                 next.set(1, Availability::Ready);
             }
-            record::PendingWrite::Slot(at, Some(stored)) => {
-                next.affinity.restore_binding(next.now, at, &stored)
+            record::PendingWrite::Slot(slot, Some(stored)) => {
+                next.affinity.restore_binding(next.now, slot, &stored)
             }
             other => panic!("{other:?}"),
         }
--- a/crates/spurdrum-store/src/disk.rs
+++ b/crates/spurdrum-store/src/disk.rs
@@ -32,7 +32,7 @@
     pub value: Option<Vec<u8>>,
 }
 
-/// Identifies by whom a file was written. A file with another identity is not read.
+/// Identifies the format of a file and the node that wrote it. A file with another identity is not read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FileIdentity {
     /// The version of the form of the rows.
