--- a/crates/spurdrum-load/src/lib.rs
+++ b/crates/spurdrum-load/src/lib.rs
@@ -11,17 +11,17 @@
 //! - [`schedule`]: when requests are due and what they contain, from a plan and a seed, without a clock
 //! - [`trace`]: the same from a recorded file, read as a stream
 //! - [`client`]: whether and when a client retries
-//! - [`firsts`]: groups the attempts of each request
+//! - [`request_tracker`]: groups the attempts of each request
 //! - [`run`]: the engine that sends requests
 //! - [`report`]: statistics, requirements, JSON and histogram log
 //! - [`transport`]: connections to a target, pooled as clients do
 //! - [`html`]: the report as a single HTML page
 
 pub mod client;
-pub mod firsts;
 pub mod html;
 pub mod plan;
 pub mod report;
+pub mod request_tracker;
 pub mod run;
 pub mod schedule;
 mod stream;
--- a/crates/spurdrum-load/src/report.rs
+++ b/crates/spurdrum-load/src/report.rs
@@ -10,8 +10,8 @@
 use serde::Serialize;
 
 use crate::client::Outcome;
-use crate::firsts::RequestOutcome;
 use crate::plan::Plan;
+use crate::request_tracker::RequestOutcome;
 use crate::Arrival;
 
 /// Longest latency that the histograms can represent, in microseconds; longer ones are recorded as this one.
--- a/crates/spurdrum-load/src/run.rs
+++ b/crates/spurdrum-load/src/run.rs
@@ -18,9 +18,9 @@
 use tokio::time::{interval, sleep, timeout, MissedTickBehavior};
 
 use crate::client::{retry_delay, Outcome};
-use crate::firsts::RequestTracker;
 use crate::plan::{Effect, Phase, Plan};
 use crate::report::{Recorder, Report};
+use crate::request_tracker::RequestTracker;
 use crate::transport::Pool;
 use crate::Arrival;
 
