--- a/crates/spurdrum-load/src/client.rs
+++ b/crates/spurdrum-load/src/client.rs
@@ -28,11 +28,11 @@
     NotSent,
 }
 
-/// Returns how long the client waits before it retries after an attempt with this outcome, or none where it gives the
-/// request up.
+/// Returns how long the client waits before it retries after an attempt with this outcome, or none where it
+/// gives the request up.
 ///
-/// `attempts` is the number of attempts made so far; `remaining` is the time until the deadline, which counts from when
-/// the first attempt was due; `draw` is a random number from 0 to 1.
+/// `attempts` is the number of attempts made so far; `remaining` is the time until the deadline, which counts
+/// from when the first attempt was due; `draw` is a random number from 0 to 1.
 pub fn retry_delay(
     clients: &Clients,
     outcome: Outcome,
--- a/crates/spurdrum-load/src/lib.rs
+++ b/crates/spurdrum-load/src/lib.rs
@@ -1,11 +1,11 @@
 //! An open-loop load generator.
 //!
-//! A plan or a trace determines when each request is due, regardless of how earlier requests went, and latency is
-//! measured from the moment a request was due. A closed-loop generator, which waits for a response before it sends the
-//! next request, slows down together with the server and never measures how long the requests that should have been
-//! sent in the meantime would have waited (coordinated omission); an open-loop generator does measure them. How late
-//! requests were actually sent is recorded separately, so that a report shows when the generator itself was the
-//! bottleneck.
+//! A plan or a trace determines when each request is due, regardless of how earlier requests went, and
+//! latency is measured from the moment a request was due. A closed-loop generator, which waits for a response
+//! before it sends the next request, slows down together with the server and never measures how long the
+//! requests that should have been sent in the meantime would have waited (coordinated omission); an open-loop
+//! generator does measure them. How late requests were actually sent is recorded separately, so that a report
+//! shows when the generator itself was the bottleneck.
 //!
 //! - [`plan`]: the load to generate, from a TOML file
 //! - [`schedule`]: when requests are due and what they contain, from a plan and a seed, without a clock
--- a/crates/spurdrum-load/src/main.rs
+++ b/crates/spurdrum-load/src/main.rs
@@ -15,8 +15,8 @@
 use spurdrum_load::schedule::Schedule;
 use spurdrum_load::trace::{Reader, Writer};
 
-/// An open-loop load generator: a plan or a trace determines when requests are due, regardless of how earlier ones went,
-/// and latency is measured from when a request was due.
+/// An open-loop load generator: a plan or a trace determines when requests are due, regardless of how earlier
+/// ones went, and latency is measured from when a request was due.
 #[derive(Parser)]
 #[command(version, about)]
 struct Cli {
@@ -65,8 +65,8 @@
     /// Factor by which a trace is replayed faster.
     #[arg(long, default_value_t = 1.0)]
     speed: f64,
-    /// Closed loop: instead of the schedule, this many clients, each of which waits for the response before its next
-    /// request. Its latencies hide stalls.
+    /// Closed loop: instead of the schedule, this many clients, each of which waits for the response before
+    /// its next request. Its latencies hide stalls.
     #[arg(long)]
     closed: Option<usize>,
     /// Number of event loops that send, each in a thread of its own.
--- a/crates/spurdrum-load/src/plan.rs
+++ b/crates/spurdrum-load/src/plan.rs
@@ -34,7 +34,8 @@
     pub for_s: f64,
     /// How the rate changes over time.
     pub shape: Shape,
-    /// Requests per second: the constant rate, the mean of a wave, the start of a ramp, or the base rate between bursts.
+    /// Requests per second: the constant rate, the mean of a wave, the start of a ramp, or the base rate
+    /// between bursts.
     #[serde(default)]
     pub rate: f64,
     /// Rate at the end of a ramp.
@@ -89,7 +90,8 @@
     /// How many of all, against the others' shares.
     #[serde(default = "default_share")]
     pub share: f64,
-    /// Effect of executing a request twice, which determines the method and whether an idempotency key is sent.
+    /// Effect of executing a request twice, which determines the method and whether an idempotency key is
+    /// sent.
     #[serde(default)]
     pub effect: Effect,
     /// Latency objective in seconds from when the request was due; a later response counts as late.
@@ -158,8 +160,8 @@
     pub connections: usize,
     /// Whether retries carry `X-Retry: 1`.
     pub marks_retry: bool,
-    /// Maximum number of requests in flight. Requests beyond it are not sent, and the report says that the generator was
-    /// the bottleneck.
+    /// Maximum number of requests in flight. Requests beyond it are not sent, and the report says that the
+    /// generator was the bottleneck.
     pub in_flight: usize,
 }
 
@@ -220,8 +222,8 @@
         Ok(plan)
     }
 
-    /// Checks the values. The error has the key of the invalid value, the index among the keys of this name, and the
-    /// reason.
+    /// Checks the values. The error has the key of the invalid value, the index among the keys of this name,
+    /// and the reason.
     fn check(&self) -> Result<(), (&'static str, usize, String)> {
         let positive = |x: f64| x.is_finite() && x > 0.0;
         let fraction = |x: f64| (0.0..=1.0).contains(&x);
--- a/crates/spurdrum-load/src/report.rs
+++ b/crates/spurdrum-load/src/report.rs
@@ -138,7 +138,8 @@
         Self { due: 0, served: 0, in_time: 0, max_us: 0, buckets: Box::new([0; LATENCY_BUCKETS]) }
     }
 
-    /// Returns a quantile of the latencies in milliseconds: the upper bound of its bucket, or the maximum if that is lower.
+    /// Returns a quantile of the latencies in milliseconds: the upper bound of its bucket, or the maximum if
+    /// that is lower.
     fn quantile_ms(&self, q: f64) -> f64 {
         let target = (self.served as f64 * q).ceil() as u64;
         let mut cumulative = 0;
@@ -363,8 +364,8 @@
 }
 
 impl Report {
-    /// Returns how the generator, and not the target, delayed requests, or none if it did not. If it did, the latencies
-    /// do not describe the target.
+    /// Returns how the generator, and not the target, delayed requests, or none if it did not. If it did, the
+    /// latencies do not describe the target.
     pub fn generator_bottleneck(&self) -> Option<String> {
         let due = self.all.counts.due.max(1);
         if self.all.counts.not_sent > 0 {
--- a/crates/spurdrum-load/src/request_tracker.rs
+++ b/crates/spurdrum-load/src/request_tracker.rs
@@ -1,5 +1,5 @@
-//! Groups attempts by the request that they belong to. A retry counts towards the request whose first attempt it
-//! repeats, and so does its latency.
+//! Groups attempts by the request that they belong to. A retry counts towards the request whose first attempt
+//! it repeats, and so does its latency.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -48,8 +48,8 @@
         Self { requests: HashMap::with_capacity(requests), ..Self::default() }
     }
 
-    /// Records that an attempt is due. `timeout_us` is the time from the due time of the request's first attempt to
-    /// its deadline.
+    /// Records that an attempt is due. `timeout_us` is the time from the due time of the request's first
+    /// attempt to its deadline.
     pub fn attempt_due(&mut self, arrival: Arrival, timeout_us: u64) {
         let request_id = arrival.retry_of.unwrap_or(arrival.id);
         match self.requests.get_mut(&request_id) {
@@ -72,8 +72,8 @@
         }
     }
 
-    /// Records that an attempt ended `now_us` microseconds after the start of the run. `will_retry` says that the
-    /// client will make a further attempt, which then counts as in flight without a call of
+    /// Records that an attempt ended `now_us` microseconds after the start of the run. `will_retry` says that
+    /// the client will make a further attempt, which then counts as in flight without a call of
     /// [`attempt_due`](Self::attempt_due).
     pub fn attempt_ended(&mut self, arrival: &Arrival, outcome: Outcome, now_us: u64, will_retry: bool) {
         let Some(request) = self.requests.get_mut(&arrival.retry_of.unwrap_or(arrival.id)) else { return };
@@ -85,8 +85,9 @@
         request.last_outcome = Some(outcome);
     }
 
-    /// Removes every request whose deadline has passed and that has no attempt in flight, and calls `on_final` with its
-    /// final outcome. With `u64::MAX` as the time, removes all requests, also those with attempts in flight.
+    /// Removes every request whose deadline has passed and that has no attempt in flight, and calls
+    /// `on_final` with its final outcome. With `u64::MAX` as the time, removes all requests, also those with
+    /// attempts in flight.
     pub fn finalize(&mut self, now_us: u64, mut on_final: impl FnMut(&Arrival, RequestOutcome)) {
         let mut in_flight = Vec::new();
         while let Some((deadline_us, request_id)) =
--- a/crates/spurdrum-load/src/run.rs
+++ b/crates/spurdrum-load/src/run.rs
@@ -1,5 +1,5 @@
-//! The engine: one thread that releases requests when they are due (the pacer), and event loops that send them, each in
-//! a thread of its own.
+//! The engine: one thread that releases requests when they are due (the pacer), and event loops that send
+//! them, each in a thread of its own.
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -26,11 +26,11 @@
 
 /// Maximum number of requests that are due and that the event loops have not taken yet.
 const MAX_QUEUED: usize = 65_536;
-/// Interval at which requests are finalized. It is short, so that few are finalized at a time: requests that become due
-/// in the meantime have to wait.
+/// Interval at which requests are finalized. It is short, so that few are finalized at a time: requests that
+/// become due in the meantime have to wait.
 const FINALIZE_INTERVAL: Duration = Duration::from_millis(10);
-/// Upper limit on the number of unfinalized requests for which memory is reserved at the start. Without the reservation,
-/// sends would be delayed while the table of requests grows.
+/// Upper limit on the number of unfinalized requests for which memory is reserved at the start. Without the
+/// reservation, sends would be delayed while the table of requests grows.
 const MAX_RESERVED_REQUESTS: f64 = 1e6;
 /// Interval at which the pacer thread and the progress output check whether the run is to end.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
@@ -42,13 +42,14 @@
     pub target: SocketAddr,
     /// Seed of the clients' random choices.
     pub seed: u64,
-    /// Closed loop: instead of a schedule, this many clients, each of which waits for a response before it sends its
-    /// next request, for this long. Its latencies hide what a stalled target does to the requests that would have been
-    /// sent in the meantime; the mode exists to demonstrate that.
+    /// Closed loop: instead of a schedule, this many clients, each of which waits for a response before it
+    /// sends its next request, for this long. Its latencies hide what a stalled target does to the requests
+    /// that would have been sent in the meantime; the mode exists to demonstrate that.
     pub closed: Option<(usize, Duration)>,
     /// The run is stopped after this time.
     pub max_duration: Duration,
-    /// Number of event loops that send. The limits on connections and on attempts in flight are divided among them.
+    /// Number of event loops that send. The limits on connections and on requests in flight are divided among
+    /// them.
     pub threads: usize,
 }
 
@@ -85,8 +86,8 @@
     next_id: Cell<u64>,
 }
 
-/// Runs until the schedule has ended and every request is finalized, or until `stop` completes. Calls `on_progress`
-/// with a line of statistics once a second.
+/// Runs until the schedule has ended and every request is finalized, or until `stop` completes. Calls
+/// `on_progress` with a line of statistics once a second.
 pub fn run(
     plan: &Plan,
     arrivals: Arrivals,
@@ -158,8 +159,8 @@
     Ok(report)
 }
 
-/// Runs the event loop with this index, of `threads` in total: sends the attempts that arrive on its queue until the
-/// queue is closed, then waits for the responses.
+/// Runs the event loop with this index, of `threads` in total: sends the attempts that arrive on its queue
+/// until the queue is closed, then waits for the responses.
 fn run_event_loop(
     shared: Arc<Shared>,
     index: usize,
@@ -226,9 +227,9 @@
     Ok(())
 }
 
-/// Passes each attempt to the queue of an event loop when it is due, and returns how many it passed and the error that
-/// ended the arrivals, if any. It sleeps in a thread of its own: an event loop that is busy or has coarse timers would
-/// release every attempt late.
+/// Passes each attempt to the queue of an event loop when it is due, and returns how many it passed and the
+/// error that ended the arrivals, if any. It sleeps in a thread of its own: an event loop that is busy or has
+/// coarse timers would release every attempt late.
 fn pace(shared: &Shared, arrivals: Arrivals, queues: &[mpsc::Sender<Arrival>]) -> (u64, Option<String>) {
     let mut count = 0;
     for arrival in arrivals {
--- a/crates/spurdrum-load/src/schedule.rs
+++ b/crates/spurdrum-load/src/schedule.rs
@@ -1,5 +1,5 @@
-//! Generates when requests are due and what they contain, from a plan and a seed, without a clock. The same seed gives
-//! the same schedule, byte for byte, on every machine.
+//! Generates when requests are due and what they contain, from a plan and a seed, without a clock. The same
+//! seed gives the same schedule, byte for byte, on every machine.
 
 use crate::plan::{ArrivalProcess, Phase, Plan, Shape};
 use crate::Arrival;
@@ -14,8 +14,8 @@
     sampler: RequestSampler,
 }
 
-/// Draws what requests contain. It has a random generator of its own, so that a change of the contents does not change
-/// when requests are due, and the other way round.
+/// Draws what requests contain. It has a random generator of its own, so that a change of the contents does
+/// not change when requests are due, and the other way round.
 struct RequestSampler {
     rng: fastrand::Rng,
     cumulative_class_shares: Vec<f64>,
@@ -85,8 +85,9 @@
     u16::try_from(index.min(cumulative_shares.len().saturating_sub(1))).unwrap_or(u16::MAX)
 }
 
-/// Generates the times of arrivals within a phase. From one arrival to the next, the integral of the rate rises by 1
-/// where arrivals are even, and by an exponentially distributed random number where they are Poisson.
+/// Generates the times of arrivals within a phase. From one arrival to the next, the integral of the rate
+/// rises by 1 where arrivals are even, and by an exponentially distributed random number where they are
+/// Poisson.
 struct ArrivalTimes {
     rng: fastrand::Rng,
     /// Integral of the rate from the start of the phase to the last arrival that is not part of a burst.
@@ -110,7 +111,8 @@
         (self.rate_integral, self.bursts, self.left_in_burst, self.next_base_s) = (0.0, 0, 0, None);
     }
 
-    /// Returns the time of the next arrival in seconds from the start of the phase, or none if the phase ends first.
+    /// Returns the time of the next arrival in seconds from the start of the phase, or none if the phase ends
+    /// first.
     fn next(&mut self, phase: &Phase) -> Option<f64> {
         if self.left_in_burst > 0 {
             self.left_in_burst -= 1;
@@ -158,8 +160,8 @@
     }
 }
 
-/// Returns the integral of the rate over the first `time_s` seconds of a phase: the expected number of requests, without
-/// bursts.
+/// Returns the integral of the rate over the first `time_s` seconds of a phase: the expected number of
+/// requests, without bursts.
 fn integral(phase: &Phase, time_s: f64) -> f64 {
     match phase.shape {
         Shape::Constant | Shape::Bursts => phase.rate * time_s,
@@ -183,8 +185,8 @@
     }
 }
 
-/// Draws numbers from 0 on, low ones more often. It inverts the integral of the density, which for large counts is close
-/// to the sum of Zipf's law and needs no table.
+/// Draws numbers from 0 on, low ones more often. It inverts the integral of the density, which for large
+/// counts is close to the sum of Zipf's law and needs no table.
 struct Zipf {
     count: f64,
     exponent: f64,
--- a/crates/spurdrum-load/src/stream.rs
+++ b/crates/spurdrum-load/src/stream.rs
@@ -37,8 +37,8 @@
         Self { socket: Rc::new(stream), next_write: Rc::new(Cell::new(NextWrite::Allowed)) }
     }
 
-    /// Makes the next write, the beginning of a request, fail without writing anything if the target has ended the
-    /// connection by then.
+    /// Makes the next write, the beginning of a request, fail without writing anything if the target has
+    /// ended the connection by then.
     pub fn write_unless_ended(&self) {
         self.next_write.set(NextWrite::UnlessEnded);
     }
@@ -58,8 +58,8 @@
         !self.was_refused()
     }
 
-    /// Returns whether the target has closed or reset the connection, or sent bytes that no request asked for. It peeks
-    /// at the socket itself, because the event loop may not have been notified yet.
+    /// Returns whether the target has closed or reset the connection, or sent bytes that no request asked
+    /// for. It peeks at the socket itself, because the event loop may not have been notified yet.
     #[must_use]
     pub fn has_input(&self) -> bool {
         let peeked = SockRef::from(&*self.socket).peek(&mut [MaybeUninit::uninit()]);
--- a/crates/spurdrum-load/src/trace.rs
+++ b/crates/spurdrum-load/src/trace.rs
@@ -1,7 +1,7 @@
 //! Recorded traces, read as a stream: only one line is in memory at a time, however long the trace is.
 //!
-//! A trace is text. Its first line is `spurdrum-trace 1`; each further line is an attempt with its fields separated by
-//! single tabs. The attempts are in the order in which they were due:
+//! A trace is text. Its first line is `spurdrum-trace 1`; each further line is an attempt with its fields
+//! separated by single tabs. The attempts are in the order in which they were due:
 //!
 //! ```text
 //! due_us  id  first  class  tenant  key  bytes
@@ -9,9 +9,9 @@
 //! 5000    2   1      update inns    77   212
 //! ```
 //!
-//! `first` is `-` for a first attempt, and for a retry the id of the first attempt that it repeats. `class` and `tenant`
-//! are names from the plan; `tenant` is `-` if the plan has no tenants. Empty lines and lines that begin with `#` are
-//! skipped.
+//! `first` is `-` for a first attempt, and for a retry the id of the first attempt that it repeats. `class`
+//! and `tenant` are names from the plan; `tenant` is `-` if the plan has no tenants. Empty lines and lines
+//! that begin with `#` are skipped.
 
 use std::collections::HashMap;
 use std::io::{BufRead, Write};
@@ -36,7 +36,8 @@
 }
 
 impl<R: BufRead> Reader<R> {
-    /// Creates a reader and reads the first line. With a `speed` of 2, the trace is replayed in half of its time.
+    /// Creates a reader and reads the first line. With a `speed` of 2, the trace is replayed in half of its
+    /// time.
     pub fn new(mut source: R, plan: &Plan, speed: f64) -> Result<Self, String> {
         if !(speed.is_finite() && speed > 0.0) {
             return Err(format!("invalid speed {speed}: must be above 0"));
--- a/crates/spurdrum-load/src/transport.rs
+++ b/crates/spurdrum-load/src/transport.rs
@@ -35,7 +35,8 @@
 /// Facts about a connection at the time its client sends a request on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionInfo {
-    /// The client's socket address, which identifies the connection in the operating system's table of sockets.
+    /// The client's socket address, which identifies the connection in the operating system's table of
+    /// sockets.
     pub client: SocketAddr,
     /// When the client began to connect.
     pub connect_started_at: Instant,
@@ -86,14 +87,14 @@
         self.target
     }
 
-    /// Sends a request and reads the whole response. Dropping the future closes the connection. `keep_alive` says whether
-    /// the connection is kept for further requests.
+    /// Sends a request and reads the whole response. Dropping the future closes the connection. `keep_alive`
+    /// says whether the connection is kept for further requests.
     pub async fn send(&self, request: Request<Full<Bytes>>, keep_alive: bool) -> Outcome {
         self.send_with_progress(request, keep_alive, &Cell::default()).await
     }
 
-    /// Does the same as [`send`](Self::send) and keeps `progress` up to date, which stays readable after the future is
-    /// dropped.
+    /// Does the same as [`send`](Self::send) and keeps `progress` up to date, which stays readable after the
+    /// future is dropped.
     pub async fn send_with_progress(
         &self,
         mut request: Request<Full<Bytes>>,
@@ -111,9 +112,9 @@
                     None => return Outcome::Unreached,
                 },
             };
-            // Without this check, a request could be sent on a connection that the target has closed and whose end hyper
-            // has not seen yet, and would count as broken. The connection ended first, so the target cannot be expected
-            // to answer any of the request.
+            // Without this check, a request could be sent on a connection that the target has closed and
+            // whose end hyper has not seen yet, and would count as broken. The connection ended first, so the
+            // target cannot be expected to answer any of the request.
             let has_ended = is_reused && connection.stream.has_input();
             if has_ended || connection.sender.ready().await.is_err() {
                 if is_reused {
@@ -124,7 +125,8 @@
             progress.set(Progress::Sent(connection.info));
             let copy = is_reused.then(|| request.clone());
             if is_reused {
-                // Checked again at the time of the write: on a busy machine, the task that writes may run much later.
+                // Checked again at the time of the write: on a busy machine, the task that writes may run
+                // much later.
                 connection.stream.write_unless_ended();
             }
             let response = match connection.sender.try_send_request(request).await {
--- a/crates/spurdrum-load/tests/engine.rs
+++ b/crates/spurdrum-load/tests/engine.rs
@@ -13,8 +13,8 @@
 use spurdrum_load::schedule::Schedule;
 use spurdrum_load::trace::Reader;
 
-/// Returns the status and additional header lines of the response, given the id of a request and the number of requests
-/// received so far. A status of 0 closes the connection without a response.
+/// Returns the status and additional header lines of the response, given the id of a request and the number
+/// of requests received so far. A status of 0 closes the connection without a response.
 type Script = Arc<dyn Fn(&str, usize) -> (u16, &'static str) + Send + Sync>;
 
 /// A server that responds according to its script. It stalls for two seconds from `stalls_at` on.
@@ -115,8 +115,8 @@
     Box::new(Reader::new(text.as_bytes(), plan, 1.0).expect("a trace"))
 }
 
-/// An open loop measures a stall of two seconds in the latencies of all requests that were due during it. A closed loop
-/// hides the stall: only the requests in flight are delayed, and no others are sent.
+/// An open loop measures a stall of two seconds in the latencies of all requests that were due during it. A
+/// closed loop hides the stall: only the requests in flight are delayed, and no others are sent.
 #[test]
 fn a_stall_delays_all_requests_due_in_an_open_loop_and_only_one_in_a_closed_loop() {
     let ok: Script = Arc::new(|_, _| (200, ""));
@@ -154,8 +154,8 @@
 }
 
 impl StallLatencies for Report {
-    /// Returns whether the latencies during a stall are spread evenly between zero and the length of the stall, as those of
-    /// an even schedule are.
+    /// Returns whether the latencies during a stall are spread evenly between zero and the length of the
+    /// stall, as those of an even schedule are.
     fn stall_latencies_are_spread(&self) -> bool {
         let count_between = |from_us: u64, to_us: u64| {
             let is_between = |latency_us: u64| (from_us..to_us).contains(&latency_us);
@@ -169,9 +169,9 @@
     }
 }
 
-/// The expected counts, worked out by hand: request 1 is served at once; 2 is served by its retry; 3 is refused twice; 4
-/// fails and is not retried; of 5, only the retry is served, on a connection of its own. The retry of 6 belongs to no
-/// request of the trace.
+/// The expected counts, worked out by hand: request 1 is served at once; 2 is served by its retry; 3 is
+/// refused twice; 4 fails and is not retried; of 5, only the retry is served, on a connection of its own. The
+/// retry of 6 belongs to no request of the trace.
 #[test]
 fn a_trace_with_retries_is_counted_by_first_attempts() {
     const TEXT: &str = "spurdrum-trace 1\n0\t1\t-\tupdate\tinns\t7\t4\n1000\t2\t-\tupdate\tinns\t7\t4\n2000\t3\t-\tupdate\tinns\t7\t4\n\
@@ -223,8 +223,8 @@
     assert_eq!(marked, 4);
 }
 
-/// Requests that the generator cannot send must not make the results look better: they lower the goodput, and the report
-/// names the generator as the bottleneck.
+/// Requests that the generator cannot send must not make the results look better: they lower the goodput, and
+/// the report names the generator as the bottleneck.
 #[test]
 fn requests_that_cannot_be_sent_are_counted_and_reported() {
     let server = Server::start(Arc::new(|_, _| (200, "")), Some(Duration::ZERO));
--- a/crates/spurdrum-load/tests/plan.rs
+++ b/crates/spurdrum-load/tests/plan.rs
@@ -1,4 +1,5 @@
-//! Parsing a plan with arbitrary corruptions never panics: the plan is accepted, or rejected with a line number.
+//! Parsing a plan with arbitrary corruptions never panics: the plan is accepted, or rejected with a line
+//! number.
 
 use proptest::prelude::*;
 use spurdrum_load::plan::Plan;
--- a/crates/spurdrum-load/tests/transport.rs
+++ b/crates/spurdrum-load/tests/transport.rs
@@ -64,7 +64,8 @@
     })
 }
 
-/// A request that the target has read must not be sent again: that would hide broken connections in the results.
+/// A request that the target has read must not be sent again: that would hide broken connections in the
+/// results.
 #[test]
 fn a_connection_closed_during_a_request_breaks_the_request_whether_reused_or_new() {
     let reused = send_requests(start_target(&[&[Action::Respond, Action::Close], &[Action::Respond]]), 3);
@@ -76,8 +77,8 @@
     );
 }
 
-/// A target that answers a request on a first connection, closes that connection on command, and answers a request on a
-/// second connection.
+/// A target that answers a request on a first connection, closes that connection on command, and answers a
+/// request on a second connection.
 struct ClosingTarget {
     address: SocketAddr,
     /// Commands the target to close the first connection.
@@ -110,9 +111,9 @@
     Request::get("/").header("host", "origin").body(Full::new(Bytes::new())).expect("valid request")
 }
 
-/// Sends two requests and expects both to be served, each on a connection of its own. The target closes the first
-/// connection while the event loop is blocked: before the pool checks the connection for the second request, or after the
-/// check where `checked_before_close` is set.
+/// Sends two requests and expects both to be served, each on a connection of its own. The target closes the
+/// first connection while the event loop is blocked: before the pool checks the connection for the second
+/// request, or after the check where `checked_before_close` is set.
 fn assert_both_requests_served(checked_before_close: bool) {
     let ClosingTarget { address, close, closed, thread } = start_closing_target();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
@@ -137,14 +138,15 @@
     assert_eq!(thread.join().expect("target finished"), 0, "bytes were sent on the closed connection");
 }
 
-/// Without the check, a request would be sent on a connection that the target has already closed, and would count as
-/// broken by the target.
+/// Without the check, a request would be sent on a connection that the target has already closed, and would
+/// count as broken by the target.
 #[test]
 fn a_closed_connection_is_not_reused_even_if_the_event_loop_has_not_been_notified() {
     assert_both_requests_served(false);
 }
 
-/// The same fault, where the target closes the connection after the pool has chosen it and before anything is written.
+/// The same fault, where the target closes the connection after the pool has chosen it and before anything is
+/// written.
 #[test]
 fn a_connection_closed_before_the_request_is_written_is_not_used() {
     assert_both_requests_served(true);
