--- a/crates/spurdrum-fleet/src/chart.rs
+++ b/crates/spurdrum-fleet/src/chart.rs
@@ -14,7 +14,7 @@
     let mut begun = vec![vec![0.0; seconds]; history.servers.len()];
     for worked in history.attempts.iter().filter(|worked| worked.begun >= 0.0) {
         if let Some(cell) = begun[worked.server].get_mut(worked.begun as usize) {
-            *cell += history.servers[worked.server].work / history.servers[worked.server].workers as f64;
+            *cell += history.servers[worked.server].service_s / history.servers[worked.server].workers as f64;
         }
     }
     let most = begun.iter().flatten().copied().fold(0.1, f64::max);
--- a/crates/spurdrum-fleet/src/figures.rs
+++ b/crates/spurdrum-fleet/src/figures.rs
@@ -140,8 +140,8 @@
 /// Servers that are there for less than a fifth of the stretch are left out; others count for the part in which they are.
 fn spread(history: &History, begun: &[Vec<f64>], (from, to): (f64, f64)) -> (f64, f64, f64, f64) {
     let sizes = history.servers.iter().zip(begun).map(|(server, times)| {
-        let up = server.up(from, to) / (to - from).max(1e-9);
-        (server.workers as f64 / server.work.max(1e-9) * up, times.len() as f64, up)
+        let up = server.available_s(from, to) / (to - from).max(1e-9);
+        (server.workers as f64 / server.service_s.max(1e-9) * up, times.len() as f64, up)
     });
     let counted: Vec<(f64, f64)> =
         sizes.filter(|(.., up)| *up >= 0.2).map(|(size, sent, _)| (size, sent)).collect();
@@ -174,7 +174,7 @@
         let now = at.clamp(from, to);
         if now > before {
             if held.iter().zip(&workers).any(|(held, workers)| held - workers >= 2) {
-                let up = |n: usize| history.servers[n].up(before, before + 1e-6) > 0.0;
+                let up = |n: usize| history.servers[n].available_s(before, before + 1e-6) > 0.0;
                 let free = (0..held.len()).filter(|n| held[*n] < workers[*n] && up(*n)).count();
                 idle += (now - before) * free as f64;
             }
@@ -186,18 +186,18 @@
 }
 
 fn herd(history: &History, begun: &[Vec<f64>], (from, to): (f64, f64)) -> f64 {
-    let size = |server: &Server| server.workers as f64 / server.work.max(1e-9);
-    let sizes: f64 = history.servers.iter().map(|server| size(server) * server.up(from, to)).sum();
+    let size = |server: &Server| server.workers as f64 / server.service_s.max(1e-9);
+    let sizes: f64 = history.servers.iter().map(|server| size(server) * server.available_s(from, to)).sum();
     let each = begun.iter().map(|times| times.len() as f64).sum::<f64>() / sizes.max(1e-9);
     let of = |(server, times): (&Server, &Vec<f64>)| {
         let mut first = 0;
         let most = times.iter().enumerate().map(|(n, at)| {
-            while at - times[first] > server.work {
+            while at - times[first] > server.service_s {
                 first += 1;
             }
             n + 1 - first
         });
-        let usual = poisson(each * size(server) * server.work, 0.999);
+        let usual = poisson(each * size(server) * server.service_s, 0.999);
         most.max().unwrap_or(0) as f64 / usual as f64
     };
     history.servers.iter().zip(begun).map(of).fold(0.0, f64::max)
@@ -238,10 +238,10 @@
 pub fn by_capacity(history: &History) -> Vec<(f64, f64)> {
     let (from, to) = (history.length / 5.0, history.length);
     let mut sums: std::collections::BTreeMap<u64, (f64, f64)> = std::collections::BTreeMap::new();
-    let size = |server: &Server| server.workers as f64 / server.work.max(1e-9);
+    let size = |server: &Server| server.workers as f64 / server.service_s.max(1e-9);
     let key = |server: &Server| (size(server) * 1000.0).round() as u64;
     for server in &history.servers {
-        sums.entry(key(server)).or_default().0 += size(server) * server.up(from, to);
+        sums.entry(key(server)).or_default().0 += size(server) * server.available_s(from, to);
     }
     for worked in history.attempts.iter().filter(|worked| (from..to).contains(&worked.begun)) {
         sums.entry(key(&history.servers[worked.server])).or_default().1 += 1.0;
@@ -288,11 +288,11 @@
         Server {
             name: name.into(),
             workers,
-            work: 0.04,
+            service_s: 0.04,
             drains_at: None,
             slow_start: None,
-            paused: Vec::new(),
-            alive: (0.0, f64::MAX),
+            unavailable: Vec::new(),
+            lifetime: (0.0, f64::MAX),
         }
     }
 
@@ -318,7 +318,7 @@
         let idle = between(&history, 2.0, 10.0).idle;
         assert!((idle - 3.0 / 16.0).abs() < 1e-9, "{idle}");
         let mut still = history.clone();
-        still.servers[1].paused.push((0.0, 20.0));
+        still.servers[1].unavailable.push((0.0, 20.0));
         assert_eq!(between(&still, 2.0, 10.0).idle, 0.0);
     }
 
--- a/crates/spurdrum-fleet/src/history.rs
+++ b/crates/spurdrum-fleet/src/history.rs
@@ -1,29 +1,29 @@
-//! What clients, servers and nodes saw of one run, joined by request.
+//! The record of one run: what clients, servers and nodes observed, joined by request id.
 
 use std::collections::BTreeMap;
 
 use spurdrum_load::client::Outcome;
 use spurdrum_load::plan::Effect;
 
-/// How a request ended for its client.
+/// How a request ended from its client's point of view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// 200.
+    /// The answer was 200.
     Served,
-    /// 429 or 503.
+    /// The answer was 429 or 503.
     Refused,
-    /// Another answer.
+    /// The answer had any other status.
     Failed,
-    /// A connection that ended without one.
+    /// The connection ended without an answer.
     Broken,
-    /// No answer while its client waited, and a moment more.
+    /// No answer came within the client's deadline plus the scenario's slack.
     NoAnswer,
     /// No node could be reached.
     Unreached,
 }
 
 impl End {
-    /// How a request ended that its client has heard of.
+    /// Converts the load client's outcome of a request that has ended.
     #[must_use]
     pub fn of(outcome: Outcome) -> Self {
         match outcome {
@@ -39,23 +39,23 @@
 /// One request, as its client saw it. Times are seconds from the start of the run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestRecord {
-    /// Its id.
+    /// The request's id.
     pub id: u64,
-    /// The node that was asked.
+    /// Index of the node that the request was sent to last.
     pub node: usize,
-    /// What running it twice does.
+    /// Whether running the request twice has an effect.
     pub effect: Effect,
-    /// When it was due.
+    /// When the request was due to be sent.
     pub due: f64,
-    /// How late it was sent, by the rig's own fault.
+    /// How late the rig itself sent the request, in seconds.
     pub lag: f64,
-    /// When it ended.
+    /// When the request ended.
     pub ended: f64,
-    /// How.
+    /// How the request ended.
     pub end: End,
-    /// What its client waits in all, in seconds.
+    /// How long the client waits in total, in seconds.
     pub deadline: f64,
-    /// Where it was broken off or left without an answer: its connection, for people.
+    /// Description of the connection, for diagnosis; set where the connection broke or no answer came.
     pub connection: Option<String>,
 }
 
@@ -64,139 +64,141 @@
 pub struct ServerAttempt {
     /// The request's id.
     pub id: u64,
-    /// Place of the server in [`History::servers`].
+    /// Index of the server in [`History::servers`].
     pub server: usize,
-    /// When its last byte had come.
+    /// When the server had received the last byte of the request.
     pub begun: f64,
-    /// When it was answered, or its node left.
+    /// When the server answered, or saw the node close the connection.
     pub ended: Option<f64>,
 }
 
-/// One server.
+/// A stand-in server of the run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Server {
-    /// Its name.
+    /// Name of the server.
     pub name: String,
-    /// Requests that it works on at once.
+    /// Number of requests that the server works on concurrently.
     pub workers: usize,
-    /// Mean time of a request there, in seconds.
-    pub work: f64,
-    /// From when it takes nothing new by the list, where that comes, and discovery could be asked for it.
+    /// Mean service time of a request, in seconds.
+    pub service_s: f64,
+    /// When the server is first listed as draining and discovery can be read, where it drains at all.
     pub drains_at: Option<f64>,
-    /// While it warms up, where it started cold.
+    /// The server's capacity during its slow start, where it starts with reduced capacity.
     pub slow_start: Option<SlowStart>,
-    /// Seconds in which it does nothing: from and to.
-    pub paused: Vec<(f64, f64)>,
-    /// From when until when it is there, in seconds.
-    pub alive: (f64, f64),
+    /// Intervals (from, to) in which the server does no work, in seconds.
+    pub unavailable: Vec<(f64, f64)>,
+    /// When the server appears and when it is removed, in seconds.
+    pub lifetime: (f64, f64),
 }
 
-/// What a server can do while it is cold.
+/// The capacity of a server during its slow start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStart {
-    /// Requests a second once it is warm.
+    /// Requests per second at full capacity.
     pub rate: f64,
-    /// Part of that at its start.
-    pub from: f64,
-    /// Until all of it, in seconds.
-    pub lasts: f64,
-    /// Sent this many times what it can do...
-    pub multiple: f64,
-    /// ...for so long, in seconds, it falls over.
-    pub window: f64,
+    /// Fraction of the full rate that the server has when it starts.
+    pub initial_share: f64,
+    /// Time until the server has its full rate, in seconds.
+    pub duration: f64,
+    /// The server collapses when it receives more than this multiple of its current rate
+    /// throughout `collapse_window`.
+    pub collapse_multiple: f64,
+    /// How long the overload lasts before the server collapses, in seconds.
+    pub collapse_window: f64,
 }
 
 impl Server {
-    /// Seconds of a stretch in which it could work.
+    /// Returns for how many seconds between `from` and `to` the server could work.
     #[must_use]
-    pub fn up(&self, from: f64, to: f64) -> f64 {
-        let (from, to) = (from.max(self.alive.0), to.min(self.alive.1));
-        let still = self.paused.iter().map(|(a, b)| (b.min(to) - a.max(from)).max(0.0)).sum::<f64>();
-        (to - from - still).max(0.0)
+    pub fn available_s(&self, from: f64, to: f64) -> f64 {
+        let (from, to) = (from.max(self.lifetime.0), to.min(self.lifetime.1));
+        let unavailable =
+            self.unavailable.iter().map(|(a, b)| (b.min(to) - a.max(from)).max(0.0)).sum::<f64>();
+        (to - from - unavailable).max(0.0)
     }
 }
 
-/// What a node was told of a server, as its trace has it.
+/// A change of a server's availability that a node learned from discovery, as recorded in the node's trace.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AvailabilityNotice {
-    /// The node.
+    /// Index of the node.
     pub node: usize,
-    /// Place of the server in [`History::servers`].
+    /// Index of the server in [`History::servers`].
     pub server: usize,
-    /// When.
+    /// When the node learned it.
     pub at: f64,
-    /// Whether it may be sent to from then on.
+    /// Whether the node may send to the server from then on.
     pub ready: bool,
 }
 
-/// A server that a node chose, as its trace has it.
+/// A node's choice of a server for an attempt, as recorded in the node's trace.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerChoice {
-    /// The node.
+    /// Index of the node.
     pub node: usize,
     /// The request's id.
     pub id: u64,
-    /// Place of the server in [`History::servers`].
+    /// Index of the server in [`History::servers`].
     pub server: usize,
-    /// When.
+    /// When the server was chosen.
     pub at: f64,
 }
 
-/// A stretch in which a node could not do what it has to: killed or stopped.
+/// An interval in which a node was killed or stopped, and therefore could not answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NodeOutage {
-    /// The node.
+    /// Index of the node.
     pub node: usize,
-    /// From.
+    /// Start of the interval, in seconds.
     pub from: f64,
-    /// To.
+    /// End of the interval, in seconds.
     pub to: f64,
 }
 
-/// Links through which a server does not hear in time that a node has closed its connection.
+/// Links on which a fault delays or hides from the server that the node has closed its connection.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ImpairedLinks {
-    /// Nodes.
+    /// Indices of the nodes.
     pub nodes: Vec<usize>,
-    /// Places of servers in [`History::servers`].
+    /// Indices of the servers in [`History::servers`].
     pub servers: Vec<usize>,
-    /// From.
+    /// Start of the interval, in seconds.
     pub from: f64,
-    /// To.
+    /// End of the interval, in seconds.
     pub to: f64,
 }
 
-/// One run.
+/// The joined record of one run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct History {
-    /// Its length in seconds; the first fifth is left out of the figures.
+    /// Length of the run in seconds; the first fifth is a warm-up that the statistics leave out.
     pub length: f64,
-    /// Requests, in the order in which they were due.
+    /// All requests, in the order in which they were due.
     pub requests: Vec<RequestRecord>,
-    /// Attempts, in the order in which they were begun.
+    /// All attempts, in the order in which the servers began them.
     pub attempts: Vec<ServerAttempt>,
-    /// The servers.
+    /// All servers of the run.
     pub servers: Vec<Server>,
-    /// Stretches without a node.
+    /// Intervals in which a node was killed or stopped.
     pub outages: Vec<NodeOutage>,
-    /// Links that hide a close: by them, servers cannot tell whether an attempt was over.
+    /// Links on which servers cannot tell in time that a node has ended an attempt.
     pub impaired_links: Vec<ImpairedLinks>,
-    /// Faults: from and to.
+    /// Start and end of each fault, in seconds.
     pub faults: Vec<(f64, f64)>,
-    /// Connections that servers accepted.
+    /// Number of connections that the servers accepted.
     pub connections: u64,
-    /// What nodes were told of servers, in the order of time; nothing where they keep no trace.
+    /// Changes of availability that the nodes learned, in time order; empty where nodes write no trace.
     pub notices: Vec<AvailabilityNotice>,
-    /// What nodes chose, in the order of time; nothing where they keep no trace.
+    /// Choices of servers by the nodes, in time order; empty where nodes write no trace.
     pub choices: Vec<ServerChoice>,
-    /// Lines that the nodes' traces lost.
+    /// The largest number of trace lines that any one node dropped.
     pub lost_trace_lines: u64,
-    /// Attempts that the servers could not log, for want of room.
+    /// Number of attempts that the servers did not log because their log was full.
     pub unlogged_attempts: u64,
-    /// Sums of the nodes' own figures, where they could be asked.
+    /// Telemetry counters summed over the nodes that answered.
     pub telemetry: BTreeMap<String, u64>,
-    /// What clocks, sockets and busy cores may be late by, in seconds.
+    /// Tolerance for delays of clocks, sockets and busy cores, in seconds.
     pub slack: f64,
-    /// Time in which keyed repeats are discarded, in seconds.
-    pub window: f64,
+    /// Time within which servers discard repeats of a keyed request, in seconds.
+    pub dedup_window: f64,
 }
--- a/crates/spurdrum-fleet/src/kept.rs
+++ b/crates/spurdrum-fleet/src/kept.rs
@@ -1,4 +1,4 @@
-//! A fleet whose nodes have keepers, played while a script changes it: rollouts, deaths, cut links, spoilt disks.
+//! Runs a fleet whose nodes have supervisors, while a script starts rollouts, kills processes and breaks links and disks.
 
 use std::ffi::OsString;
 use std::net::SocketAddr;
@@ -23,14 +23,14 @@
 use crate::scenario::{Kind, Scenario};
 use crate::verdict;
 
-/// Nodes have this long until all are healthy.
-const READY_MOST: Duration = Duration::from_secs(60);
-/// What is shown of a log where a run failed.
-const LOG_LINES_MOST: usize = 60;
-/// How often is looked whether something has come.
-const LOOK: Duration = Duration::from_millis(20);
+/// All nodes must be healthy within this time.
+const READY_TIMEOUT: Duration = Duration::from_secs(60);
+/// Number of log lines that are shown where a run failed.
+const MAX_LOG_LINES: usize = 60;
+/// Interval between checks of a condition that is waited for.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Settings that are legal and bad: aims of 4 ms and deadlines of 5 ms, in which no server can answer.
+/// Returns settings that are valid and harmful: latency objectives of 4 ms and deadlines of 5 ms, which no server can meet.
 #[must_use]
 pub fn impossible_deadlines(settings: String) -> String {
     let line = |line: &str| match line.split_once(" = ") {
@@ -41,98 +41,109 @@
     settings.lines().map(line).collect()
 }
 
-/// A fleet that is being played.
+/// A running fleet of supervised nodes.
 pub struct SupervisedFleet {
     scenario: Scenario,
     folder: Folder,
     program: PathBuf,
+    /// When the clients started.
     start: Instant,
-    /// Where clients connect.
+    /// The nodes' addresses for clients.
     pub nodes: Vec<SocketAddr>,
-    keepers: Vec<Keeper>,
-    /// Before the keepers, as conductors see them.
+    supervisors: Vec<SupervisorProcess>,
+    /// Relays between the rollout controllers and the supervisors.
     relays: Relays,
     servers: Vec<(String, SocketAddr)>,
     catalog: SocketAddr,
+    /// Number of plans and controller logs written so far; makes their file names and ports unique.
     plans: usize,
-    away: Vec<NodeOutage>,
-    /// Ends what is left when the rig has gone.
+    outages: Vec<NodeOutage>,
+    /// Process that kills whatever is still running when the rig has ended.
     sweeper: Child,
 }
 
-struct Keeper {
+/// The supervisor of one node.
+struct SupervisorProcess {
+    /// Its configuration file.
     file: PathBuf,
+    /// Address on which rollout controllers reach the supervisor.
     address: SocketAddr,
     folder: PathBuf,
+    /// The process; `None` while it is killed.
     process: Option<Node>,
 }
 
-/// A conductor that runs, until it is dropped.
+/// A running rollout controller; dropping it kills the process.
 pub struct RolloutController {
     process: Node,
     log: PathBuf,
 }
 
 impl RolloutController {
-    /// What it has said.
+    /// Returns the output of the controller so far.
     #[must_use]
     pub fn output(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
 
-    /// Waits until it has said this; or it has ended, or the time is up: then what it said instead.
+    /// Waits until the output contains `what`.
     ///
     /// # Errors
     ///
-    /// See above.
-    pub fn wait_for(&mut self, what: &str, most: Duration) -> Result<(), String> {
+    /// The controller has exited, or the time is up; the message contains the output.
+    pub fn wait_for(&mut self, what: &str, timeout: Duration) -> Result<(), String> {
         let since = Instant::now();
         loop {
             let ended = self.process.exit_status().is_some();
             if self.output().contains(what) {
                 return Ok(());
             }
-            if ended || since.elapsed() > most {
-                return Err(format!("it does not say `{what}` but\n{}", self.output()));
+            if ended || since.elapsed() > timeout {
+                return Err(format!(
+                    "the rollout controller did not print `{what}`; its output:\n{}",
+                    self.output()
+                ));
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Shows what it says, line by line, until it has ended: whether the rollout was done.
+    /// Passes each line of the output to `show` until the controller exits, and returns whether the rollout was completed.
     ///
     /// # Errors
     ///
     /// The time is up.
-    pub fn follow(&mut self, most: Duration, mut show: impl FnMut(&str)) -> Result<bool, String> {
+    pub fn follow(&mut self, timeout: Duration, mut show: impl FnMut(&str)) -> Result<bool, String> {
         let (since, mut shown) = (Instant::now(), 0);
         loop {
             let status = self.process.exit_status();
-            let said = self.output();
-            let whole = said.rfind('\n').map_or(0, |end| end + 1);
-            said[shown..whole].lines().for_each(&mut show);
-            shown = whole;
+            let output = self.output();
+            let complete = output.rfind('\n').map_or(0, |end| end + 1);
+            output[shown..complete].lines().for_each(&mut show);
+            shown = complete;
             match status {
                 Some(status) => return Ok(status.success()),
-                None if since.elapsed() > most => return Err(format!("it does not end:\n{said}")),
-                None => std::thread::sleep(LOOK),
+                None if since.elapsed() > timeout => {
+                    return Err(format!("the rollout controller did not exit in time; its output:\n{output}"))
+                }
+                None => std::thread::sleep(POLL_INTERVAL),
             }
         }
     }
 
-    /// Waits until it has ended: whether the rollout was done, and what it said.
+    /// Waits until the controller exits, and returns whether the rollout was completed, and the output.
     ///
     /// # Errors
     ///
     /// The time is up.
-    pub fn wait_until_exit(&mut self, most: Duration) -> Result<(bool, String), String> {
-        let done = self.follow(most, |_| {})?;
+    pub fn wait_until_exit(&mut self, timeout: Duration) -> Result<(bool, String), String> {
+        let done = self.follow(timeout, |_| {})?;
         Ok((done, self.output()))
     }
 
-    /// Stops it in the middle of whatever it does, or lets it go on.
-    pub fn set_paused(&self, stops: bool) {
-        if stops {
+    /// Suspends the process at whatever it is doing (SIGSTOP), or resumes it.
+    pub fn set_paused(&self, paused: bool) {
+        if paused {
             self.process.pause();
         } else {
             self.process.resume();
@@ -140,41 +151,43 @@
     }
 }
 
-/// Plays a scenario with keepers: `script` runs when all nodes serve, while clients ask; when it is over, so is the run.
+/// Runs a scenario with supervised nodes. `script` starts when all nodes are healthy and clients send requests; the run ends with
+/// the script.
 ///
 /// # Errors
 ///
-/// Says what could not be played, or what the script says.
+/// The fleet could not be run, or the script returned an error.
 pub fn play<T>(
     scenario: &Scenario,
     options: &Options,
     script: impl FnOnce(&mut SupervisedFleet) -> Result<T, String>,
 ) -> Result<(History, T), String> {
     let fleet = Fleet::start(&scenario.standins())?;
-    let mut kept = SupervisedFleet::start(scenario, options, &fleet)?;
-    let begins = fleet.elapsed().as_secs_f64();
-    kept.start = Instant::now();
+    let mut supervised = SupervisedFleet::start(scenario, options, &fleet)?;
+    let begins_at = fleet.elapsed().as_secs_f64();
+    supervised.start = Instant::now();
     let stop = Arc::new(AtomicBool::new(false));
-    let playing = clients::start(scenario, &kept.nodes, kept.start, &stop);
-    let said = script(&mut kept);
+    let playing = clients::start(scenario, &supervised.nodes, supervised.start, &stop);
+    let result = script(&mut supervised);
     stop.store(true, Ordering::Relaxed);
-    let asked = clients::gather(playing)?;
-    let said = said.map_err(|why| format!("{why}\n{}{}", not_served(&asked), kept.logs()))?;
-    let length = kept.elapsed_s();
-    let away = std::mem::take(&mut kept.away);
-    let logs = kept.logs();
-    drop(kept);
-    // A test shows this where it fails.
-    eprintln!("{}", not_served(&asked));
-    let seen = history(scenario, &fleet.tally(), begins, asked, away, Default::default());
-    let seen = History { length, ..seen };
-    if !verdict::judge(&seen).is_empty() {
+    let requests = clients::gather(playing)?;
+    let result = result.map_err(|why| format!("{why}\n{}{}", not_served(&requests), supervised.logs()))?;
+    let length = supervised.elapsed_s();
+    let outages = std::mem::take(&mut supervised.outages);
+    let logs = supervised.logs();
+    drop(supervised);
+    // The test harness prints this for a failing test.
+    eprintln!("{}", not_served(&requests));
+    let record = history(scenario, &fleet.tally(), begins_at, requests, outages, Default::default());
+    let record = History { length, ..record };
+    if !verdict::judge(&record).is_empty() {
         eprintln!("a rule was broken; the nodes' logs:\n{logs}");
     }
-    Ok((seen, said))
+    Ok((record, result))
 }
 
 impl SupervisedFleet {
+    /// Starts all supervisors, and through them the nodes, and waits until all nodes are healthy.
     fn start(scenario: &Scenario, options: &Options, fleet: &Fleet) -> Result<Self, String> {
         let folder = Folder::make(options)?;
         let servers: Vec<(String, SocketAddr)> =
@@ -184,114 +197,120 @@
             .arg(&folder.path)
             .stdin(Stdio::piped())
             .spawn()
-            .map_err(|error| format!("the sweeper does not start: {error}"))?;
-        let mut kept = Self {
+            .map_err(|error| format!("the clean-up process does not start: {error}"))?;
+        let mut supervised = Self {
             scenario: scenario.clone(),
             folder,
             program: options.program.clone(),
             start: Instant::now(),
             nodes: Vec::new(),
-            keepers: Vec::new(),
+            supervisors: Vec::new(),
             relays: Relays::default(),
             servers,
             catalog: fleet.catalog,
             plans: 0,
-            away: Vec::new(),
+            outages: Vec::new(),
             sweeper,
         };
-        let first = kept.settings("first", |text| text)?;
-        let program = kept.build("first", "exec {program} \"$@\"")?;
-        for me in 0..scenario.nodes {
-            kept.prepare(me, &program, &first)?;
+        let first = supervised.settings("first", |text| text)?;
+        let program = supervised.build("first", "exec {program} \"$@\"")?;
+        for index in 0..scenario.nodes {
+            supervised.prepare(index, &program, &first)?;
         }
-        let wanted = kept.keepers.iter().enumerate().map(|(me, keeper)| ((me, vec![me]), keeper.address));
-        kept.relays = Relays::start(address(0)?, wanted.collect::<Vec<_>>());
-        for me in 0..scenario.nodes {
-            kept.start_supervisor(me)?;
+        let relayed = supervised
+            .supervisors
+            .iter()
+            .enumerate()
+            .map(|(index, supervisor)| ((index, vec![index]), supervisor.address));
+        supervised.relays = Relays::start(address(0)?, relayed.collect::<Vec<_>>());
+        for index in 0..scenario.nodes {
+            supervised.start_supervisor(index)?;
         }
         let since = Instant::now();
-        while let Some(me) = kept.nodes.iter().position(|node| !healthy(*node)) {
-            if since.elapsed() > READY_MOST {
-                return Err(format!("n{me} does not become healthy\n{}", kept.logs()));
+        while let Some(index) = supervised.nodes.iter().position(|node| !healthy(*node)) {
+            if since.elapsed() > READY_TIMEOUT {
+                return Err(format!("n{index} does not become healthy\n{}", supervised.logs()));
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
-        Ok(kept)
+        Ok(supervised)
     }
 
+    /// Writes a file into the run's folder and returns its path.
     fn write(&self, name: &str, text: &str) -> Result<PathBuf, String> {
         let path = self.folder.path.join(name);
         std::fs::write(&path, text).map_err(|error| format!("{}: {error}", path.display()))?;
         Ok(path)
     }
 
-    fn prepare(&mut self, me: usize, program: &Path, settings: &Path) -> Result<(), String> {
-        let on = address(me + 1)?;
-        let listen = free(on, 0)?;
-        let mut taken = listen.port();
+    /// Chooses the addresses of a node and its supervisor, and writes their configuration files.
+    fn prepare(&mut self, index: usize, program: &Path, settings: &Path) -> Result<(), String> {
+        let host = address(index + 1)?;
+        let listen = free(host, 0)?;
+        let mut last_port = listen.port();
         let mut next = || -> Result<SocketAddr, String> {
-            let at = free(on, taken)?;
-            taken = at.port();
-            Ok(at)
+            let address = free(host, last_port)?;
+            last_port = address.port();
+            Ok(address)
         };
-        let (keeper, ops) = (next()?, [next()?, next()?]);
-        let own = node_part(&self.scenario, me, listen) + "latencies = true\n";
-        let own = self.write(&format!("own{me}.toml"), &own)?;
-        let folder = self.folder.path.join(format!("n{me}"));
-        let file = format!(
-            "[keeper]\nname = 'n{me}'\nlisten = '{keeper}'\nfolder = '{}'\nops = ['{}', '{}']\nown = '{}'\nprogram = '{}'\n\
+        let (supervisor, ops) = (next()?, [next()?, next()?]);
+        let node_file = node_part(&self.scenario, index, listen) + "latencies = true\n";
+        let node_file = self.write(&format!("own{index}.toml"), &node_file)?;
+        let folder = self.folder.path.join(format!("n{index}"));
+        let supervisor_file = format!(
+            "[keeper]\nname = 'n{index}'\nlisten = '{supervisor}'\nfolder = '{}'\nops = ['{}', '{}']\nown = '{}'\nprogram = '{}'\n\
              settings = '{}'\nstable_ms = 10000\n",
             folder.display(),
             ops[0],
             ops[1],
-            own.display(),
+            node_file.display(),
             program.display(),
             settings.display()
         );
-        let file = self.write(&format!("keeper{me}.toml"), &file)?;
+        let file = self.write(&format!("keeper{index}.toml"), &supervisor_file)?;
         self.nodes.push(listen);
-        self.keepers.push(Keeper { file, address: keeper, folder, process: None });
+        self.supervisors.push(SupervisorProcess { file, address: supervisor, folder, process: None });
         Ok(())
     }
 
-    /// Seconds since clients began.
+    /// Returns the seconds since the clients started.
     #[must_use]
     pub fn elapsed_s(&self) -> f64 {
         self.start.elapsed().as_secs_f64()
     }
 
-    /// A build: a text for the shell, in which `{program}` stands for the program. Its path.
+    /// Writes a build, which is a shell script in which `{program}` stands for the program's path, and returns its path.
     ///
     /// # Errors
     ///
-    /// It cannot be written.
+    /// The file cannot be written.
     pub fn build(&self, name: &str, script: &str) -> Result<PathBuf, String> {
         use std::os::unix::fs::PermissionsExt;
         let text = format!("#!/bin/sh\n# {name}\n{script}\n");
         let text = text.replace("{program}", &self.program.display().to_string());
         let path = self.write(&format!("{name}.sh"), &text)?;
-        let made = std::fs::set_permissions(&path, std::fs::Permissions::from_mode(0o755));
-        made.map_err(|error| format!("{}: {error}", path.display()))?;
+        let result = std::fs::set_permissions(&path, std::fs::Permissions::from_mode(0o755));
+        result.map_err(|error| format!("{}: {error}", path.display()))?;
         Ok(path)
     }
 
-    /// Settings that all nodes share, as the first are but for a change. Their path.
+    /// Writes the settings that all nodes share, after applying `change` to the initial ones, and returns the file's path.
     ///
     /// # Errors
     ///
-    /// They cannot be written.
+    /// The file cannot be written.
     pub fn settings(&self, name: &str, change: impl Fn(String) -> String) -> Result<PathBuf, String> {
         let at = |n: usize| self.servers[n].1;
         let text = shared_part(&self.scenario, self.catalog, &self.servers, at);
         self.write(&format!("{name}.toml"), &change(text))
     }
 
-    /// Writes a plan for all nodes, whose change is `program` and `settings`. `times` goes to `[rollout]`; `stages` has these, and
-    /// `[judge]`.
+    /// Writes a plan that changes all nodes to `program` and `settings`, and returns its path. `times` is the text of further keys
+    /// of `[rollout]`; `stages` is the text of the stages and of `[judge]`.
     ///
     /// # Errors
     ///
-    /// It cannot be written.
+    /// The file cannot be written.
     pub fn plan(
         &mut self,
         program: &Path,
@@ -301,7 +320,7 @@
         stages: &str,
     ) -> Result<PathBuf, String> {
         self.plans += 1;
-        // Each has one of its own: a conductor may still run.
+        // Each plan has its own port because the controller of an earlier plan may still be running.
         let listen = free(address(0)?, 20_000 + self.plans as u16)?;
         let mut text = format!("[rollout]\nlisten = '{listen}'\n{times}\n[change]\n");
         text += &format!(
@@ -309,102 +328,104 @@
             program.display(),
             settings.display()
         );
-        for (me, keeper) in self.keepers.iter().enumerate() {
-            let at = self.relays.at(&(me, vec![me])).unwrap_or(keeper.address);
-            let zone = self.scenario.zone_of(me);
-            text += &format!("[[node]]\nname = 'n{me}'\nkeeper = '{at}'\nzone = '{zone}'\n");
+        for (index, supervisor) in self.supervisors.iter().enumerate() {
+            let at = self.relays.at(&(index, vec![index])).unwrap_or(supervisor.address);
+            let zone = self.scenario.zone_of(index);
+            text += &format!("[[node]]\nname = 'n{index}'\nkeeper = '{at}'\nzone = '{zone}'\n");
         }
         self.write(&format!("plan{}.toml", self.plans), &(text + stages))
     }
 
-    /// Starts a conductor.
+    /// Starts a rollout controller for a plan.
     ///
     /// # Errors
     ///
-    /// It cannot be started.
+    /// The process cannot be started.
     pub fn start_rollout(&mut self, plan: &Path) -> Result<RolloutController, String> {
-        self.rollout("start", plan)
+        self.run_controller("start", plan)
     }
 
-    /// Starts a conductor that takes a change back.
+    /// Starts a rollout controller that rolls a plan's change back.
     ///
     /// # Errors
     ///
-    /// It cannot be started.
+    /// The process cannot be started.
     pub fn start_rollback(&mut self, plan: &Path) -> Result<RolloutController, String> {
-        self.rollout("back", plan)
+        self.run_controller("back", plan)
     }
 
-    fn rollout(&mut self, what: &str, plan: &Path) -> Result<RolloutController, String> {
+    fn run_controller(&mut self, command: &str, plan: &Path) -> Result<RolloutController, String> {
         self.plans += 1;
         let log = self.folder.path.join(format!("conductor{}.log", self.plans));
-        let args: Vec<OsString> = ["rollout".into(), what.into(), plan.as_os_str().to_owned()].into();
+        let args: Vec<OsString> = ["rollout".into(), command.into(), plan.as_os_str().to_owned()].into();
         let process = spawn_bound(&self.program, &args, &self.folder.path, &log)?;
         Ok(RolloutController { process, log })
     }
 
-    /// Has a keeper die.
-    pub fn kill_supervisor(&mut self, me: usize) {
-        self.keepers[me].process = None;
+    /// Kills a node's supervisor.
+    pub fn kill_supervisor(&mut self, index: usize) {
+        self.supervisors[index].process = None;
     }
 
-    /// Starts a keeper, also again.
+    /// Starts a node's supervisor, for the first time or again.
     ///
     /// # Errors
     ///
-    /// It cannot be started.
-    pub fn start_supervisor(&mut self, me: usize) -> Result<(), String> {
-        let keeper = &mut self.keepers[me];
-        let args: Vec<OsString> = ["keeper".into(), keeper.file.clone().into_os_string()].into();
-        let log = self.folder.path.join(format!("keeper{me}.log"));
-        keeper.process = Some(spawn_bound(&self.program, &args, &self.folder.path, &log)?);
+    /// The process cannot be started.
+    pub fn start_supervisor(&mut self, index: usize) -> Result<(), String> {
+        let supervisor = &mut self.supervisors[index];
+        let args: Vec<OsString> = ["keeper".into(), supervisor.file.clone().into_os_string()].into();
+        let log = self.folder.path.join(format!("keeper{index}.log"));
+        supervisor.process = Some(spawn_bound(&self.program, &args, &self.folder.path, &log)?);
         Ok(())
     }
 
-    /// A keeper's folder.
+    /// Returns the folder of a node's supervisor.
     #[must_use]
-    pub fn folder(&self, me: usize) -> &Path {
-        &self.keepers[me].folder
+    pub fn folder(&self, index: usize) -> &Path {
+        &self.supervisors[index].folder
     }
 
-    /// What a keeper says of its node, asked past all relays; none where it does not answer.
+    /// Returns the supervisor's status of its node, requested directly and not through a relay; `None` where the supervisor does
+    /// not answer.
     #[must_use]
-    pub fn status(&self, me: usize) -> Option<Value> {
-        serde_json::from_str(&query(self.keepers[me].address, "\"ask\"")?).ok()
+    pub fn status(&self, index: usize) -> Option<Value> {
+        serde_json::from_str(&query(self.supervisors[index].address, "\"ask\"")?).ok()
     }
 
-    /// Links between conductors and these keepers break so, or are mended.
-    pub fn set_link_fault(&self, nodes: impl IntoIterator<Item = usize>, kind: Kind, breaks: bool) {
-        nodes.into_iter().for_each(|me| self.relays.step(me, kind, breaks, Duration::ZERO));
+    /// Begins or ends a fault on the links between the rollout controllers and the supervisors of these nodes.
+    pub fn set_link_fault(&self, nodes: impl IntoIterator<Item = usize>, kind: Kind, begins: bool) {
+        nodes.into_iter().for_each(|index| self.relays.step(index, kind, begins, Duration::ZERO));
     }
 
-    /// A node is known not to answer from now on, for so long: what it leaves unanswered breaks no rule.
-    pub fn allow_unanswered(&mut self, me: usize, seconds: f64) {
+    /// Records that a node is expected not to answer for this many seconds from now, so that its unanswered requests break no
+    /// rule.
+    pub fn allow_unanswered(&mut self, index: usize, seconds: f64) {
         let from = self.elapsed_s();
-        self.away.push(NodeOutage { node: me, from, to: from + seconds });
+        self.outages.push(NodeOutage { node: index, from, to: from + seconds });
     }
 
-    /// The last lines of all keepers' logs.
+    /// Returns the last lines of the logs of all supervisors and nodes.
     #[must_use]
     pub fn logs(&self) -> String {
-        let of = |me: usize| {
-            let folder = &self.keepers[me].folder;
+        let of = |index: usize| {
+            let folder = &self.supervisors[index].folder;
             let tail = |name: &str| {
                 let text = std::fs::read_to_string(folder.join(name)).unwrap_or_default();
                 let lines: Vec<&str> = text.lines().collect();
-                lines[lines.len().saturating_sub(LOG_LINES_MOST)..].join("\n  ")
+                lines[lines.len().saturating_sub(MAX_LOG_LINES)..].join("\n  ")
             };
-            format!("n{me}:\n  {}\n  {}\n", tail("keeper.log"), tail("node.log"))
+            format!("n{index}:\n  {}\n  {}\n", tail("keeper.log"), tail("node.log"))
         };
-        (0..self.keepers.len()).map(of).collect()
+        (0..self.supervisors.len()).map(of).collect()
     }
 }
 
 impl Drop for SupervisedFleet {
     fn drop(&mut self) {
-        self.keepers.iter_mut().for_each(|keeper| keeper.process = None);
+        self.supervisors.iter_mut().for_each(|supervisor| supervisor.process = None);
         kill_processes_naming(&self.folder.path);
-        // Its end is the sign for the sweeper, which has nothing left to do.
+        // Closing its standard input ends the clean-up process, which finds nothing left to kill.
         drop(self.sweeper.stdin.take());
         let _ = self.sweeper.wait();
     }
--- a/crates/spurdrum-fleet/src/references.rs
+++ b/crates/spurdrum-fleet/src/references.rs
@@ -79,16 +79,16 @@
     let servers: Vec<Server> = history
         .servers
         .iter()
-        .filter(|server| server.alive.0 <= 0.0)
+        .filter(|server| server.lifetime.0 <= 0.0)
         .map(|server| Server {
-            paused: Vec::new(),
-            alive: (0.0, f64::MAX),
+            unavailable: Vec::new(),
+            lifetime: (0.0, f64::MAX),
             drains_at: None,
             ..server.clone()
         })
         .collect();
     let mut rng = fastrand::Rng::with_seed(scenario.seed);
-    let sizes: Vec<f64> = servers.iter().map(|s| s.workers as f64 / s.work.max(1e-9)).collect();
+    let sizes: Vec<f64> = servers.iter().map(|s| s.workers as f64 / s.service_s.max(1e-9)).collect();
     let all: f64 = sizes.iter().sum();
     let mut queues: Vec<Queue> = servers.iter().map(|_| Queue::default()).collect();
     let nodes = history.requests.iter().map(|request| request.node + 1).max().unwrap_or(0);
@@ -206,7 +206,7 @@
 /// Work of a request there, in seconds.
 fn draw(server: &Server, scenario: &Scenario, rng: &mut fastrand::Rng) -> f64 {
     let kind = scenario.spec_of(&server.name).map_or(Distribution::Constant, |spec| spec.work);
-    kind.draw(rng, server.work)
+    kind.draw(rng, server.service_s)
 }
 
 #[cfg(test)]
@@ -225,11 +225,11 @@
         let server = |n: usize| Server {
             name: format!("s{n}"),
             workers: 1,
-            work: 0.01,
+            service_s: 0.01,
             drains_at: None,
             slow_start: None,
-            paused: Vec::new(),
-            alive: (0.0, f64::MAX),
+            unavailable: Vec::new(),
+            lifetime: (0.0, f64::MAX),
         };
         let mut rng = fastrand::Rng::with_seed(5);
         let mut due = 0.0;
--- a/crates/spurdrum-fleet/src/run.rs
+++ b/crates/spurdrum-fleet/src/run.rs
@@ -86,7 +86,7 @@
     }
     for (start, node) in world.starts.iter().zip(&mut world.nodes) {
         if let Some(node) = node {
-            start.ready(node)?;
+            start.wait_until_ready(node)?;
         }
     }
     if fleet.elapsed().as_secs_f64() > lead {
@@ -330,7 +330,7 @@
         }
         for me in nodes {
             if let Some(node) = &mut self.nodes[*me] {
-                self.starts[*me].ready(node)?;
+                self.starts[*me].wait_until_ready(node)?;
             }
             self.returns(*me, start);
         }
@@ -500,7 +500,7 @@
     let names: Vec<&String> = tally.servers().keys().collect();
     let delay = scenario.catalog.as_ref().map_or(0.0, |script| script.delay_ms as f64 / 1000.0);
     let server = |name: &&String| {
-        let (spec, alive) = (scenario.spec_of(name), lifetime(scenario, name));
+        let (spec, lifetime) = (scenario.spec_of(name), lifetime(scenario, name));
         let of = scenario.server_faults.iter().filter(|fault| fault.on == **name);
         let drains = of.clone().filter(|fault| matches!(fault.kind, FaultKind::Drain | FaultKind::Replace));
         let still =
@@ -508,17 +508,17 @@
         Server {
             name: (*name).clone(),
             workers: spec.map_or(1, workers),
-            work: spec.map_or(1.0, |spec| spec.work_ms / 1000.0 / spec.speed),
+            service_s: spec.map_or(1.0, |spec| spec.work_ms / 1000.0 / spec.speed),
             drains_at: drains.map(|fault| asked_from(scenario, fault.at_s + delay)).reduce(f64::min),
-            slow_start: spec.filter(|_| alive.0 > 0.0).map(|spec| SlowStart {
+            slow_start: spec.filter(|_| lifetime.0 > 0.0).map(|spec| SlowStart {
                 rate: workers(spec) as f64 * spec.speed * 1000.0 / spec.work_ms,
-                from: spec.cold_from,
-                lasts: spec.cold_s,
-                multiple: spec.fall_multiple,
-                window: spec.fall_s,
+                initial_share: spec.cold_from,
+                duration: spec.cold_s,
+                collapse_multiple: spec.fall_multiple,
+                collapse_window: spec.fall_s,
             }),
-            paused: still.map(|fault| (fault.at_s, fault.at_s + fault.for_s.unwrap_or(1e9))).collect(),
-            alive,
+            unavailable: still.map(|fault| (fault.at_s, fault.at_s + fault.for_s.unwrap_or(1e9))).collect(),
+            lifetime,
         }
     };
     let servers: Vec<Server> = names.iter().map(server).collect();
@@ -542,7 +542,7 @@
         connections: tally.servers().values().map(|seen| seen.connections).sum(),
         unlogged_attempts: tally.unlogged(),
         telemetry,
-        window: scenario.window_ms / 1000.0,
+        dedup_window: scenario.window_ms / 1000.0,
         slack: scenario.slack_s,
         ..History::default()
     }
--- a/crates/spurdrum-fleet/tests/faults.rs
+++ b/crates/spurdrum-fleet/tests/faults.rs
@@ -117,7 +117,7 @@
     let history = kept(&scenario(&more));
     assert_eq!(history.servers.len(), 9);
     assert!(served(&history, 1.0, 6.0) > 0.8, "{}", figures::of(&history));
-    let new = history.attempts.iter().filter(|w| history.servers[w.server].alive.0 > 0.0).count();
+    let new = history.attempts.iter().filter(|w| history.servers[w.server].lifetime.0 > 0.0).count();
     assert!(new > 10, "{new} at servers that replaced others");
 }
 
