--- a/crates/spurdrum-fleet/src/clients.rs
+++ b/crates/spurdrum-fleet/src/clients.rs
@@ -1,4 +1,4 @@
-//! Clients in an open loop: each request goes to a node by that node's part of the load, at its time.
+//! Open-loop clients: each request is sent at its scheduled time to a node that is drawn by the nodes' shares of the load.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -24,72 +24,77 @@
 use crate::scenario::Scenario;
 use crate::witness::{SocketObserver, SocketReport};
 
-/// Event loops of the clients.
-const LOOPS: usize = 4;
-/// Connections that clients keep to one node at most.
-const CONNECTIONS: usize = 200;
-/// A client that reaches no node tries so many others.
-const OTHERS: usize = 3;
-/// A node is told that its client waits for so long at least, in seconds.
-const LEFT_LEAST: f64 = 0.001;
+/// Number of event loops (threads) that the clients run on.
+const EVENT_LOOPS: usize = 4;
+/// Maximum number of connections of one event loop to one node.
+const MAX_CONNECTIONS: usize = 200;
+/// Number of other nodes that a client tries when a node is unreachable.
+const MAX_OTHER_NODES: usize = 3;
+/// Smallest remaining budget that a request's deadline header states, in seconds.
+const MIN_BUDGET: f64 = 0.001;
 
-/// Deals requests out to nodes by their parts.
-pub struct Deal {
-    /// From when, and the sums of the nodes' parts.
-    parts: Vec<(f64, Vec<f64>)>,
+/// Draws the node of each request by the nodes' shares of the load.
+pub struct NodePicker {
+    /// By start time in seconds: the cumulative shares of the nodes.
+    cumulative: Vec<(f64, Vec<f64>)>,
     rng: fastrand::Rng,
 }
 
-impl Deal {
-    /// Parts are drawn lognormal, and leant as the scenario has it.
+impl NodePicker {
+    /// Draws the shares of the nodes from a lognormal distribution and applies the scenario's `lean` sections.
     #[must_use]
     pub fn new(scenario: &Scenario) -> Self {
         let mut rng = fastrand::Rng::with_seed(scenario.seed ^ 0x5eed);
         let nodes = scenario.nodes;
-        let parts: Vec<f64> = (0..nodes).map(|_| (scenario.sigma * normal(&mut rng)).exp()).collect();
-        let mut all = vec![(0.0, parts.clone())];
+        let shares: Vec<f64> = (0..nodes).map(|_| (scenario.sigma * normal(&mut rng)).exp()).collect();
+        let mut all = vec![(0.0, shares.clone())];
         for lean in &scenario.leans {
             let mut drawn: Vec<usize> = (0..nodes).collect();
             rng.shuffle(&mut drawn);
             drawn.truncate(((nodes as f64 * lean.nodes).round() as usize).max(1));
-            let chosen = |node: usize| match &lean.zone {
+            let selected = |node: usize| match &lean.zone {
                 Some(zone) => scenario.zone_of(node) == zone,
                 None => drawn.contains(&node),
             };
-            let theirs: f64 = (0..nodes).filter(|node| chosen(*node)).map(|node| parts[node]).sum();
-            let rest: f64 = parts.iter().sum::<f64>() - theirs;
-            let leant = |(node, part): (usize, &f64)| match chosen(node) {
-                true => part / theirs.max(1e-9) * lean.share,
-                false => part / rest.max(1e-9) * (1.0 - lean.share),
+            let selected_sum: f64 = (0..nodes).filter(|node| selected(*node)).map(|node| shares[node]).sum();
+            let others_sum: f64 = shares.iter().sum::<f64>() - selected_sum;
+            let scaled = |(node, share): (usize, &f64)| match selected(node) {
+                true => share / selected_sum.max(1e-9) * lean.share,
+                false => share / others_sum.max(1e-9) * (1.0 - lean.share),
             };
-            all.push((lean.at_s, parts.iter().enumerate().map(leant).collect()));
+            all.push((lean.at_s, shares.iter().enumerate().map(scaled).collect()));
         }
-        for (_, parts) in &mut all {
+        for (_, shares) in &mut all {
             let mut sum = 0.0;
-            parts.iter_mut().for_each(|part| {
-                sum += *part;
-                *part = sum;
+            shares.iter_mut().for_each(|share| {
+                sum += *share;
+                *share = sum;
             });
         }
-        Self { parts: all, rng }
+        Self { cumulative: all, rng }
     }
 
-    /// The node of a request that is due at this time, in seconds.
-    pub fn deal(&mut self, due: f64) -> usize {
-        let Some((_, parts)) = self.parts.iter().rev().find(|(from, _)| *from <= due) else { return 0 };
-        let draw = self.rng.f64() * parts.last().copied().unwrap_or_default();
-        parts.partition_point(|sum| *sum <= draw).min(parts.len().saturating_sub(1))
+    /// Returns the node of a request that is due at this time, in seconds.
+    pub fn pick(&mut self, due: f64) -> usize {
+        let Some((_, sums)) = self.cumulative.iter().rev().find(|(from, _)| *from <= due) else { return 0 };
+        let draw = self.rng.f64() * sums.last().copied().unwrap_or_default();
+        sums.partition_point(|sum| *sum <= draw).min(sums.len().saturating_sub(1))
     }
 }
 
-/// The threads of clients that play.
-pub struct Playing {
+/// Handles of the running client threads.
+pub struct RunningClients {
     threads: Vec<JoinHandle<Result<Vec<RequestRecord>, String>>>,
-    statements: JoinHandle<Vec<SocketReport>>,
+    socket_reports: JoinHandle<Vec<SocketReport>>,
 }
 
-/// Starts the threads of all clients; they begin at once, and end with the scenario or with `stop`.
-pub fn start(scenario: &Scenario, nodes: &[SocketAddr], start: Instant, stop: &Arc<AtomicBool>) -> Playing {
+/// Starts the threads of all clients. They begin at once, and end with the scenario or when `stop` is set.
+pub fn start(
+    scenario: &Scenario,
+    nodes: &[SocketAddr],
+    start: Instant,
+    stop: &Arc<AtomicBool>,
+) -> RunningClients {
     let rate = scenario.capacity() * scenario.load;
     let (shape, arrivals) = (Shape::Constant, spurdrum_load::plan::Arrivals::Poisson);
     let phase = Phase {
@@ -106,57 +111,59 @@
     let (keys, clients) = (Keys::default(), spurdrum_load::plan::Clients::default());
     let plan =
         Plan { phases: vec![phase], classes: scenario.classes.clone(), tenants: Vec::new(), keys, clients };
-    let mut deal = Deal::new(scenario);
-    let mut shares: Vec<Vec<(Arrival, usize)>> = vec![Vec::new(); LOOPS];
+    let mut picker = NodePicker::new(scenario);
+    let mut shares: Vec<Vec<(Arrival, usize)>> = vec![Vec::new(); EVENT_LOOPS];
     for (n, arrival) in Arrivals::new(&plan, scenario.seed).enumerate() {
-        let node = deal.deal(arrival.due_us as f64 / 1e6);
-        shares[n % LOOPS].push((arrival, node));
+        let node = picker.pick(arrival.due_us as f64 / 1e6);
+        shares[n % EVENT_LOOPS].push((arrival, node));
     }
-    let (witness, statements) = SocketObserver::start();
-    let begin = |(n, share): (usize, Vec<(Arrival, usize)>)| {
+    let (observer, socket_reports) = SocketObserver::start();
+    let spawn = |(n, share): (usize, Vec<(Arrival, usize)>)| {
         let (nodes, scenario, seed) = (nodes.to_vec(), scenario.clone(), scenario.seed + n as u64);
-        let (stop, witness) = (Arc::clone(stop), witness.clone());
+        let (stop, observer) = (Arc::clone(stop), observer.clone());
         std::thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
             let runtime = runtime.map_err(|error| error.to_string())?;
             Ok(LocalSet::new()
-                .block_on(&runtime, play(share, &nodes, &scenario, start, seed, &stop, witness)))
+                .block_on(&runtime, send_all(share, &nodes, &scenario, start, seed, &stop, observer)))
         })
     };
-    let threads = shares.into_iter().enumerate().map(begin).collect();
-    Playing { threads, statements }
+    let threads = shares.into_iter().enumerate().map(spawn).collect();
+    RunningClients { threads, socket_reports }
 }
 
-/// Waits for all clients: what became of their requests, in the order in which they were due.
+/// Waits for all clients, and returns the records of their requests in the order in which they were due.
 ///
 /// # Errors
 ///
-/// A client's thread could not play.
-pub fn gather(playing: Playing) -> Result<Vec<RequestRecord>, String> {
-    let mut asked = Vec::new();
-    for thread in playing.threads {
-        asked.extend(thread.join().map_err(|_| "a client's thread died".to_owned())??);
+/// A client's thread failed.
+pub fn gather(running: RunningClients) -> Result<Vec<RequestRecord>, String> {
+    let mut requests = Vec::new();
+    for thread in running.threads {
+        requests.extend(thread.join().map_err(|_| "a client's thread panicked".to_owned())??);
     }
-    let statements = playing.statements.join().map_err(|_| "the witness's thread died".to_owned())?;
-    for SocketReport { request, sockets } in statements {
-        let of = asked.iter_mut().filter(|asked| asked.id == request);
-        of.for_each(|asked| asked.connection.get_or_insert_default().push_str(&format!("; {sockets}")));
+    let reports =
+        running.socket_reports.join().map_err(|_| "the thread that inspects sockets panicked".to_owned())?;
+    for SocketReport { request, sockets } in reports {
+        let matching = requests.iter_mut().filter(|record| record.id == request);
+        matching
+            .for_each(|record| record.connection.get_or_insert_default().push_str(&format!("; {sockets}")));
     }
-    asked.sort_by(|a, b| a.due.total_cmp(&b.due));
-    Ok(asked)
+    requests.sort_by(|a, b| a.due.total_cmp(&b.due));
+    Ok(requests)
 }
 
-/// Plays a share of the arrivals, on one event loop: sends each at its time, and returns what became of it.
-pub async fn play(
+/// Sends one event loop's share of the arrivals, each at its time, and returns the records of the requests.
+pub async fn send_all(
     arrivals: Vec<(Arrival, usize)>,
     nodes: &[SocketAddr],
     scenario: &Scenario,
     start: Instant,
     seed: u64,
     stop: &AtomicBool,
-    witness: SocketObserver,
+    observer: SocketObserver,
 ) -> Vec<RequestRecord> {
-    let pools: Vec<Pool> = nodes.iter().map(|node| Pool::new(*node, CONNECTIONS)).collect();
+    let pools: Vec<Pool> = nodes.iter().map(|node| Pool::new(*node, MAX_CONNECTIONS)).collect();
     let rng = RefCell::new(fastrand::Rng::with_seed(seed));
     let clients = Rc::new(Clients {
         pools,
@@ -164,7 +171,7 @@
         slack: scenario.slack_s,
         rng,
         start,
-        witness,
+        observer,
     });
     let mut tasks = Vec::with_capacity(arrivals.len());
     for (arrival, node) in arrivals {
@@ -176,62 +183,62 @@
             sleep_until(due.into()).await;
         }
         let clients = Rc::clone(&clients);
-        tasks.push(tokio::task::spawn_local(async move { ask(arrival, node, &clients).await }));
+        tasks.push(tokio::task::spawn_local(async move { send(arrival, node, &clients).await }));
     }
-    let mut asked = Vec::with_capacity(tasks.len());
+    let mut requests = Vec::with_capacity(tasks.len());
     for task in tasks {
-        asked.extend(task.await);
+        requests.extend(task.await);
     }
-    asked
+    requests
 }
 
-/// What all requests of an event loop share.
+/// State that all requests of an event loop share.
 struct Clients {
     pools: Vec<Pool>,
     classes: Vec<Class>,
     slack: f64,
     rng: RefCell<fastrand::Rng>,
     start: Instant,
-    witness: SocketObserver,
+    observer: SocketObserver,
 }
 
 impl Clients {
-    /// Sends a request to one node and waits for its answer, for its client's time and the slack.
-    async fn ask_node(&self, arrival: &Arrival, node: usize, progress: &Cell<Progress>) -> End {
+    /// Sends a request to one node and waits for the answer until the client's deadline plus the slack.
+    async fn send_to_node(&self, arrival: &Arrival, node: usize, progress: &Cell<Progress>) -> End {
         let (pool, class) = (&self.pools[node], &self.classes[usize::from(arrival.class)]);
         let deadline = arrival.due_us as f64 / 1e6 + class.deadline_s;
         let at = |seconds: f64| self.start + Duration::from_secs_f64(seconds);
-        let left = (deadline - self.start.elapsed().as_secs_f64()).max(LEFT_LEAST);
-        let mut asked = pin!(pool.ask_traced(request(arrival, class, left), true, progress));
-        let overdue = at(deadline + self.slack / 2.0);
-        if let Ok(outcome) = timeout_at(overdue.into(), &mut asked).await {
+        let budget = (deadline - self.start.elapsed().as_secs_f64()).max(MIN_BUDGET);
+        let mut answer = pin!(pool.ask_traced(build_request(arrival, class, budget), true, progress));
+        let inspect_at = at(deadline + self.slack / 2.0);
+        if let Ok(outcome) = timeout_at(inspect_at.into(), &mut answer).await {
             return End::of(outcome);
         }
-        // While its connection is still there.
-        self.witness.look(arrival.id, pool.target(), progress.get());
-        let ends = at(deadline + self.slack);
-        timeout_at(ends.into(), asked).await.map_or(End::NoAnswer, End::of)
+        // The sockets are inspected halfway through the slack, while the connection still exists.
+        self.observer.observe(arrival.id, pool.target(), progress.get());
+        let give_up_at = at(deadline + self.slack);
+        timeout_at(give_up_at.into(), answer).await.map_or(End::NoAnswer, End::of)
     }
 }
 
-/// Sends a request to its node, or to others where that cannot be reached. What became of it.
-async fn ask(arrival: Arrival, mut node: usize, clients: &Clients) -> RequestRecord {
+/// Sends a request to its node, or to others where that is unreachable, and returns the request's record.
+async fn send(arrival: Arrival, mut node: usize, clients: &Clients) -> RequestRecord {
     let (class, start) = (&clients.classes[usize::from(arrival.class)], clients.start);
     let now = || start.elapsed().as_secs_f64();
     let due = arrival.due_us as f64 / 1e6;
     let lag = now() - due;
     let mut end = End::Unreached;
     let progress = Cell::default();
-    for _ in 0..=OTHERS {
-        end = clients.ask_node(&arrival, node, &progress).await;
+    for _ in 0..=MAX_OTHER_NODES {
+        end = clients.send_to_node(&arrival, node, &progress).await;
         if end != End::Unreached {
             break;
         }
-        // What stands before nodes notices that one is dead, and asks another.
+        // In production the load balancer before the nodes notices that a node is down and uses another.
         node = clients.rng.borrow_mut().usize(..clients.pools.len());
     }
     let is_unanswered = matches!(end, End::Broken | End::NoAnswer);
-    let connection = is_unanswered.then(|| shown(progress.get(), start));
+    let connection = is_unanswered.then(|| describe(progress.get(), start));
     RequestRecord {
         id: arrival.id,
         node,
@@ -245,8 +252,8 @@
     }
 }
 
-/// A request's connection, as its client saw it.
-fn shown(progress: Progress, start: Instant) -> String {
+/// Describes a request's connection as its client saw it.
+fn describe(progress: Progress, start: Instant) -> String {
     let at = |time: Instant| time.saturating_duration_since(start).as_secs_f64();
     match progress {
         Progress::Unsent => "no connection".to_owned(),
@@ -259,7 +266,7 @@
     }
 }
 
-fn request(arrival: &Arrival, class: &Class, left: f64) -> Request<Full<Bytes>> {
+fn build_request(arrival: &Arrival, class: &Class, budget: f64) -> Request<Full<Bytes>> {
     let safe = class.effect == Effect::Safe;
     let body = if safe { Bytes::new() } else { Bytes::from(vec![b'x'; arrival.bytes as usize]) };
     let mut request = Request::builder()
@@ -268,7 +275,7 @@
         .header("host", "origin.svc")
         .header("x-request-id", format!("{:x}", arrival.id))
         .header("x-class", &class.name)
-        .header("x-deadline", format!("{left:.3}"));
+        .header("x-deadline", format!("{budget:.3}"));
     if class.effect == Effect::Keyed {
         request = request.header("idempotency-key", format!("{:032x}", arrival.id));
     }
@@ -280,13 +287,13 @@
     use super::*;
 
     #[test]
-    fn a_tenth_of_the_nodes_has_its_part_and_the_tenth_changes() {
+    fn a_lean_gives_a_tenth_of_the_nodes_its_share_and_the_next_lean_other_nodes() {
         let scenario = "for_s = 10\nnodes = 40\nload = 0.5\n[[servers]]\ncount = 2\n[[lean]]\nnodes = 0.1\nshare = 0.5\n\
                         [[lean]]\nat_s = 5\nnodes = 0.1\nshare = 0.5\n";
-        let mut deal = Deal::new(&Scenario::parse(scenario).expect("sound"));
+        let mut picker = NodePicker::new(&Scenario::parse(scenario).expect("sound"));
         let mut busiest = |at: f64| {
             let mut counts = [0; 40];
-            (0..20_000).for_each(|_| counts[deal.deal(at)] += 1);
+            (0..20_000).for_each(|_| counts[picker.pick(at)] += 1);
             let mut nodes: Vec<usize> = (0..40).collect();
             nodes.sort_by_key(|node| std::cmp::Reverse(counts[*node]));
             (nodes[..4].iter().map(|node| counts[*node]).sum::<i32>(), nodes[..4].to_vec())
--- a/crates/spurdrum-fleet/src/files.rs
+++ b/crates/spurdrum-fleet/src/files.rs
@@ -1,4 +1,4 @@
-//! What the nodes' files say.
+//! Generates the nodes' configuration files.
 
 use std::fmt::Write as _;
 use std::net::SocketAddr;
@@ -7,23 +7,23 @@
 
 use crate::scenario::{workers, Scenario};
 
-/// Descriptors that a node may use.
-const SOCKETS: usize = 2048;
+/// Number of file descriptors that a node may use.
+const MAX_SOCKETS: usize = 2048;
 
-/// What a node's file says of itself alone.
+/// Returns the part of a node's file that is specific to the node.
 #[must_use]
-pub fn node_part(scenario: &Scenario, me: usize, listen: SocketAddr) -> String {
-    let (zones, zone) = (scenario.zones(), scenario.zone_of(me));
-    let told = scenario.told.unwrap_or(scenario.nodes);
+pub fn node_part(scenario: &Scenario, index: usize, listen: SocketAddr) -> String {
+    let (zones, zone) = (scenario.zones(), scenario.zone_of(index));
+    let stated_nodes = scenario.told.unwrap_or(scenario.nodes);
     format!(
-        "[node]\nname = \"n{me}\"\nlisten = \"{listen}\"\nseed = {}\nsockets = {SOCKETS}\nnodes = {told}\n\
+        "[node]\nname = \"n{index}\"\nlisten = \"{listen}\"\nseed = {}\nsockets = {MAX_SOCKETS}\nnodes = {stated_nodes}\n\
          me = {}\nzone = {zone:?}\nzones = {zones:?}\nretry_after_most_ms = 400\n",
-        scenario.seed.wrapping_mul(1000).wrapping_add(me as u64) >> 1,
-        me % told,
+        scenario.seed.wrapping_mul(1000).wrapping_add(index as u64) >> 1,
+        index % stated_nodes,
     )
 }
 
-/// What the files of all nodes say, with the catalog or the servers at these addresses.
+/// Returns the part of the file that all nodes share. `at` returns the address of a server by its index.
 #[must_use]
 pub fn shared_part(
     scenario: &Scenario,
@@ -38,15 +38,15 @@
             Effect::Unsafe => ("unsafe", String::new()),
             Effect::Keyed => ("keyed", format!("group = \"all\"\nwindow_ms = {:.1}\n", scenario.window_ms)),
         };
-        let (aim, deadline) = (class.aim_s * 1000.0, class.deadline_s * 1000.0);
+        let (objective_ms, deadline_ms) = (class.aim_s * 1000.0, class.deadline_s * 1000.0);
         let _ = write!(
             file,
-            "[[class]]\nname = {:?}\neffect = \"{effect}\"\n{group}aim_ms = {aim:.1}\ndeadline_ms = {deadline:.1}\n",
+            "[[class]]\nname = {:?}\neffect = \"{effect}\"\n{group}aim_ms = {objective_ms:.1}\ndeadline_ms = {deadline_ms:.1}\n",
             class.name
         );
     }
-    let cold = scenario.servers.iter().map(|spec| (spec.cold_s * 1000.0, spec.cold_from));
-    let (cold_ms, cold_from) = cold.fold((0.0, 1.0), |a: (f64, f64), b| (a.0.max(b.0), a.1.min(b.1)));
+    let slow_starts = scenario.servers.iter().map(|spec| (spec.cold_s * 1000.0, spec.cold_from));
+    let (cold_ms, cold_from) = slow_starts.fold((0.0, 1.0), |a: (f64, f64), b| (a.0.max(b.0), a.1.min(b.1)));
     let _ = write!(file, "[servers]\ncold_ms = {cold_ms:.1}\ncold_from = {cold_from:.3}\n");
     if scenario.catalog.is_some() {
         let _ = write!(file, "[sources.catalog]\naddress = \"{catalog}\"\n");
--- a/crates/spurdrum-fleet/src/kept.rs
+++ b/crates/spurdrum-fleet/src/kept.rs
@@ -329,7 +329,7 @@
             settings.display()
         );
         for (index, supervisor) in self.supervisors.iter().enumerate() {
-            let at = self.relays.at(&(index, vec![index])).unwrap_or(supervisor.address);
+            let at = self.relays.address_of(&(index, vec![index])).unwrap_or(supervisor.address);
             let zone = self.scenario.zone_of(index);
             text += &format!("[[node]]\nname = 'n{index}'\nkeeper = '{at}'\nzone = '{zone}'\n");
         }
@@ -395,7 +395,7 @@
 
     /// Begins or ends a fault on the links between the rollout controllers and the supervisors of these nodes.
     pub fn set_link_fault(&self, nodes: impl IntoIterator<Item = usize>, kind: Kind, begins: bool) {
-        nodes.into_iter().for_each(|index| self.relays.step(index, kind, begins, Duration::ZERO));
+        nodes.into_iter().for_each(|index| self.relays.set_fault(index, kind, begins, Duration::ZERO));
     }
 
     /// Records that a node is expected not to answer for this many seconds from now, so that its unanswered requests break no
--- a/crates/spurdrum-fleet/src/main.rs
+++ b/crates/spurdrum-fleet/src/main.rs
@@ -132,7 +132,7 @@
                         self::chaos(scenario.seed, count, scenario.for_s, scenario.catalog.is_none());
                 }
                 let program = program.map_or_else(|| process::sibling_program("spurdrum"), Ok)?;
-                let options = Options { keep, playing: Some(playing), ..Options::new(program) };
+                let options = Options { keep, on_start: Some(print_addresses), ..Options::new(program) };
                 let again = format!(
                     "spurdrum-fleet run {} --seed {} --nodes {} --load {}{}",
                     file.display(),
@@ -194,7 +194,7 @@
 }
 
 /// Says where the first nodes are.
-fn playing(nodes: &[SocketAddr]) {
+fn print_addresses(nodes: &[SocketAddr]) {
     let some: Vec<String> = nodes.iter().take(3).map(ToString::to_string).collect();
     println!("playing with {} nodes, at {} and so on", nodes.len(), some.join(" "));
 }
--- a/crates/spurdrum-fleet/src/scenario.rs
+++ b/crates/spurdrum-fleet/src/scenario.rs
@@ -1,4 +1,4 @@
-//! What a fleet is, what load comes and what breaks when, as a TOML file has it.
+//! The scenario file (TOML): the fleet, its load, and which faults occur when.
 
 use std::path::{Path, PathBuf};
 
@@ -9,154 +9,154 @@
     parse_checked, CatalogScript, Fault as ServerFault, Scenario as Servers, Spec, Wrong,
 };
 
-/// Nodes and servers at most: each node is a process, and addresses are dealt out in 127.0.0.0/8.
-const NODES_MOST: usize = 16_384;
+/// Maximum number of nodes: each node is a process and has its own address in 127.0.0.0/8.
+const MAX_NODES: usize = 16_384;
 
-/// A fleet and its script.
+/// A fleet, its load and its faults.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Drives arrivals, work, and whom faults befall.
+    /// Seed of arrivals, service times and the targets of faults.
     #[serde(default = "one_seed")]
     pub seed: u64,
-    /// Length in seconds; the first fifth is left out of the figures.
+    /// Length of the run in seconds; the first fifth is a warm-up that the statistics leave out.
     pub for_s: f64,
-    /// Nodes: processes of the program.
+    /// Number of nodes, each a process of the program.
     pub nodes: usize,
-    /// Nodes that each is told there are; as many as there are where it is left out.
+    /// Number of nodes that each node's configuration states; the real number by default.
     pub told: Option<usize>,
-    /// Part of the servers' capacity that clients ask for.
+    /// Offered load as a fraction of the servers' total capacity.
     pub load: f64,
-    /// How unevenly clients are dealt out to nodes: the sigma of a lognormal.
+    /// How unevenly the load is spread over the nodes: the sigma of a lognormal distribution.
     #[serde(default = "sigma")]
     pub sigma: f64,
-    /// Whether nodes follow the catalog; else the list stands in each node's file.
+    /// The catalog that nodes follow; without it, each node's file contains the list of servers.
     #[serde(default)]
     pub catalog: Option<CatalogScript>,
-    /// The servers, as `spurdrum-standin` has them.
+    /// Groups of servers, in the format of `spurdrum-standin`.
     pub servers: Vec<Spec>,
-    /// What befalls servers or the catalog, as `spurdrum-standin` has it.
+    /// Faults of servers and of the catalog, in the format of `spurdrum-standin`.
     #[serde(default, rename = "server_fault")]
     pub server_faults: Vec<ServerFault>,
-    /// What befalls nodes and links.
+    /// Faults of nodes and links.
     #[serde(default, rename = "fault")]
     pub faults: Vec<Fault>,
-    /// Kinds of requests; one keyed class where there are none.
+    /// Classes of requests; one keyed class by default.
     #[serde(default = "update", rename = "class")]
     pub classes: Vec<Class>,
-    /// Who has how much of the load, from when; before the first, and without any, `sigma` alone deals it out.
+    /// Shares of the load that some nodes get, by start time. Before the first, and without any, only `sigma` spreads the load.
     #[serde(default, rename = "lean")]
     pub leans: Vec<Lean>,
-    /// Whether nodes note what they choose and are told: the verdict then judges drains by each node.
+    /// Whether nodes write traces of their choices and of the changes they learn; drains are then checked for each node.
     #[serde(default)]
     pub trace: bool,
-    /// More of each node's file, in TOML; `{folder}` stands for the node's own folder, `{disk}` for what says how its disk
-    /// does.
+    /// Further TOML for each node's file; `{folder}` stands for the node's own folder, `{disk}` for the file that tells the node
+    /// which disk fault to simulate.
     #[serde(default)]
     pub settings: String,
-    /// Time in which servers discard repeats of a key, in milliseconds.
-    #[serde(default = "window")]
+    /// Time within which servers discard repeats of a keyed request, in milliseconds.
+    #[serde(default = "window_ms")]
     pub window_ms: f64,
-    /// What clocks, sockets and busy cores may be late by before a rule counts as broken, in seconds.
+    /// Tolerance for delays of clocks, sockets and busy cores before a rule counts as broken, in seconds.
     #[serde(default = "slack")]
     pub slack_s: f64,
-    /// Another build of the program, for a part of the nodes.
+    /// Another build of the program that a part of the nodes runs.
     pub other: Option<Other>,
 }
 
-/// Another build for some of the nodes.
+/// Another build of the program for some of the nodes.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Other {
-    /// Its path.
+    /// Path of the build.
     pub program: PathBuf,
-    /// Part of the nodes that run it.
+    /// Fraction of the nodes that run the build.
     pub part: f64,
 }
 
-/// Some nodes' part of the load.
+/// The share of the load that some of the nodes get.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Lean {
-    /// From when, in seconds, until the next one's time.
+    /// Start, in seconds; it lasts until the start of the next `lean`.
     #[serde(default)]
     pub at_s: f64,
-    /// Part of the nodes, drawn anew for each; all of a zone's nodes in its place.
+    /// Fraction of the nodes, which are drawn anew for each `lean`; not used where `zone` is set.
     #[serde(default)]
     pub nodes: f64,
-    /// Nodes of this zone.
+    /// Selects all nodes of this zone.
     pub zone: Option<String>,
-    /// Part of the load that they have together; the others have the rest.
+    /// Share of the load that the selected nodes get together; the other nodes get the rest.
     pub share: f64,
 }
 
-/// Something that happens to nodes, or to their links to servers.
+/// A fault of nodes, or of their links to servers or the catalog.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// What.
+    /// The kind of fault.
     pub kind: Kind,
-    /// Part of the nodes that it befalls; which ones is drawn.
+    /// Fraction of the nodes that are affected, chosen at random.
     pub nodes: f64,
-    /// Part of the servers, for links and lists; which ones is drawn.
+    /// Fraction of the servers that are affected by a fault of links or lists, chosen at random.
     #[serde(default = "whole")]
     pub servers: f64,
-    /// The link to the catalog, in place of those to servers.
+    /// Whether the links to the catalog are affected instead of those to servers.
     #[serde(default)]
     pub catalog: bool,
-    /// From when, in seconds.
+    /// Start of the fault, in seconds.
     pub at_s: f64,
-    /// For how long; to the end where it is left out.
+    /// Duration in seconds; until the end of the run by default.
     pub for_s: Option<f64>,
-    /// How much later, in milliseconds, for `delay` and `disk_slow`.
+    /// Added delay in milliseconds, for `delay` and `disk_slow`.
     #[serde(default)]
     pub delay_ms: u64,
 }
 
-/// What happens.
+/// Kinds of faults.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Hash)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
     /// Nodes are killed, and started again after `for_s`.
     Kill,
-    /// Nodes are stopped (SIGSTOP), and go on after `for_s`.
+    /// Nodes are suspended (SIGSTOP), and resumed after `for_s`.
     Stop,
-    /// Nodes are not there before `at_s`.
+    /// Nodes are first started at `at_s`.
     Late,
-    /// Nodes are killed; in each file of theirs a page was written by half; started again after `for_s`.
+    /// Nodes are killed, a torn (half-written) page is put into each of their files, and they are started again after `for_s`.
     Torn,
-    /// After `for_s` nodes are killed and started with their files as they were at `at_s`.
+    /// After `for_s`, nodes are killed and started again with their files as of `at_s`.
     Older,
-    /// Nodes' disks take no byte more.
+    /// The nodes' disks are full.
     DiskFull,
-    /// Nodes' disks take `delay_ms` longer for each write and each sync.
+    /// Each write and each sync on the nodes' disks takes `delay_ms` longer.
     DiskSlow,
-    /// Nodes' disks refuse to sync.
+    /// Each sync on the nodes' disks fails.
     DiskUnsynced,
-    /// Nodes' disks say yes and keep nothing; after `for_s` nodes are killed and started with what was kept.
+    /// The nodes' disks report success but lose all writes; after `for_s`, nodes are killed and started with what is left.
     DiskForgets,
-    /// Nodes' lists lack these servers.
+    /// The affected servers are missing from the nodes' lists.
     Lists,
-    /// Links break, and new ones are closed as they come.
+    /// Connections are reset, and new ones are closed on arrival.
     Cut,
-    /// Links stay up, new ones too, and nothing moves.
+    /// Connections stay open and new ones are accepted, but no bytes are forwarded.
     Stall,
-    /// Requests pass, answers do not.
+    /// Bytes towards the servers are forwarded, bytes towards the nodes are not.
     OneWay,
-    /// All bytes come `delay_ms` later.
+    /// All bytes are delayed by `delay_ms`.
     Delay,
-    /// Links are reset once, at `at_s`, and go on being made.
+    /// All connections are reset once, at `at_s`; new ones can be opened at once.
     Reset,
 }
 
 impl Kind {
-    /// Whether it befalls links, and not processes.
+    /// Returns whether the fault affects links and not processes.
     #[must_use]
     pub fn affects_links(self) -> bool {
         matches!(self, Self::Cut | Self::Stall | Self::OneWay | Self::Delay | Self::Reset)
     }
 
-    /// What a node's disk is told, where it befalls disks.
+    /// Returns the text for the file that controls a node's simulated disk, where the fault affects disks.
     #[must_use]
     pub fn disk_instruction(self, delay_ms: u64) -> Option<String> {
         match self {
@@ -177,7 +177,7 @@
     0.8
 }
 
-fn window() -> f64 {
+fn window_ms() -> f64 {
     500.0
 }
 
@@ -205,66 +205,75 @@
         parse_checked(text, Self::check)
     }
 
+    /// Checks the values; an error names the key and what is wrong with it.
     fn check(&self) -> Result<(), Wrong> {
-        let part = |x: f64| (0.0..=1.0).contains(&x);
-        if self.nodes == 0 || self.nodes > NODES_MOST || self.told == Some(0) {
-            return Err(("nodes", 0, format!("{} nodes are not between 1 and {NODES_MOST}", self.nodes)));
+        let is_fraction = |x: f64| (0.0..=1.0).contains(&x);
+        if self.nodes == 0 || self.nodes > MAX_NODES || self.told == Some(0) {
+            return Err(("nodes", 0, format!("{} nodes: must be between 1 and {MAX_NODES}", self.nodes)));
         }
         if !(self.for_s > 0.0 && self.for_s <= 86_400.0) {
-            return Err(("for_s", 0, "is no time above 0 and up to a day".into()));
+            return Err(("for_s", 0, "must be above 0 and at most a day".into()));
         }
         if !(self.load > 0.0 && self.load <= 10.0 && (0.0..=3.0).contains(&self.sigma)) {
-            return Err(("load", 0, "`load` is above 0 and up to 10, `sigma` from 0 to 3".into()));
+            return Err(("load", 0, "`load` must be above 0 and at most 10, `sigma` between 0 and 3".into()));
         }
         if self.servers.iter().map(|spec| spec.count).sum::<usize>() == 0 || self.classes.is_empty() {
-            return Err(("servers", 0, "there is no server, or no class".into()));
+            return Err(("servers", 0, "there must be at least one server and one class".into()));
         }
         for fault in &self.faults {
-            let times = fault.at_s >= 0.0 && fault.for_s.is_none_or(|s| s > 0.0);
-            if !(times && part(fault.nodes) && part(fault.servers)) {
-                return Err(("at_s", 0, "times are above 0, `nodes` and `servers` parts from 0 to 1".into()));
+            let valid_times = fault.at_s >= 0.0 && fault.for_s.is_none_or(|s| s > 0.0);
+            if !(valid_times && is_fraction(fault.nodes) && is_fraction(fault.servers)) {
+                return Err((
+                    "at_s",
+                    0,
+                    "times must be above 0, `nodes` and `servers` between 0 and 1".into(),
+                ));
             }
             if matches!(fault.kind, Kind::Older | Kind::DiskForgets) && fault.for_s.is_none() {
-                return Err(("kind", 0, "an older copy, or a disk that forgets, needs `for_s`".into()));
+                return Err(("kind", 0, "kinds `older` and `disk_forgets` need `for_s`".into()));
             }
             if fault.kind.disk_instruction(0).is_some() && !self.settings.contains("{disk}") {
                 return Err((
                     "kind",
                     0,
-                    "a disk is told how to do by a file that `settings` names: `{disk}`".into(),
+                    "disk faults need `{disk}` in `settings`: the file that tells the node which disk fault to simulate".into(),
                 ));
             }
             if fault.kind == Kind::Lists && self.catalog.is_some() {
-                return Err(("kind", 0, "lists differ where they stand in the nodes' files".into()));
+                return Err(("kind", 0, "kind `lists` needs a scenario without a catalog, where the lists are in the nodes' files".into()));
             }
             if fault.kind.affects_links() && self.catalog.is_some() != fault.catalog {
-                let why = "links to servers break where the list stands in the nodes' files, that to the catalog where there is one";
+                let why = "without a catalog, faults of links affect the links to servers; with one, they need `catalog = true`";
                 return Err(("kind", 0, why.into()));
             }
         }
         let zones = self.zones();
         for lean in &self.leans {
-            if !(lean.at_s >= 0.0 && part(lean.nodes) && part(lean.share)) {
-                return Err(("share", 0, "times are above 0, `nodes` and `share` parts from 0 to 1".into()));
+            if !(lean.at_s >= 0.0 && is_fraction(lean.nodes) && is_fraction(lean.share)) {
+                return Err((
+                    "share",
+                    0,
+                    "times must be above 0, `nodes` and `share` between 0 and 1".into(),
+                ));
             }
             if lean.zone.as_ref().is_some_and(|zone| !zones.contains(&zone.as_str())) {
                 return Err(("zone", 0, "no server is in this zone".into()));
             }
         }
-        if self.other.as_ref().is_some_and(|other| !part(other.part)) {
-            return Err(("part", 0, "is no part from 0 to 1".into()));
+        if self.other.as_ref().is_some_and(|other| !is_fraction(other.part)) {
+            return Err(("part", 0, "must be between 0 and 1".into()));
         }
         Ok(())
     }
 
-    /// The zone of a node: they are dealt out in turn.
+    /// Returns the zone of a node; zones are assigned round robin.
     #[must_use]
     pub fn zone_of(&self, node: usize) -> &str {
         let zones = self.zones();
         zones[node % zones.len()]
     }
 
-    /// The zones of the servers, each once.
+    /// Returns the distinct zones of the servers.
     #[must_use]
     pub fn zones(&self) -> Vec<&str> {
         let mut zones: Vec<&str> = self.servers.iter().map(|spec| spec.zone.as_str()).collect();
@@ -273,7 +282,7 @@
         zones
     }
 
-    /// What the stand-in servers play.
+    /// Returns the scenario of the stand-in servers.
     #[must_use]
     pub fn standins(&self) -> Servers {
         Servers {
@@ -286,7 +295,7 @@
         }
     }
 
-    /// Requests a second that the servers can do together.
+    /// Returns the total capacity of the servers, in requests per second.
     #[must_use]
     pub fn capacity(&self) -> f64 {
         self.servers
@@ -295,19 +304,19 @@
             .sum()
     }
 
-    /// What a server of this name is; also of one that replaces another.
+    /// Returns the group that a server belongs to by its name, also for a server that replaces another.
     #[must_use]
     pub fn spec_of(&self, server: &str) -> Option<&Spec> {
-        let stem = |spec: &&Spec| {
+        let has_prefix = |spec: &&Spec| {
             server
                 .strip_prefix(spec.name.as_str())
                 .is_some_and(|rest| rest.starts_with(|c: char| c.is_ascii_digit()))
         };
-        self.servers.iter().find(stem)
+        self.servers.iter().find(has_prefix)
     }
 }
 
-/// Requests that a server works on at once at its full pace.
+/// Returns how many requests a server works on concurrently at full speed.
 #[must_use]
 pub fn workers(spec: &Spec) -> usize {
     spec.slots.min(spec.cores as usize).max(1)
--- a/crates/spurdrum-fleet/src/schedule.rs
+++ b/crates/spurdrum-fleet/src/schedule.rs
@@ -1,48 +1,49 @@
-//! Whom faults befall and when: from a scenario and its seed, with no clock. And the fewest faults that still fail.
+//! Derives from a scenario and its seed which nodes and servers each fault affects and when, without reading a clock. Also
+//! draws random faults and reduces a failing list of faults to a minimal one.
 
 use crate::scenario::{Fault, Kind, Scenario};
 
-/// One step of the script.
+/// The start or the end of one fault.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
-    /// In seconds from the start.
+    /// Time of the step, in seconds from the start of the run.
     pub at_s: f64,
-    /// The fault's place in the scenario.
+    /// Index of the fault in the scenario.
     pub fault: usize,
-    /// Whether it begins, or ends.
+    /// Whether the fault begins at this step; otherwise it ends.
     pub begins: bool,
 }
 
-/// The script of a scenario.
+/// All steps of a scenario's faults, and what each fault affects.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Schedule {
-    /// In the order of their times.
+    /// The steps, in time order.
     pub steps: Vec<Step>,
-    /// By fault: the nodes and the servers that it befalls.
+    /// By fault: indices of the nodes and of the servers that it affects.
     pub targets: Vec<(Vec<usize>, Vec<usize>)>,
 }
 
 impl Schedule {
-    /// Draws it.
+    /// Draws the targets of all faults, of this number of servers.
     #[must_use]
     pub fn new(scenario: &Scenario, servers: usize) -> Self {
         let mut schedule = Self::default();
         for (n, fault) in scenario.faults.iter().enumerate() {
-            // Of its own, so that a fault less does not change whom the others befall.
+            // Each fault has its own generator, so that removing one fault does not change the targets of the others.
             let mut rng = fastrand::Rng::with_seed(scenario.seed.wrapping_mul(1_000_003) ^ seed_of(fault));
-            let mut some = |all: usize, part: f64| {
-                let mut drawn: Vec<usize> = (0..all).collect();
+            let mut draw = |total: usize, share: f64| {
+                let mut drawn: Vec<usize> = (0..total).collect();
                 rng.shuffle(&mut drawn);
-                drawn.truncate((all as f64 * part).round() as usize);
+                drawn.truncate((total as f64 * share).round() as usize);
                 drawn.sort_unstable();
                 drawn
             };
-            let nodes = some(scenario.nodes, fault.nodes);
+            let nodes = draw(scenario.nodes, fault.nodes);
             let servers = match fault.kind.affects_links() {
-                // The catalog comes after the last server.
+                // The index after the last server stands for the catalog.
                 true if fault.catalog => vec![servers],
-                true => some(servers, fault.servers),
-                false if fault.kind == Kind::Lists => some(servers, fault.servers),
+                true => draw(servers, fault.servers),
+                false if fault.kind == Kind::Lists => draw(servers, fault.servers),
                 false => Vec::new(),
             };
             schedule.targets.push((nodes, servers));
@@ -54,26 +55,27 @@
         schedule
     }
 
-    /// Nodes that are not there at the start.
+    /// Returns the nodes that are not started with the run.
     #[must_use]
-    pub fn late(&self, scenario: &Scenario) -> Vec<usize> {
+    pub fn late_nodes(&self, scenario: &Scenario) -> Vec<usize> {
         let late = scenario.faults.iter().zip(&self.targets).filter(|(fault, _)| fault.kind == Kind::Late);
         late.flat_map(|(_, (nodes, _))| nodes.iter().copied()).collect()
     }
 }
 
+/// Returns a seed that depends only on the fault's kind and start time.
 fn seed_of(fault: &Fault) -> u64 {
     let at = (fault.at_s * 1000.0) as u64;
     (fault.kind as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(17)
         ^ at.wrapping_mul(0xd1b5_4a32_d192_ed03)
 }
 
-/// Faults drawn from a seed: so many, in a run of such a length, that end before its last fifth.
+/// Draws `count` random faults from a seed, for a run of `for_s` seconds. All of them end before the last fifth of the run.
 #[must_use]
 pub fn chaos(seed: u64, count: usize, for_s: f64, links: bool) -> Vec<Fault> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let kinds = [Kind::Kill, Kind::Stop, Kind::Cut, Kind::Stall, Kind::OneWay, Kind::Delay, Kind::Reset];
-    // What needs settings of its own is not drawn: disks.
+    // Disk faults are not drawn because they need settings of their own.
     let kinds = if links { &kinds[..] } else { &kinds[..2] };
     let mut draw = || {
         let kind = kinds[rng.usize(..kinds.len())];
@@ -91,30 +93,30 @@
     (0..count).map(|_| draw()).collect()
 }
 
-/// The fewest faults of a failing scenario that still fail, as far as leaving out halves, quarters and single ones shows it
-/// (delta debugging). `fails` plays what it is given.
+/// Returns a minimal subset of a failing scenario's faults that still fails, found by leaving out halves, quarters and finally
+/// single faults (delta debugging). `fails` runs the scenario with the faults it is given and returns whether it fails.
 pub fn shrink(faults: &[Fault], mut fails: impl FnMut(&[Fault]) -> bool) -> Vec<Fault> {
-    let mut left = faults.to_vec();
-    let mut piece = left.len().div_ceil(2).max(1);
-    while !left.is_empty() {
+    let mut remaining = faults.to_vec();
+    let mut chunk = remaining.len().div_ceil(2).max(1);
+    while !remaining.is_empty() {
         let mut at = 0;
-        let mut shorter = false;
-        while at < left.len() {
-            let mut without = left.clone();
-            without.drain(at..(at + piece).min(left.len()));
+        let mut reduced = false;
+        while at < remaining.len() {
+            let mut without = remaining.clone();
+            without.drain(at..(at + chunk).min(remaining.len()));
             if fails(&without) {
-                left = without;
-                shorter = true;
+                remaining = without;
+                reduced = true;
             } else {
-                at += piece;
+                at += chunk;
             }
         }
-        if piece == 1 && !shorter {
+        if chunk == 1 && !reduced {
             break;
         }
-        piece = (piece / 2).max(1);
+        chunk = (chunk / 2).max(1);
     }
-    left
+    remaining
 }
 
 #[cfg(test)]
@@ -127,7 +129,7 @@
     }
 
     #[test]
-    fn the_same_seed_befalls_the_same_nodes_whatever_other_faults_there_are() {
+    fn a_seed_draws_the_same_nodes_for_a_fault_whatever_other_faults_there_are() {
         let kill = "[[fault]]\nkind = 'kill'\nnodes = 0.6\nat_s = 3\nfor_s = 1\n";
         let stall = "[[fault]]\nkind = 'stall'\nnodes = 0.5\nservers = 0.3\nat_s = 2\nfor_s = 4\n";
         let both = Schedule::new(&scenario(&format!("{stall}{kill}")), 10);
@@ -141,13 +143,13 @@
     #[test]
     fn a_failing_schedule_is_shrunk_to_the_faults_that_matter() {
         let faults = chaos(7, 12, 20.0, true);
-        let mut played = 0;
+        let mut runs = 0;
         let fewest = shrink(&faults, |some| {
-            played += 1;
+            runs += 1;
             some.contains(&faults[3]) && some.contains(&faults[10])
         });
         assert_eq!(fewest, [faults[3].clone(), faults[10].clone()]);
-        assert!(played < 60, "{played} runs");
+        assert!(runs < 60, "{runs} runs");
         assert_eq!(shrink(&faults, |_| true), []);
     }
 }
--- a/crates/spurdrum-fleet/src/witness.rs
+++ b/crates/spurdrum-fleet/src/witness.rs
@@ -1,4 +1,5 @@
-//! Looks at the system's sockets where a request got no answer: whether its node has accepted the connection and read from it.
+//! Inspects the system's socket table when a request gets no answer, to find out whether the node has accepted the connection
+//! and read from it.
 
 use std::net::SocketAddr;
 use std::sync::mpsc::{sync_channel, SyncSender};
@@ -8,15 +9,15 @@
 
 use crate::sockets;
 
-/// Requests that are looked at in a run: the table of sockets is long, and reading it takes time from what is played.
-const REQUESTS_MOST: usize = 8;
+/// Number of requests inspected per run. The socket table is long, and reading it takes processor time away from the run.
+const MAX_REQUESTS: usize = 8;
 
-/// What was seen of a request.
+/// The sockets of one request without an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SocketReport {
     /// The request's id.
     pub request: u64,
-    /// The node's sockets.
+    /// Description of the node's listening socket and of both ends of the connection.
     pub sockets: String,
 }
 
@@ -26,35 +27,35 @@
     client: Option<SocketAddr>,
 }
 
-/// Whom clients tell of requests without an answer. They never wait for it.
+/// Handle through which clients report requests without an answer. Reporting never blocks.
 #[derive(Clone)]
 pub struct SocketObserver(SyncSender<SocketQuery>);
 
 impl SocketObserver {
-    /// Starts its thread, which ends with the last witness.
+    /// Starts the thread that inspects the sockets; it ends when the last handle is dropped, and returns its reports.
     #[must_use]
     pub fn start() -> (Self, JoinHandle<Vec<SocketReport>>) {
-        let (tell, told) = sync_channel::<SocketQuery>(REQUESTS_MOST);
-        let look = move || {
-            let mut statements = Vec::new();
-            for SocketQuery { request, node, client } in told {
-                if statements.len() < REQUESTS_MOST {
+        let (sender, receiver) = sync_channel::<SocketQuery>(MAX_REQUESTS);
+        let inspect = move || {
+            let mut reports = Vec::new();
+            for SocketQuery { request, node, client } in receiver {
+                if reports.len() < MAX_REQUESTS {
                     let sockets = sockets::of_node(node, client);
-                    statements.push(SocketReport { request, sockets });
+                    reports.push(SocketReport { request, sockets });
                 }
             }
-            statements
+            reports
         };
-        (Self(tell), thread::spawn(look))
+        (Self(sender), thread::spawn(inspect))
     }
 
-    /// A request to this node has had no answer.
-    pub fn look(&self, request: u64, node: SocketAddr, progress: Progress) {
+    /// Reports that a request to this node has no answer so far.
+    pub fn observe(&self, request: u64, node: SocketAddr, progress: Progress) {
         let client = match progress {
             Progress::Sent(seen) => Some(seen.client),
             Progress::Unsent | Progress::Dialing(_) => None,
         };
-        // With many at once, the first tell enough.
+        // Further requests are dropped while the queue is full: the first ones show enough.
         let _ = self.0.try_send(SocketQuery { request, node, client });
     }
 }
