--- a/crates/spurdrum-fleet/src/run.rs
+++ b/crates/spurdrum-fleet/src/run.rs
@@ -393,7 +393,7 @@
         schedule: &Schedule,
         servers: &[(String, SocketAddr)],
     ) -> Result<Self, String> {
-        let of_links =
+        let link_targets =
             |(fault, targets): (&Fault, &(Vec<usize>, Vec<usize>))| match fault.kind.affects_links() {
                 true => targets.clone(),
                 false => Default::default(),
