--- a/crates/spurdrum-fleet/src/clients.rs
+++ b/crates/spurdrum-fleet/src/clients.rs
@@ -96,7 +96,7 @@
     stop: &Arc<AtomicBool>,
 ) -> RunningClients {
     let rate = scenario.capacity() * scenario.load;
-    let (shape, arrivals) = (Shape::Constant, spurdrum_load::plan::Arrivals::Poisson);
+    let (shape, arrivals) = (Shape::Constant, spurdrum_load::plan::ArrivalProcess::Poisson);
     let phase = Phase {
         for_s: scenario.for_s,
         shape,
@@ -209,7 +209,7 @@
         let deadline = arrival.due_us as f64 / 1e6 + class.deadline_s;
         let at = |seconds: f64| self.start + Duration::from_secs_f64(seconds);
         let budget = (deadline - self.start.elapsed().as_secs_f64()).max(MIN_BUDGET);
-        let mut answer = pin!(pool.ask_traced(build_request(arrival, class, budget), true, progress));
+        let mut answer = pin!(pool.send_with_progress(build_request(arrival, class, budget), true, progress));
         let inspect_at = at(deadline + self.slack / 2.0);
         if let Ok(outcome) = timeout_at(inspect_at.into(), &mut answer).await {
             return End::of(outcome);
@@ -257,9 +257,9 @@
     let at = |time: Instant| time.saturating_duration_since(start).as_secs_f64();
     match progress {
         Progress::Unsent => "no connection".to_owned(),
-        Progress::Dialing(since) => format!("connecting since {:.3} s", at(since)),
+        Progress::Connecting(since) => format!("connecting since {:.3} s", at(since)),
         Progress::Sent(seen) => {
-            let (dialed, connected) = (at(seen.dialed_at), at(seen.connected_at));
+            let (dialed, connected) = (at(seen.connect_started_at), at(seen.connected_at));
             let (client, answered) = (seen.client, seen.answered);
             format!("{client}, dialed at {dialed:.3} s, up at {connected:.3} s, {answered} answers before")
         }
--- a/crates/spurdrum-fleet/src/witness.rs
+++ b/crates/spurdrum-fleet/src/witness.rs
@@ -53,7 +53,7 @@
     pub fn observe(&self, request: u64, node: SocketAddr, progress: Progress) {
         let client = match progress {
             Progress::Sent(seen) => Some(seen.client),
-            Progress::Unsent | Progress::Dialing(_) => None,
+            Progress::Unsent | Progress::Connecting(_) => None,
         };
         // Further requests are dropped while the queue is full: the first ones show enough.
         let _ = self.0.try_send(SocketQuery { request, node, client });
