--- a/crates/spurdrum-fleet/src/addresses.rs
+++ b/crates/spurdrum-fleet/src/addresses.rs
@@ -1,36 +1,37 @@
-//! Addresses of this process's own in 127.0.0.0/8, and free ports on them.
+//! Leases addresses in 127.0.0.0/8 for this process, and finds free ports on them.
 //!
-//! Rigs that run at the same time lease different blocks of addresses. A port that has been found free is let go again until the
-//! process that it is meant for listens on it, so a block of its own is what keeps others from taking it.
+//! Rigs that run at the same time lease different blocks of addresses. A port that has been found free is released again until
+//! the process that it is meant for listens on it; only the exclusive block keeps other rigs from taking the port meanwhile.
 
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener};
 use std::ops::Range;
 use std::sync::OnceLock;
 
-/// The second bytes of the blocks: 127.20.0.0/16 to 127.219.0.0/16.
+/// Values of the second byte, one for each block: 127.20.0.0/16 to 127.219.0.0/16.
 const BLOCKS: Range<u8> = 20..220;
-/// Where whoever leases a block listens: no node has this address, as a block has room for more than there may be.
+/// Last two bytes and port of the address on which the holder of a block listens. No node has this address: a block has more
+/// addresses than a run may have nodes.
 const LEASE: ([u8; 2], u16) = ([255, 254], 20_000);
-/// Addresses by the third byte.
-const BY_THIRD_BYTE: usize = 250;
-/// Processes of a run listen on ports of these, above none that the system gives to connections.
+/// Number of addresses used for each value of the third byte.
+const ADDRESSES_PER_THIRD_BYTE: usize = 250;
+/// Ports on which the processes of a run listen; all are below the system's range of ephemeral ports.
 const PORTS: Range<u16> = 20_000..20_100;
 
-/// A block of addresses that is this process's alone, until it is dropped or the process ends.
+/// A block of addresses that belongs to this process alone until it is dropped or the process ends.
 #[derive(Debug)]
 pub struct Block {
     second_byte: u8,
-    /// Nobody connects: that one process at a time can listen there is what makes it a lease.
+    /// Nothing connects to this listener. It is the lease because only one process at a time can listen on the address.
     _lease: TcpListener,
 }
 
 impl Block {
-    /// Leases the first block that nobody has, from this one on and round.
+    /// Leases the first free block, starting with block `from` and wrapping around.
     ///
     /// # Errors
     ///
-    /// Others have all of them.
+    /// Other processes hold all blocks.
     pub fn lease(from: u8) -> io::Result<Self> {
         let first = from % BLOCKS.len() as u8;
         let mut blocks = (BLOCKS.start + first..BLOCKS.end).chain(BLOCKS.start..BLOCKS.start + first);
@@ -42,38 +43,38 @@
         leased.ok_or_else(|| io::Error::new(io::ErrorKind::AddrInUse, "no block of addresses is free"))
     }
 
-    /// Its `n`th address.
+    /// Returns the `n`th address of the block.
     #[must_use]
     pub fn address(&self, n: usize) -> IpAddr {
-        let (third, fourth) = (n / BY_THIRD_BYTE, n % BY_THIRD_BYTE + 1);
+        let (third, fourth) = (n / ADDRESSES_PER_THIRD_BYTE, n % ADDRESSES_PER_THIRD_BYTE + 1);
         IpAddr::V4(Ipv4Addr::new(127, self.second_byte, third as u8, fourth as u8))
     }
 }
 
-/// The `n`th address of this process. Its block is leased with the first.
+/// Returns the `n`th address of this process. The first call leases the block.
 ///
 /// # Errors
 ///
 /// No block is free.
 pub fn address(n: usize) -> Result<IpAddr, String> {
-    static OWN: OnceLock<Result<Block, String>> = OnceLock::new();
+    static BLOCK: OnceLock<Result<Block, String>> = OnceLock::new();
     let lease = || {
         let from = std::process::id() % u32::from(BLOCKS.end - BLOCKS.start);
         Block::lease(from as u8).map_err(|error| format!("addresses: {error}"))
     };
-    OWN.get_or_init(lease).as_ref().map(|block| block.address(n)).map_err(Clone::clone)
+    BLOCK.get_or_init(lease).as_ref().map(|block| block.address(n)).map_err(Clone::clone)
 }
 
-/// A port above another that is free now on an address of this process's own, and that no connection is given by the system:
-/// those are dealt out from higher ones.
+/// Returns an address of this process with a port above `above` that is free now. The system does not assign the port to an
+/// outgoing connection because ephemeral ports are higher.
 ///
 /// # Errors
 ///
-/// None is free.
-pub fn free(on: IpAddr, above: u16) -> Result<SocketAddr, String> {
+/// No port is free.
+pub fn free(host: IpAddr, above: u16) -> Result<SocketAddr, String> {
     let ports = above.max(PORTS.start) + 1..PORTS.end;
-    let found = ports.map(|port| SocketAddr::new(on, port)).find(|at| TcpListener::bind(at).is_ok());
-    found.ok_or_else(|| format!("no free port on {on}"))
+    let found = ports.map(|port| SocketAddr::new(host, port)).find(|at| TcpListener::bind(at).is_ok());
+    found.ok_or_else(|| format!("no free port on {host}"))
 }
 
 #[cfg(test)]
--- a/crates/spurdrum-fleet/src/disks.rs
+++ b/crates/spurdrum-fleet/src/disks.rs
@@ -1,27 +1,27 @@
-//! What disks do to the files of a node that is not running: a page that was written by half, and an older copy.
+//! Simulates disk faults on the files of a node that is not running: a torn (half-written) page, and an older copy.
 
 use std::fs::{self, OpenOptions};
 use std::io::{Seek, SeekFrom, Write};
 use std::path::{Path, PathBuf};
 
-/// A page is written by half, or whole.
+/// Size of a page, in bytes.
 const PAGE: u64 = 4096;
-/// Files that are larger are left alone.
-const MOST: u64 = 64 << 20;
+/// Larger files are left unchanged, in bytes.
+const MAX_FILE_SIZE: u64 = 64 << 20;
 
-/// The files of a folder at one moment.
+/// A snapshot of the files of a folder.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Copy {
     files: Vec<(PathBuf, Vec<u8>)>,
 }
 
-/// Regular files of a folder, by name.
+/// Returns the regular files of a folder up to the maximum size, sorted by name.
 fn files(folder: &Path) -> std::io::Result<Vec<PathBuf>> {
     let mut files = Vec::new();
     for entry in fs::read_dir(folder)? {
         let entry = entry?;
-        let about = entry.metadata()?;
-        if about.is_file() && about.len() <= MOST {
+        let metadata = entry.metadata()?;
+        if metadata.is_file() && metadata.len() <= MAX_FILE_SIZE {
             files.push(entry.path());
         }
     }
@@ -30,7 +30,7 @@
 }
 
 impl Copy {
-    /// Takes a copy.
+    /// Reads all files of a folder.
     ///
     /// # Errors
     ///
@@ -40,14 +40,14 @@
         Ok(Self { files: files(folder)?.into_iter().map(read).collect::<Result<_, _>>()? })
     }
 
-    /// Puts it back: files that came later are gone again.
+    /// Restores the files, and removes those that were created after the snapshot.
     ///
     /// # Errors
     ///
     /// A file cannot be written or removed.
-    pub fn put(&self, folder: &Path) -> std::io::Result<()> {
+    pub fn restore(&self, folder: &Path) -> std::io::Result<()> {
         for path in files(folder)? {
-            if !self.files.iter().any(|(of, _)| *of == path) {
+            if !self.files.iter().any(|(saved, _)| *saved == path) {
                 fs::remove_file(path)?;
             }
         }
@@ -55,7 +55,7 @@
     }
 }
 
-/// Writes half of a page of zeros into each file, at a page that is drawn, and tells into how many.
+/// Overwrites the second half of a randomly chosen page of each file with zeros, and returns the number of files changed.
 ///
 /// # Errors
 ///
@@ -67,7 +67,7 @@
         let page = rng.u64(..length.div_ceil(PAGE).max(1)) * PAGE;
         let from = page + PAGE / 2;
         if from >= length {
-            // Less than half a page is written at once or not at all.
+            // The page holds at most half a page of data, which is written completely or not at all.
             continue;
         }
         let mut file = OpenOptions::new().write(true).open(&path)?;
@@ -90,20 +90,20 @@
     }
 
     #[test]
-    fn an_older_copy_is_as_it_was() {
+    fn restoring_a_snapshot_undoes_all_later_changes() {
         let folder = folder("older");
         fs::write(folder.join("state"), b"one").expect("written");
         let copy = Copy::take(&folder).expect("copied");
         fs::write(folder.join("state"), b"two, longer").expect("written");
         fs::write(folder.join("state.bad"), b"later").expect("written");
-        copy.put(&folder).expect("put back");
+        copy.restore(&folder).expect("restored");
         assert_eq!(Copy::take(&folder).expect("copied"), copy);
         assert_eq!(fs::read(folder.join("state")).expect("there"), b"one");
         fs::remove_dir_all(folder).expect("removed");
     }
 
     #[test]
-    fn a_torn_page_is_half_of_one_page_and_no_more() {
+    fn a_torn_page_changes_exactly_half_of_one_page() {
         let folder = folder("torn");
         let path = folder.join("state");
         for seed in 0..20 {
@@ -114,7 +114,7 @@
             assert_eq!((bytes.len(), zeros.len(), zeros[0] % 4096), (5 * 4096, 2048, 2048));
         }
         fs::write(&path, b"short").expect("written");
-        assert_eq!(tear(&folder, &mut fastrand::Rng::with_seed(1)).expect("left alone"), 0);
+        assert_eq!(tear(&folder, &mut fastrand::Rng::with_seed(1)).expect("left unchanged"), 0);
         assert_eq!(fs::read(&path).expect("there"), b"short");
         fs::remove_dir_all(folder).expect("removed");
     }
--- a/crates/spurdrum-fleet/src/figures.rs
+++ b/crates/spurdrum-fleet/src/figures.rs
@@ -1,4 +1,4 @@
-//! What a run shows of the spread. Each figure's definition stands in `docs/design/spread.md`.
+//! Statistics of a run, mainly of how evenly requests were spread over the servers. `docs/design/spread.md` defines each one.
 
 use std::collections::BTreeMap;
 use std::fmt::{self, Write as _};
@@ -7,51 +7,52 @@
 
 use crate::history::{End, History, RequestRecord, Server};
 
-/// Latencies are counted up to this many microseconds.
-const MOST: u64 = 600_000_000;
+/// Largest latency that the histograms record, in microseconds.
+const MAX_LATENCY_US: u64 = 600_000_000;
 
-/// The figures of a run, or of a stretch of one.
+/// Statistics of a run, or of a part of one.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Figures {
-    /// Requests that were due.
+pub struct RunStatistics {
+    /// Number of requests that were due.
     pub offered: usize,
-    /// Parts of them that were refused, that failed, and that nobody answered.
+    /// Fraction of the requests that were refused.
     pub refused: f64,
-    /// See `refused`.
+    /// Fraction of the requests that failed.
     pub failed: f64,
-    /// See `refused`.
-    pub nothing: f64,
-    /// Attempts for a request.
+    /// Fraction of the requests without an answer.
+    pub unanswered: f64,
+    /// Mean number of attempts per request.
     pub attempts: f64,
-    /// Sends to a server by its capacity, over the mean: least, most, standard deviation, and that of independent draws.
-    pub least: f64,
-    /// See `least`.
-    pub most: f64,
-    /// See `least`.
+    /// The load of a server is its number of attempts by its capacity, relative to the mean. This is the smallest load.
+    pub min_load: f64,
+    /// The largest load of a server.
+    pub max_load: f64,
+    /// Standard deviation of the servers' loads.
     pub variation: f64,
-    /// See `least`.
+    /// Standard deviation of the servers' loads that independent random choices would give.
     pub poisson: f64,
-    /// Mean over windows of a second of the standard deviation of sends by capacity, over that of independent draws.
+    /// Standard deviation of the loads relative to that of independent random choices, averaged over windows of one second.
     pub by_second: f64,
-    /// Part of the server-seconds with a free worker while some server has two or more waiting.
+    /// Fraction of the server time with a free worker while another server has two or more requests waiting.
     pub idle: f64,
-    /// Most begun at one server within one service time, over the p99.9 of independent draws of its fair part.
+    /// Largest number of requests begun at a server within one service time, relative to the p99.9 of independent random choices
+    /// with the server's fair share.
     pub herd: f64,
-    /// Latencies of what was served, in milliseconds from when it was due.
+    /// Median latency of served requests, in milliseconds from when they were due.
     pub p50: f64,
-    /// See `p50`.
+    /// 99th percentile of the latency of served requests, in milliseconds from when they were due.
     pub p99: f64,
-    /// How late requests were sent, by the rig's own fault: p99 in milliseconds.
+    /// 99th percentile of how late the rig itself sent requests, in milliseconds.
     pub lag: f64,
 }
 
-impl Figures {
-    /// Names and values, in the order in which tables have them.
+impl RunStatistics {
+    /// Returns names and values in the order of the tables' columns.
     #[must_use]
     pub fn columns(&self) -> [(&'static str, f64); 14] {
         [
-            ("least", self.least),
-            ("most", self.most),
+            ("least", self.min_load),
+            ("most", self.max_load),
             ("variation", self.variation),
             ("poisson", self.poisson),
             ("by second", self.by_second),
@@ -61,50 +62,55 @@
             ("p99 ms", self.p99),
             ("refused %", 100.0 * self.refused),
             ("failed %", 100.0 * self.failed),
-            ("nothing %", 100.0 * self.nothing),
+            ("nothing %", 100.0 * self.unanswered),
             ("attempts", self.attempts),
             ("lag ms", self.lag),
         ]
     }
 }
 
-impl fmt::Display for Figures {
+impl fmt::Display for RunStatistics {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "{:<12}{:>10}", "requests", self.offered)?;
         self.columns().iter().try_for_each(|(name, value)| writeln!(f, "{name:<12}{value:>10.3}"))
     }
 }
 
-/// The part of a run that counts: all but its first fifth.
+/// Returns the statistics of a run without its first fifth, which is the warm-up.
 #[must_use]
-pub fn of(history: &History) -> Figures {
+pub fn of(history: &History) -> RunStatistics {
     between(history, history.length / 5.0, history.length)
 }
 
-/// The figures of a stretch, in seconds.
+/// Returns the statistics of the interval between two times in seconds.
 #[must_use]
-pub fn between(history: &History, from: f64, to: f64) -> Figures {
+pub fn between(history: &History, from: f64, to: f64) -> RunStatistics {
     let within = |at: f64| (from..to).contains(&at);
-    let asked: Vec<_> = history.requests.iter().filter(|asked| within(asked.due)).collect();
-    let part =
-        |end: End| asked.iter().filter(|asked| asked.end == end).count() as f64 / asked.len().max(1) as f64;
+    let requests: Vec<_> = history.requests.iter().filter(|request| within(request.due)).collect();
+    let part = |end: End| {
+        requests.iter().filter(|request| request.end == end).count() as f64 / requests.len().max(1) as f64
+    };
     let hist = |values: &mut dyn Iterator<Item = f64>| {
-        let mut hist = Histogram::<u64>::new_with_max(MOST, 3).expect("bounds are sound");
+        let mut hist = Histogram::<u64>::new_with_max(MAX_LATENCY_US, 3).expect("bounds are sound");
         values.for_each(|s| hist.saturating_record((s * 1e6).max(0.0) as u64));
         hist
     };
-    let took =
-        hist(&mut asked.iter().filter(|asked| asked.end == End::Served).map(|asked| asked.ended - asked.due));
-    let lag = hist(&mut asked.iter().map(|asked| asked.lag));
+    let latencies = hist(
+        &mut requests
+            .iter()
+            .filter(|request| request.end == End::Served)
+            .map(|request| request.ended - request.due),
+    );
+    let lag = hist(&mut requests.iter().map(|request| request.lag));
     let ms = |hist: &Histogram<u64>, part: f64| hist.value_at_quantile(part) as f64 / 1000.0;
     let mut begun: Vec<Vec<f64>> = vec![Vec::new(); history.servers.len()];
     history
         .attempts
         .iter()
-        .filter(|worked| within(worked.begun))
-        .for_each(|worked| begun[worked.server].push(worked.begun));
+        .filter(|attempt| within(attempt.begun))
+        .for_each(|attempt| begun[attempt.server].push(attempt.begun));
     let sent: usize = begun.iter().map(Vec::len).sum();
-    let (least, most, variation, poisson) = spread(history, &begun, (from, to));
+    let (min_load, max_load, variation, poisson) = spread(history, &begun, (from, to));
     let seconds = (to - from).floor().max(1.0) as usize;
     let by_second = (0..seconds).map(|n| {
         let span = from + n as f64..from + n as f64 + 1.0;
@@ -117,27 +123,28 @@
             1.0
         }
     });
-    Figures {
-        offered: asked.len(),
+    RunStatistics {
+        offered: requests.len(),
         refused: part(End::Refused),
         failed: part(End::Failed) + part(End::Broken) + part(End::Unreached),
-        nothing: part(End::NoAnswer),
-        attempts: sent as f64 / asked.len().max(1) as f64,
-        least,
-        most,
+        unanswered: part(End::NoAnswer),
+        attempts: sent as f64 / requests.len().max(1) as f64,
+        min_load,
+        max_load,
         variation,
         poisson,
         by_second: by_second.sum::<f64>() / seconds as f64,
         idle: idle(history, from, to),
         herd: herd(history, &begun, (from, to)),
-        p50: ms(&took, 0.5),
-        p99: ms(&took, 0.99),
+        p50: ms(&latencies, 0.5),
+        p99: ms(&latencies, 0.99),
         lag: ms(&lag, 0.99),
     }
 }
 
-/// Least, most and deviation of sends by capacity, over their mean, and the deviation that independent draws would have.
-/// Servers that are there for less than a fifth of the stretch are left out; others count for the part in which they are.
+/// Returns the smallest and the largest load and the standard deviation of the loads, relative to the mean, and the deviation that
+/// independent random choices would give. Servers that are available for less than a fifth of the interval are left out; the
+/// capacity of the others is scaled by the time in which they are available.
 fn spread(history: &History, begun: &[Vec<f64>], (from, to): (f64, f64)) -> (f64, f64, f64, f64) {
     let sizes = history.servers.iter().zip(begun).map(|(server, times)| {
         let up = server.available_s(from, to) / (to - from).max(1e-9);
@@ -155,55 +162,57 @@
     let count = parts.len() as f64;
     let variance = parts.iter().map(|part| (part - 1.0).powi(2)).sum::<f64>() / count;
     let draws = sizes.iter().map(|size| 1.0 / (each * size)).sum::<f64>() / count;
-    let least = parts.iter().copied().fold(f64::INFINITY, f64::min);
-    (least, parts.iter().copied().fold(0.0, f64::max), variance.sqrt(), draws.sqrt())
+    let min_load = parts.iter().copied().fold(f64::INFINITY, f64::min);
+    (min_load, parts.iter().copied().fold(0.0, f64::max), variance.sqrt(), draws.sqrt())
 }
 
-/// Part of the server-seconds with a free worker while some server has two or more waiting.
+/// Returns the fraction of the server time with a free worker while another server has two or more requests waiting.
 fn idle(history: &History, from: f64, to: f64) -> f64 {
     let mut steps: Vec<(f64, usize, i64)> = Vec::new();
-    for worked in &history.attempts {
-        steps.push((worked.begun, worked.server, 1));
-        steps.extend(worked.ended.map(|at| (at, worked.server, -1)));
+    for attempt in &history.attempts {
+        steps.push((attempt.begun, attempt.server, 1));
+        steps.extend(attempt.ended.map(|at| (at, attempt.server, -1)));
     }
     steps.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.2.cmp(&b.2)));
-    let mut held = vec![0_i64; history.servers.len()];
+    let mut pending = vec![0_i64; history.servers.len()];
     let workers: Vec<i64> = history.servers.iter().map(|server| server.workers as i64).collect();
     let (mut before, mut idle) = (from, 0.0);
     for (at, server, change) in steps {
         let now = at.clamp(from, to);
         if now > before {
-            if held.iter().zip(&workers).any(|(held, workers)| held - workers >= 2) {
+            if pending.iter().zip(&workers).any(|(pending, workers)| pending - workers >= 2) {
                 let up = |n: usize| history.servers[n].available_s(before, before + 1e-6) > 0.0;
-                let free = (0..held.len()).filter(|n| held[*n] < workers[*n] && up(*n)).count();
+                let free = (0..pending.len()).filter(|n| pending[*n] < workers[*n] && up(*n)).count();
                 idle += (now - before) * free as f64;
             }
             before = now;
         }
-        held[server] += change;
+        pending[server] += change;
     }
     idle / ((to - from) * history.servers.len() as f64).max(1e-9)
 }
 
+/// Returns the largest number of requests begun at a server within one service time, relative to the p99.9 of independent random
+/// choices.
 fn herd(history: &History, begun: &[Vec<f64>], (from, to): (f64, f64)) -> f64 {
     let size = |server: &Server| server.workers as f64 / server.service_s.max(1e-9);
     let sizes: f64 = history.servers.iter().map(|server| size(server) * server.available_s(from, to)).sum();
     let each = begun.iter().map(|times| times.len() as f64).sum::<f64>() / sizes.max(1e-9);
     let of = |(server, times): (&Server, &Vec<f64>)| {
         let mut first = 0;
-        let most = times.iter().enumerate().map(|(n, at)| {
+        let counts = times.iter().enumerate().map(|(n, at)| {
             while at - times[first] > server.service_s {
                 first += 1;
             }
             n + 1 - first
         });
-        let usual = poisson(each * size(server) * server.service_s, 0.999);
-        most.max().unwrap_or(0) as f64 / usual as f64
+        let expected = poisson(each * size(server) * server.service_s, 0.999);
+        counts.max().unwrap_or(0) as f64 / expected as f64
     };
     history.servers.iter().zip(begun).map(of).fold(0.0, f64::max)
 }
 
-/// The count that so large a part of Poisson draws of this mean do not pass, at least one.
+/// Returns the quantile `part` of a Poisson distribution with this mean, but at least 1.
 #[must_use]
 pub fn poisson(mean: f64, part: f64) -> usize {
     let (mut term, mut sum, mut count) = ((-mean).exp(), (-mean).exp(), 0);
@@ -215,8 +224,8 @@
     count.max(1)
 }
 
-/// Seconds from the end of the last fault until sends in a second stay within this many times the spread before the first
-/// fault; none where that does not come within the run, or there was no fault.
+/// Returns the seconds from the end of the last fault until `by_second` over two seconds is at most `times` its value before
+/// the first fault; `None` where that does not happen within the run, or there was no fault.
 #[must_use]
 pub fn recovery_s(history: &History, times: f64) -> Option<f64> {
     let first = history.faults.iter().map(|(from, _)| *from).reduce(f64::min)?;
@@ -233,7 +242,7 @@
     None
 }
 
-/// Sends to all servers of one capacity over their fair part, by capacity in requests a second.
+/// Returns, by capacity in requests per second, the attempts at all servers of that capacity relative to their fair share.
 #[must_use]
 pub fn by_capacity(history: &History) -> Vec<(f64, f64)> {
     let (from, to) = (history.length / 5.0, history.length);
@@ -243,28 +252,28 @@
     for server in &history.servers {
         sums.entry(key(server)).or_default().0 += size(server) * server.available_s(from, to);
     }
-    for worked in history.attempts.iter().filter(|worked| (from..to).contains(&worked.begun)) {
-        sums.entry(key(&history.servers[worked.server])).or_default().1 += 1.0;
+    for attempt in history.attempts.iter().filter(|attempt| (from..to).contains(&attempt.begun)) {
+        sums.entry(key(&history.servers[attempt.server])).or_default().1 += 1.0;
     }
     let (sizes, sent) = sums.values().fold((0.0, 0.0), |all, sum| (all.0 + sum.0, all.1 + sum.1));
     let part = |(size, n): (f64, f64)| if size > 0.0 { n / size * sizes / sent } else { 0.0 };
     sums.into_iter().map(|(key, sum)| (key as f64 / 1000.0, part(sum))).collect()
 }
 
-/// The greatest herd in the second after a fault began or ended.
+/// Returns the largest `herd` in the second after a fault began or ended.
 #[must_use]
 pub fn max_herd_at_faults(history: &History) -> f64 {
     let edges = history.faults.iter().flat_map(|(from, to)| [*from, *to]).filter(|at| *at < history.length);
     edges.map(|at| between(history, at, at + 1.0).herd).fold(0.0, f64::max)
 }
 
-/// How many requests were not served of how many, a row for each second and a column for each node.
+/// Formats a table of requests that were not served, out of all, with a row for each second and a column for each node.
 #[must_use]
-pub fn not_served(asked: &[RequestRecord]) -> String {
+pub fn not_served(requests: &[RequestRecord]) -> String {
     let mut counts: BTreeMap<u64, BTreeMap<usize, (u32, u32)>> = BTreeMap::new();
-    for asked in asked {
-        let count = counts.entry(asked.due as u64).or_default().entry(asked.node).or_default();
-        count.0 += u32::from(asked.end != End::Served);
+    for request in requests {
+        let count = counts.entry(request.due as u64).or_default().entry(request.node).or_default();
+        count.0 += u32::from(request.end != End::Served);
         count.1 += 1;
     }
     let mut table = "second: not served of all, by node\n".to_owned();
@@ -296,8 +305,8 @@
         }
     }
 
-    fn history(worked: &[(usize, f64, f64)]) -> History {
-        let worked = worked.iter().enumerate().map(|(id, (server, begun, ended))| ServerAttempt {
+    fn history(attempts: &[(usize, f64, f64)]) -> History {
+        let attempts = attempts.iter().enumerate().map(|(id, (server, begun, ended))| ServerAttempt {
             id: id as u64,
             server: *server,
             begun: *begun,
@@ -305,7 +314,7 @@
         });
         History {
             length: 10.0,
-            attempts: worked.collect(),
+            attempts: attempts.collect(),
             servers: vec![server("a", 1), server("b", 1)],
             ..History::default()
         }
@@ -313,17 +322,17 @@
 
     #[test]
     fn a_server_is_idle_only_while_others_wait() {
-        // Server a holds one from 4 to 10 s, three from 5 to 8 s: two wait, and b is free.
+        // Server a has one request from 4 to 10 s and three from 5 to 8 s, when two wait while b is free.
         let history = history(&[(0, 4.0, 10.0), (0, 5.0, 8.0), (0, 5.0, 8.0)]);
         let idle = between(&history, 2.0, 10.0).idle;
         assert!((idle - 3.0 / 16.0).abs() < 1e-9, "{idle}");
-        let mut still = history.clone();
-        still.servers[1].unavailable.push((0.0, 20.0));
-        assert_eq!(between(&still, 2.0, 10.0).idle, 0.0);
+        let mut unavailable = history.clone();
+        unavailable.servers[1].unavailable.push((0.0, 20.0));
+        assert_eq!(between(&unavailable, 2.0, 10.0).idle, 0.0);
     }
 
     #[test]
-    fn spread_counts_by_capacity() {
+    fn loads_are_relative_to_capacity() {
         let mut history = history(&[]);
         history.servers = vec![server("a", 1), server("b", 3)];
         let at = |n: usize| 2.0 + n as f64 * 0.01;
@@ -336,14 +345,17 @@
             })
             .collect();
         let even = between(&history, 2.0, 10.0);
-        assert!(even.variation < 1e-9 && (even.least - 1.0).abs() < 1e-9);
-        history.attempts.iter_mut().for_each(|worked| worked.server = usize::from(worked.id % 2 > 0));
+        assert!(even.variation < 1e-9 && (even.min_load - 1.0).abs() < 1e-9);
+        history.attempts.iter_mut().for_each(|attempt| attempt.server = usize::from(attempt.id % 2 > 0));
         let uneven = between(&history, 2.0, 10.0);
-        assert!((uneven.most - 2.0).abs() < 1e-9 && (uneven.least - 2.0 / 3.0).abs() < 1e-9, "{uneven}");
+        assert!(
+            (uneven.max_load - 2.0).abs() < 1e-9 && (uneven.min_load - 2.0 / 3.0).abs() < 1e-9,
+            "{uneven}"
+        );
     }
 
     #[test]
-    fn a_herd_is_many_within_one_service_time() {
+    fn a_herd_is_a_burst_at_one_server_within_one_service_time() {
         let spaced: Vec<_> = (0..80).map(|n| (n % 2, 2.0 + f64::from(n as u32) * 0.1, 9.9)).collect();
         let alone = between(&history(&spaced), 2.0, 10.0).herd;
         let mut at_once = spaced;
@@ -353,9 +365,9 @@
     }
 
     #[test]
-    fn answers_are_counted_by_their_ends() {
+    fn requests_are_counted_by_their_ends() {
         let ends = [End::Served, End::Served, End::Refused, End::Failed, End::NoAnswer];
-        let asked = ends.iter().enumerate().map(|(n, end)| RequestRecord {
+        let requests = ends.iter().enumerate().map(|(n, end)| RequestRecord {
             id: n as u64,
             node: 0,
             effect: Effect::Safe,
@@ -366,8 +378,11 @@
             deadline: 0.8,
             connection: None,
         });
-        let figures = of(&History { requests: asked.collect(), ..history(&[]) });
-        assert_eq!((figures.offered, figures.refused, figures.failed, figures.nothing), (5, 0.2, 0.2, 0.2));
-        assert!((figures.p50 - 100.0).abs() < 1.0 && (figures.p99 - 200.0).abs() < 1.0, "{figures}");
+        let statistics = of(&History { requests: requests.collect(), ..history(&[]) });
+        assert_eq!(
+            (statistics.offered, statistics.refused, statistics.failed, statistics.unanswered),
+            (5, 0.2, 0.2, 0.2)
+        );
+        assert!((statistics.p50 - 100.0).abs() < 1.0 && (statistics.p99 - 200.0).abs() < 1.0, "{statistics}");
     }
 }
--- a/crates/spurdrum-fleet/src/lib.rs
+++ b/crates/spurdrum-fleet/src/lib.rs
@@ -1,8 +1,10 @@
-//! Many real processes of the program on addresses of their own, before stand-in servers, with faults between them.
+//! Test rig: runs many real processes of the program on separate addresses, in front of stand-in servers, and injects faults
+//! between them.
 //!
-//! A [`scenario::Scenario`] says how many nodes and servers there are, what load comes and what breaks when; [`run::run`]
-//! plays it and joins what clients, servers and nodes saw into a [`history::History`]. What that shows, [`figures`] and the
-//! [`verdict`] on the rules, is computed without clock or I/O. The program is started by its path and not linked.
+//! A [`scenario::Scenario`] describes the nodes, the servers, the load and the faults. [`run::run`] runs it and joins the
+//! observations of clients, servers and nodes into a [`history::History`]. From the history, [`figures`] computes statistics and
+//! [`verdict`] finds violations of the rules; both use neither clock nor I/O. The program under test is started by its path and
+//! not linked.
 
 pub mod addresses;
 pub mod chart;
--- a/crates/spurdrum-fleet/src/main.rs
+++ b/crates/spurdrum-fleet/src/main.rs
@@ -1,4 +1,4 @@
-//! The command: plays a scenario with real processes, judges it, and shrinks what fails.
+//! Command line of the test rig: runs a scenario with real processes, checks the rules, and reduces failing lists of faults.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -12,7 +12,7 @@
 use spurdrum_fleet::schedule::{chaos, shrink};
 use spurdrum_fleet::{chart, figures, process, verdict};
 
-/// Many processes of the program before stand-in servers, with faults between them.
+/// Runs many processes of the program in front of stand-in servers, with faults between them.
 #[derive(Parser)]
 #[command(version, about)]
 struct Cli {
@@ -22,83 +22,84 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Plays a scenario and tells its figures and the rules that were broken; exit 1 where one was.
+    /// Runs a scenario and prints its statistics and the broken rules; exits with 1 if a rule was broken.
     Run {
-        /// The scenario, in TOML.
+        /// Scenario file, in TOML.
         scenario: PathBuf,
-        /// In place of the scenario's seed.
+        /// Overrides the scenario's seed.
         #[arg(long)]
         seed: Option<u64>,
-        /// In place of the scenario's number of nodes.
+        /// Overrides the scenario's number of nodes.
         #[arg(long)]
         nodes: Option<usize>,
-        /// In place of the scenario's load.
+        /// Overrides the scenario's load.
         #[arg(long)]
         load: Option<f64>,
-        /// In place of the scenario's faults, so many drawn from the seed.
+        /// Replaces the scenario's faults by this many, drawn from the seed.
         #[arg(long)]
         chaos: Option<usize>,
-        /// Where a rule is broken, play on with fewer faults until the fewest are left that still break one.
+        /// If a rule is broken, runs again with fewer faults to find a minimal list that still breaks one.
         #[arg(long)]
         shrink: bool,
-        /// The program; the one beside this command where it is left out.
+        /// Path of the program; by default the one in the folder of this command.
         #[arg(long)]
         program: Option<PathBuf>,
-        /// Writes work by server over time as a page.
+        /// Writes a chart of the work by server over time to this HTML file.
         #[arg(long)]
         html: Option<PathBuf>,
         /// Keeps the nodes' files and logs.
         #[arg(long)]
         keep: bool,
     },
-    /// Plays scenarios for several seeds, builds, sizes and loads, and tells a table of means and deviations; exit 1 where
+    /// Runs scenarios with several seeds, builds, sizes and loads, and prints a table of means and deviations; exits with 1 if
     /// the first build broke a rule.
     Measure {
-        /// The scenarios, in TOML.
+        /// Scenario files, in TOML.
         #[arg(required = true)]
         scenarios: Vec<PathBuf>,
-        /// How many seeds, from 1 on.
+        /// Number of seeds, starting with 1.
         #[arg(long, default_value_t = 5)]
         seeds: u64,
-        /// In place of the scenario's number of nodes.
+        /// Overrides the scenario's number of nodes.
         #[arg(long, value_delimiter = ',')]
         nodes: Vec<usize>,
-        /// In place of the scenario's load.
+        /// Overrides the scenario's load.
         #[arg(long, value_delimiter = ',')]
         loads: Vec<f64>,
-        /// Other builds of the program to set beside this one, by path.
+        /// Paths of other builds of the program to compare with this one.
         #[arg(long)]
         beside: Vec<PathBuf>,
-        /// Also what other ways to choose would have made of the same arrivals.
+        /// Also simulates reference policies on the same arrivals.
         #[arg(long)]
         references: bool,
     },
-    /// Reads a scenario, says what is wrong with it, and ends.
+    /// Checks a scenario file and reports errors.
     Check {
-        /// The scenario, in TOML.
+        /// Scenario file, in TOML.
         scenario: PathBuf,
     },
-    /// Waits until its parent has gone, and ends what still names this folder: nodes that outlive their keepers.
+    /// Waits until its parent has ended, and kills processes whose command line contains the folder: nodes that outlive their
+    /// supervisors.
     #[command(hide = true)]
     Sweep {
         /// The folder.
         folder: PathBuf,
     },
-    /// Becomes a program that dies with the process of this number: how nodes are started.
+    /// Replaces itself by a program that is killed when the parent process ends; used to start nodes.
     #[command(hide = true)]
     Hold {
-        /// The process that it dies with.
+        /// Process id of the parent.
         parent: i32,
-        /// The program.
+        /// Path of the program.
         program: PathBuf,
-        /// What it is given.
+        /// Arguments of the program.
         #[arg(trailing_var_arg = true, allow_hyphen_values = true)]
         args: Vec<String>,
     },
 }
 
 fn main() -> ExitCode {
-    let done = match Cli::parse().command {
+    let result = match Cli::parse().command {
         Command::Hold { parent, program, args } => {
             return process::exec_bound_to_parent(parent, &program, &args)
         }
@@ -111,14 +112,15 @@
             process::sibling_program("spurdrum").and_then(|program| {
                 let builds = builds(program, &beside);
                 let what = Measure { builds, seeds: (1..=seeds).collect(), nodes, loads, references };
-                let mut kept = true;
+                let mut all_kept = true;
                 for path in &scenarios {
                     let scenario = Scenario::read(path)?;
-                    let (table, fine) = measure(&scenario, &what, |broken| println!("broken: {broken}"))?;
+                    let (table, kept) =
+                        measure(&scenario, &what, |violation| println!("broken: {violation}"))?;
                     println!("{}\n\n{table}", path.display());
-                    kept &= fine;
+                    all_kept &= kept;
                 }
-                Ok(kept)
+                Ok(all_kept)
             })
         }
         Command::Run { scenario, seed, nodes, load, chaos, shrink, program, html, keep } => {
@@ -133,7 +135,7 @@
                 }
                 let program = program.map_or_else(|| process::sibling_program("spurdrum"), Ok)?;
                 let options = Options { keep, on_start: Some(print_addresses), ..Options::new(program) };
-                let again = format!(
+                let rerun = format!(
                     "spurdrum-fleet run {} --seed {} --nodes {} --load {}{}",
                     file.display(),
                     scenario.seed,
@@ -141,11 +143,11 @@
                     scenario.load,
                     chaos.map_or(String::new(), |count| format!(" --chaos {count}"))
                 );
-                play(&scenario, &options, &again, shrink, html)
+                play(&scenario, &options, &rerun, shrink, html)
             })
         }
     };
-    match done {
+    match result {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(why) => {
@@ -155,50 +157,51 @@
     }
 }
 
-/// Whether every rule was kept.
+/// Runs a scenario, prints its statistics and violations, and returns whether every rule was kept.
 fn play(
     scenario: &Scenario,
     options: &Options,
-    again: &str,
+    rerun: &str,
     shrinks: bool,
     html: Option<PathBuf>,
 ) -> Result<bool, String> {
     let history = run(scenario, options)?;
     let table = table(&history);
     use std::io::Write as _;
-    // Whoever reads may have read enough.
+    // This fails where the reader of a pipe has closed it.
     let _ = std::io::stdout().write_all(table.as_bytes());
     if let Some(path) = html {
         let page =
             chart::page(&format!("{} nodes, seed {}", scenario.nodes, scenario.seed), &history, &table)?;
         std::fs::write(&path, page).map_err(|error| format!("{}: {error}", path.display()))?;
     }
-    let broken = verdict::judge(&history);
-    broken.iter().take(20).for_each(|broken| println!("broken: {broken}"));
-    if broken.is_empty() {
+    let violations = verdict::judge(&history);
+    violations.iter().take(20).for_each(|violation| println!("broken: {violation}"));
+    if violations.is_empty() {
         println!("rules: kept");
         return Ok(true);
     }
-    println!("rules: broken {} times; again with: {again}", broken.len());
+    println!("rules: broken {} times; again with: {rerun}", violations.len());
     if shrinks {
-        let rules: Vec<_> = broken.iter().map(|broken| broken.rule).collect();
-        let fewest = shrink(&scenario.faults, |some| {
+        let rules: Vec<_> = violations.iter().map(|violation| violation.rule).collect();
+        let minimal = shrink(&scenario.faults, |some| {
             let fewer = Scenario { faults: some.to_vec(), ..scenario.clone() };
             run(&fewer, options)
                 .is_ok_and(|history| verdict::judge(&history).iter().any(|b| rules.contains(&b.rule)))
         });
         println!("the fewest faults that still break one:");
-        fewest.iter().for_each(|fault| println!("  {fault:?}"));
+        minimal.iter().for_each(|fault| println!("  {fault:?}"));
     }
     Ok(false)
 }
 
-/// Says where the first nodes are.
+/// Prints the addresses of the first nodes.
 fn print_addresses(nodes: &[SocketAddr]) {
     let some: Vec<String> = nodes.iter().take(3).map(ToString::to_string).collect();
     println!("playing with {} nodes, at {} and so on", nodes.len(), some.join(" "));
 }
 
+/// Formats the statistics and the telemetry of a run.
 fn table(history: &History) -> String {
     let mut table = format!("{}", figures::of(history));
     let by_capacity = figures::by_capacity(history);
--- a/crates/spurdrum-fleet/src/measure.rs
+++ b/crates/spurdrum-fleet/src/measure.rs
@@ -1,88 +1,97 @@
-//! Scenarios played with several builds, seeds and sizes, and a table of the figures' means and deviations.
+//! Runs scenarios with several builds, seeds and sizes, and tabulates means and standard deviations of the statistics.
 
 use std::fmt::Write as _;
 use std::path::PathBuf;
 
-use crate::figures::{self, Figures};
+use crate::figures::{self, RunStatistics};
 use crate::history::History;
-use crate::references::{play, Way};
+use crate::references::{simulate, Policy};
 use crate::run::{run, Options};
 use crate::scenario::Scenario;
 use crate::verdict;
 
-/// What is measured.
+/// The runs of a measurement.
 #[derive(Clone, Debug)]
 pub struct Measure {
-    /// Builds of the program, with their names.
+    /// Builds of the program, by name.
     pub builds: Vec<(String, PathBuf)>,
-    /// One run for each.
+    /// Seeds; each combination of the other parameters runs once with each seed.
     pub seeds: Vec<u64>,
-    /// Numbers of nodes; the scenario's own where there are none.
+    /// Numbers of nodes; if empty, the scenario's own.
     pub nodes: Vec<usize>,
-    /// Loads; the scenario's own where there are none.
+    /// Loads; if empty, the scenario's own.
     pub loads: Vec<f64>,
-    /// Whether other ways to choose are computed on the same arrivals.
+    /// Whether reference policies are simulated on the same arrivals.
     pub references: bool,
 }
 
-/// This build, and others to set beside it.
+/// Returns this build and the builds to compare it with, by name.
 #[must_use]
 pub fn builds(this: PathBuf, beside: &[PathBuf]) -> Vec<(String, PathBuf)> {
     let others = beside.iter().enumerate().map(|(n, path)| (format!("beside {}", n + 1), path.clone()));
     std::iter::once(("this".to_owned(), this)).chain(others).collect()
 }
 
-/// Figures by run, under a name.
+/// A row of the table: its name, and the statistics of each run.
 type Row = (String, Vec<Vec<(&'static str, f64)>>);
 
-/// Plays it all, and tells the table and whether every rule was kept by the first build. `says` is told what was broken.
+/// Runs everything, and returns the table and whether the first build kept every rule. Passes violations to `report`.
 ///
 /// # Errors
 ///
-/// Says what could not be played.
+/// A scenario could not be run.
 pub fn measure(
     scenario: &Scenario,
     measure: &Measure,
-    mut says: impl FnMut(&str),
+    mut report: impl FnMut(&str),
 ) -> Result<(String, bool), String> {
-    let or = |list: &[f64], own: f64| if list.is_empty() { vec![own] } else { list.to_vec() };
+    let or_default = |list: &[f64], own: f64| if list.is_empty() { vec![own] } else { list.to_vec() };
     let sizes = if measure.nodes.is_empty() { vec![scenario.nodes] } else { measure.nodes.clone() };
-    let (mut rows, mut kept): (Vec<Row>, bool) = (Vec::new(), true);
+    let (mut rows, mut all_kept): (Vec<Row>, bool) = (Vec::new(), true);
     for nodes in sizes {
-        for load in or(&measure.loads, scenario.load) {
-            let mut of: Vec<Row> = Vec::new();
+        for load in or_default(&measure.loads, scenario.load) {
+            let mut group: Vec<Row> = Vec::new();
             for seed in &measure.seeds {
                 let scenario = Scenario { seed: *seed, nodes, load, ..scenario.clone() };
                 for (n, (name, program)) in measure.builds.iter().enumerate() {
                     let options = Options::new(program.clone());
                     let history = run(&scenario, &options)?;
-                    let broken = verdict::judge(&history);
-                    kept &= n > 0 || broken.is_empty();
-                    broken.iter().take(3).for_each(|broken| says(&format!("{name}, seed {seed}: {broken}")));
-                    put(&mut of, &format!("{nodes} nodes, {load}: {name}"), columns(&history));
+                    let violations = verdict::judge(&history);
+                    all_kept &= n > 0 || violations.is_empty();
+                    violations
+                        .iter()
+                        .take(3)
+                        .for_each(|violation| report(&format!("{name}, seed {seed}: {violation}")));
+                    put(&mut group, &format!("{nodes} nodes, {load}: {name}"), columns(&history));
                     if measure.references && n == 0 {
-                        for way in Way::ALL {
-                            let played = play(&history, &scenario, way);
-                            put(&mut of, &format!("{nodes} nodes, {load}: {}", way.name()), columns(&played));
+                        for policy in Policy::ALL {
+                            let simulated = simulate(&history, &scenario, policy);
+                            put(
+                                &mut group,
+                                &format!("{nodes} nodes, {load}: {}", policy.name()),
+                                columns(&simulated),
+                            );
                         }
                     }
                 }
             }
-            rows.extend(of);
+            rows.extend(group);
         }
     }
-    Ok((table(&rows), kept))
+    Ok((table(&rows), all_kept))
 }
 
+/// Adds the statistics of one run to the row of this name.
 fn put(rows: &mut Vec<Row>, name: &str, columns: Vec<(&'static str, f64)>) {
-    match rows.iter_mut().find(|(of, _)| of == name) {
+    match rows.iter_mut().find(|(row, _)| row == name) {
         Some((_, runs)) => runs.push(columns),
         None => rows.push((name.to_owned(), vec![columns])),
     }
 }
 
+/// Returns the statistics of a run, by column name.
 fn columns(history: &History) -> Vec<(&'static str, f64)> {
-    let mut columns = Figures::columns(&figures::of(history)).to_vec();
+    let mut columns = RunStatistics::columns(&figures::of(history)).to_vec();
     if !history.faults.is_empty() {
         columns.push(("herd after", figures::max_herd_at_faults(history)));
         columns.push(("even again", figures::recovery_s(history, 1.2).unwrap_or(f64::INFINITY)));
@@ -91,7 +100,8 @@
     columns
 }
 
-/// One row for each way, one column for each figure: its mean, and its deviation where there are several seeds.
+/// Formats a table with a row for each build or policy and a column for each statistic: its mean, and its standard deviation where
+/// there are several seeds.
 fn table(rows: &[Row]) -> String {
     let mut table = String::new();
     let Some((_, first)) = rows.first() else { return table };
@@ -101,8 +111,12 @@
     for (name, runs) in rows {
         let _ = write!(table, "| {name} |");
         for column in &names {
-            let values: Vec<f64> =
-                runs.iter().flatten().filter(|(of, _)| of == column).map(|(_, value)| *value).collect();
+            let values: Vec<f64> = runs
+                .iter()
+                .flatten()
+                .filter(|(statistic, _)| statistic == column)
+                .map(|(_, value)| *value)
+                .collect();
             let _ = match values.is_empty() {
                 true => write!(table, " |"),
                 false => write!(table, " {} |", mean(&values)),
@@ -113,6 +127,7 @@
     table
 }
 
+/// Formats the mean and the standard deviation of the values.
 fn mean(values: &[f64]) -> String {
     let count = values.len() as f64;
     let mean = values.iter().sum::<f64>() / count;
@@ -133,7 +148,7 @@
     use super::*;
 
     #[test]
-    fn a_table_has_means_and_deviations_and_gaps_where_a_way_has_no_figure() {
+    fn a_table_has_means_and_deviations_and_empty_cells_for_missing_statistics() {
         let mut rows = Vec::new();
         put(&mut rows, "new", vec![("most", 1.0), ("herd after", 2.0)]);
         put(&mut rows, "new", vec![("most", 3.0), ("herd after", 2.0)]);
--- a/crates/spurdrum-fleet/src/references.rs
+++ b/crates/spurdrum-fleet/src/references.rs
@@ -1,5 +1,5 @@
-//! What other ways to choose would have made of a run's own arrivals: first come, first served, with no faults and no talk
-//! but that of full knowledge.
+//! Simulates reference load-balancing policies on the arrivals of a run. Servers work first come, first served, there are no
+//! faults, and nodes do not share information except in the policy with full knowledge.
 
 use std::cmp::Ordering;
 use std::collections::{BinaryHeap, VecDeque};
@@ -9,24 +9,24 @@
 use crate::history::{End, History, RequestRecord, Server, ServerAttempt};
 use crate::scenario::Scenario;
 
-/// How the next server is chosen.
+/// A policy for choosing the server of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
-    /// By capacity, and nothing else.
+pub enum Policy {
+    /// At random, weighted by capacity.
     Random,
-    /// Each node in its own turn.
+    /// Each node uses the servers in turn, independently of the other nodes.
     RoundRobin,
-    /// The one of two drawn by capacity that the node itself has fewer out to.
+    /// Of two servers drawn at random by capacity, the one with fewer requests in flight from this node.
     TwoChoices,
-    /// The one with the shortest wait, known to everybody at once.
+    /// The server with the shortest wait, which all nodes know without delay.
     Full,
 }
 
-impl Way {
-    /// All, in the order of tables.
+impl Policy {
+    /// All policies, in the order of the tables.
     pub const ALL: [Self; 4] = [Self::Random, Self::RoundRobin, Self::TwoChoices, Self::Full];
 
-    /// Its name in tables.
+    /// Returns the policy's name in tables.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -38,7 +38,7 @@
     }
 }
 
-/// Something that ends: a request's work at a server.
+/// The completion of a request's work at a server; ordered for a heap that returns the earliest first.
 struct Completion {
     at: f64,
     server: usize,
@@ -61,7 +61,7 @@
 
 impl Ord for Completion {
     fn cmp(&self, other: &Self) -> Ordering {
-        // The heap gives the earliest first.
+        // Reversed, because the heap returns the greatest first.
         other.at.total_cmp(&self.at).then(other.request.cmp(&self.request))
     }
 }
@@ -69,13 +69,13 @@
 #[derive(Default)]
 struct Queue {
     busy: usize,
-    waits: VecDeque<usize>,
+    waiting: VecDeque<usize>,
 }
 
-/// Plays a history's arrivals again.
+/// Simulates a policy on the arrivals of a history, and returns the resulting history.
 #[must_use]
-pub fn play(history: &History, scenario: &Scenario, way: Way) -> History {
-    // Those that replaced others are left out: here nothing is replaced.
+pub fn simulate(history: &History, scenario: &Scenario, policy: Policy) -> History {
+    // Servers that replaced others are left out because the simulation replaces none.
     let servers: Vec<Server> = history
         .servers
         .iter()
@@ -88,85 +88,85 @@
         })
         .collect();
     let mut rng = fastrand::Rng::with_seed(scenario.seed);
-    let sizes: Vec<f64> = servers.iter().map(|s| s.workers as f64 / s.service_s.max(1e-9)).collect();
-    let all: f64 = sizes.iter().sum();
+    let capacities: Vec<f64> = servers.iter().map(|s| s.workers as f64 / s.service_s.max(1e-9)).collect();
+    let total: f64 = capacities.iter().sum();
     let mut queues: Vec<Queue> = servers.iter().map(|_| Queue::default()).collect();
     let nodes = history.requests.iter().map(|request| request.node + 1).max().unwrap_or(0);
-    let mut out: Vec<Vec<u32>> = vec![vec![0; servers.len()]; nodes];
+    let mut in_flight: Vec<Vec<u32>> = vec![vec![0; servers.len()]; nodes];
     let mut turns: Vec<usize> = (0..nodes).map(|node| node * 7).collect();
     let mut attempts: Vec<ServerAttempt> = Vec::with_capacity(history.requests.len());
     let mut requests: Vec<RequestRecord> = history.requests.clone();
-    let mut ends: BinaryHeap<Completion> = BinaryHeap::new();
-    let by_size = |rng: &mut fastrand::Rng| {
-        let mut draw = rng.f64() * all;
-        sizes.iter().position(|size| {
-            draw -= size;
+    let mut completions: BinaryHeap<Completion> = BinaryHeap::new();
+    let by_capacity = |rng: &mut fastrand::Rng| {
+        let mut draw = rng.f64() * total;
+        capacities.iter().position(|capacity| {
+            draw -= capacity;
             draw < 0.0
         })
     };
     for n in 0..requests.len() {
         let now = requests[n].due;
-        while ends.peek().is_some_and(|next| next.at <= now) {
-            let Some(end) = ends.pop() else { break };
+        while completions.peek().is_some_and(|next| next.at <= now) {
+            let Some(end) = completions.pop() else { break };
             finish(
                 &end,
                 &mut queues,
-                &mut ends,
+                &mut completions,
                 &mut requests,
                 &mut attempts,
-                &mut out,
+                &mut in_flight,
                 &servers,
                 scenario,
                 &mut rng,
             );
         }
         let node = requests[n].node;
-        let server = match way {
-            Way::Random => by_size(&mut rng).unwrap_or(0),
-            Way::RoundRobin => {
+        let server = match policy {
+            Policy::Random => by_capacity(&mut rng).unwrap_or(0),
+            Policy::RoundRobin => {
                 turns[node] += 1;
                 turns[node] % servers.len()
             }
-            Way::TwoChoices => {
-                let (a, b) = (by_size(&mut rng).unwrap_or(0), by_size(&mut rng).unwrap_or(0));
-                if out[node][a] <= out[node][b] {
+            Policy::TwoChoices => {
+                let (a, b) = (by_capacity(&mut rng).unwrap_or(0), by_capacity(&mut rng).unwrap_or(0));
+                if in_flight[node][a] <= in_flight[node][b] {
                     a
                 } else {
                     b
                 }
             }
-            Way::Full => {
+            Policy::Full => {
                 let wait = |at: &usize| {
-                    let held = (queues[*at].busy + queues[*at].waits.len()) as f64;
-                    (held + 1.0 - servers[*at].workers as f64).max(0.0) / sizes[*at]
+                    let pending = (queues[*at].busy + queues[*at].waiting.len()) as f64;
+                    (pending + 1.0 - servers[*at].workers as f64).max(0.0) / capacities[*at]
                 };
-                // Ties are common, and the first of them must not have them all.
+                // Ties are common; starting at a random server prevents the first one from winning all of them.
                 let first = rng.usize(..servers.len());
                 let turned = (0..servers.len()).map(|at| (at + first) % servers.len());
                 turned.min_by(|a, b| wait(a).total_cmp(&wait(b))).unwrap_or(0)
             }
         };
-        out[node][server] += 1;
+        in_flight[node][server] += 1;
         attempts.push(ServerAttempt { id: n as u64, server, begun: now, ended: None });
         if queues[server].busy < servers[server].workers {
             queues[server].busy += 1;
-            ends.push(Completion {
+            completions.push(Completion {
                 at: now + draw(&servers[server], scenario, &mut rng),
                 server,
                 request: n,
             });
         } else {
-            queues[server].waits.push_back(n);
+            queues[server].waiting.push_back(n);
         }
     }
-    while let Some(end) = ends.pop() {
+    while let Some(end) = completions.pop() {
         finish(
             &end,
             &mut queues,
-            &mut ends,
+            &mut completions,
             &mut requests,
             &mut attempts,
-            &mut out,
+            &mut in_flight,
             &servers,
             scenario,
             &mut rng,
@@ -175,14 +175,15 @@
     History { length: history.length, requests, attempts, servers, ..History::default() }
 }
 
+/// Completes a request, and starts the next one that waits at its server.
 #[allow(clippy::too_many_arguments)]
 fn finish(
     end: &Completion,
     queues: &mut [Queue],
-    ends: &mut BinaryHeap<Completion>,
+    completions: &mut BinaryHeap<Completion>,
     requests: &mut [RequestRecord],
     attempts: &mut [ServerAttempt],
-    out: &mut [Vec<u32>],
+    in_flight: &mut [Vec<u32>],
     servers: &[Server],
     scenario: &Scenario,
     rng: &mut fastrand::Rng,
@@ -190,10 +191,10 @@
     let (ended, server) = (&mut requests[end.request], end.server);
     (ended.ended, ended.end, ended.lag) = (end.at, End::Served, 0.0);
     attempts[end.request].ended = Some(end.at);
-    out[ended.node][server] -= 1;
-    match queues[server].waits.pop_front() {
+    in_flight[ended.node][server] -= 1;
+    match queues[server].waiting.pop_front() {
         Some(next) => {
-            ends.push(Completion {
+            completions.push(Completion {
                 at: end.at + draw(&servers[server], scenario, rng),
                 server,
                 request: next,
@@ -203,7 +204,7 @@
     }
 }
 
-/// Work of a request there, in seconds.
+/// Draws the service time of a request at a server, in seconds.
 fn draw(server: &Server, scenario: &Scenario, rng: &mut fastrand::Rng) -> f64 {
     let kind = scenario.spec_of(&server.name).map_or(Distribution::Constant, |spec| spec.work);
     kind.draw(rng, server.service_s)
@@ -216,7 +217,7 @@
     use spurdrum_load::plan::Effect;
 
     #[test]
-    fn two_servers_as_one_queue_wait_as_erlang_says() {
+    fn waiting_times_of_two_servers_match_queueing_theory() {
         let scenario = Scenario::parse(
             "for_s = 200\nnodes = 1\nload = 0.8\n[[servers]]\nname = 's'\ncount = 2\ncores = 1\nslots = 1\nwork_ms = 10\n\
              work = 'exponential'",
@@ -251,15 +252,16 @@
         }
         let history =
             History { length: 200.0, requests, servers: vec![server(0), server(1)], ..History::default() };
-        let mean = |way| {
-            let played = play(&history, &scenario, way);
-            let figures = figures::of(&played);
-            assert_eq!((figures.nothing, figures.attempts), (0.0, 1.0));
-            played.requests.iter().map(|request| request.ended - request.due).sum::<f64>()
-                / played.requests.len() as f64
+        let mean = |policy| {
+            let simulated = simulate(&history, &scenario, policy);
+            let statistics = figures::of(&simulated);
+            assert_eq!((statistics.unanswered, statistics.attempts), (0.0, 1.0));
+            simulated.requests.iter().map(|request| request.ended - request.due).sum::<f64>()
+                / simulated.requests.len() as f64
         };
-        // M/M/2 at 0.8 takes 1/(1 - 0.64) services, M/M/1 takes 5; joining the shortest of two queues is near the former.
-        let (full, random) = (mean(Way::Full) / 0.01, mean(Way::Random) / 0.01);
+        // At load 0.8 a request takes 1/(1 - 0.64) service times in M/M/2 and 5 in M/M/1; joining the shorter of two queues is close
+        // to M/M/2.
+        let (full, random) = (mean(Policy::Full) / 0.01, mean(Policy::Random) / 0.01);
         assert!((2.7..3.6).contains(&full), "{full}");
         assert!((4.2..5.9).contains(&random), "{random}");
     }
--- a/crates/spurdrum-fleet/src/run.rs
+++ b/crates/spurdrum-fleet/src/run.rs
@@ -254,7 +254,7 @@
                 self.kill(nodes, start);
                 for index in nodes {
                     if let Some(copy) = self.copies.remove(&(step.fault, *index)) {
-                        copy.put(&self.specs[*index].folder)
+                        copy.restore(&self.specs[*index].folder)
                             .map_err(|error| self.disk_error(*index, &error))?;
                     }
                 }
--- a/crates/spurdrum-harness/src/lib.rs
+++ b/crates/spurdrum-harness/src/lib.rs
@@ -1,4 +1,4 @@
-//! A real node before a stand-in fleet: what the demo, the rig and the measurements share.
+//! Starts a real node in front of stand-in servers; shared by the demo, the test rig and the benchmarks.
 
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -9,22 +9,22 @@
 use serde_json::{json, Value};
 use spurdrum_standin::Fleet;
 
-/// A node has this long until it is healthy.
-const READY_MOST: Duration = Duration::from_secs(20);
+/// A node must be healthy within this time after its start.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A node that runs, until it is dropped.
+/// A running node; dropping it kills the process and removes its folder.
 pub struct Node {
-    /// Where clients connect.
+    /// Address for clients.
     pub address: SocketAddr,
     child: Child,
     folder: PathBuf,
 }
 
-/// The node's program, beside this one. Builds it where it is not there.
+/// Returns the path of the node's program in the folder of this one, and builds the program if it does not exist.
 pub fn program() -> Result<PathBuf, String> {
     let program = program_path("spurdrum")?;
     if !program.exists() {
-        eprintln!("building the node first");
+        eprintln!("building the node's program first");
         let mut build = Command::new(std::env::var("CARGO").unwrap_or_else(|_| "cargo".into()));
         build.args(["build", "--locked", "--package", "spurdrum", "--bin", "spurdrum"]);
         if program.parent().is_some_and(|folder| folder.ends_with("release")) {
@@ -32,31 +32,32 @@
         }
         let built = build.status().map_err(|error| format!("cargo cannot be run: {error}"))?;
         if !built.success() || !program.exists() {
-            return Err(format!("{} is not there: run `cargo build --release`", program.display()));
+            return Err(format!("{} does not exist: run `cargo build --release`", program.display()));
         }
     }
     Ok(program)
 }
 
-/// Where a program is that is built with this one.
+/// Returns the path of a program that is built into the same folder as this one.
 pub fn program_path(name: &str) -> Result<PathBuf, String> {
-    let own =
-        std::env::current_exe().map_err(|error| format!("cannot tell where this program is: {error}"))?;
+    let own = std::env::current_exe()
+        .map_err(|error| format!("cannot determine the path of this program: {error}"))?;
     let folder = own.parent().unwrap_or(Path::new("."));
-    // Benches and tests lie one folder deeper.
+    // Benchmarks and tests are built into the subfolder `deps`.
     let folder = if folder.ends_with("deps") { folder.parent().unwrap_or(folder) } else { folder };
     Ok(folder.join(name))
 }
 
-/// A port that is free now.
+/// Returns a loopback address whose port is free now.
 pub fn free_address() -> Result<SocketAddr, String> {
     let listener =
         TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).map_err(|error| format!("no free port: {error}"))?;
     listener.local_addr().map_err(|error| error.to_string())
 }
 
-/// What a node before a fleet is told: one keyed class, `inventory-update`, and these tenants.
-pub fn config(fleet: &Fleet, tenants: &[&str], sockets: usize, held: usize) -> Value {
+/// Returns the configuration of a node in front of a fleet, with one keyed class, `inventory-update`, and these tenants.
+/// `sockets` limits its file descriptors, `max_pending` its pending requests.
+pub fn config(fleet: &Fleet, tenants: &[&str], sockets: usize, max_pending: usize) -> Value {
     let tenants: Vec<Value> = tenants.iter().map(|name| json!({"name": name, "quota_per_s": 1e6})).collect();
     json!({
         "name": "n0", "seed": "8c1f30d27a5be964", "limits": {"sockets": sockets, "memory_mb": 512},
@@ -67,19 +68,19 @@
             "parties": tenants, "zones": ["a"], "kinds": ["m"],
             "discovery": "subscribe", "stats": {"source": "inline", "fields": ["active", "waiting"]},
             "rules": {"ask_within_ms": 2_000.0},
-            "allowed": {"conn_idle_ms": 20_000.0, "dial_timeout_ms": 250.0, "most_held": held,
+            "allowed": {"conn_idle_ms": 20_000.0, "dial_timeout_ms": 250.0, "most_held": max_pending,
                         "max_attempts": 3, "cancel": true, "retry_after": true, "max_retry_after_ms": 400.0},
         },
     })
 }
 
 impl Node {
-    /// Starts a node with this configuration, and waits until it is healthy. What it says goes to `log`.
+    /// Starts a node with this configuration, and waits until it is healthy. Its standard error goes to `log`.
     pub fn start(config: &Value, log: Stdio) -> Result<Self, String> {
         Self::start_program(&program()?, config, log)
     }
 
-    /// The same with the program at this path.
+    /// Does the same as [`Node::start`] with the program at this path.
     pub fn start_program(program: &Path, config: &Value, log: Stdio) -> Result<Self, String> {
         let address = free_address()?;
         let folder = std::env::temp_dir().join(format!("spurdrum-{}-{}", std::process::id(), address.port()));
@@ -93,7 +94,7 @@
         let node = Self { address, child, folder };
         let since = Instant::now();
         while !healthy(address) {
-            if since.elapsed() > READY_MOST {
+            if since.elapsed() > READY_TIMEOUT {
                 return Err("the node does not become healthy".into());
             }
             std::thread::sleep(Duration::from_millis(10));
@@ -101,7 +102,7 @@
         Ok(node)
     }
 
-    /// Its process.
+    /// Returns the node's process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
@@ -109,16 +110,16 @@
 
 impl Drop for Node {
     fn drop(&mut self) {
-        // Each fails where it has ended already.
+        // These fail where the process has already exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-/// Whether a node says so within a second.
+/// Returns whether a node answers its health check with 200 within a second.
 pub fn healthy(address: SocketAddr) -> bool {
-    let ask = || -> std::io::Result<bool> {
+    let check = || -> std::io::Result<bool> {
         let mut stream = TcpStream::connect_timeout(&address, Duration::from_secs(1))?;
         stream.set_read_timeout(Some(Duration::from_secs(1)))?;
         stream.write_all(b"GET /_health HTTP/1.1\r\nhost: n\r\nconnection: close\r\n\r\n")?;
@@ -126,5 +127,5 @@
         stream.read_to_string(&mut answer)?;
         Ok(answer.starts_with("HTTP/1.1 200"))
     };
-    ask().unwrap_or(false)
+    check().unwrap_or(false)
 }
