--- a/crates/spurdrum-bench/src/main.rs
+++ b/crates/spurdrum-bench/src/main.rs
@@ -261,7 +261,7 @@
     // The stand-in's clock began when it was started; the schedule's begins now.
     let offset = fleet.elapsed();
     let report = play(&plan, address, None)?;
-    let tally = fleet.tally();
+    let tally = fleet.counters();
     let mut own: Vec<f64> = Schedule::new(&plan, 1)
         .filter_map(|arrival| {
             let runs = tally.ids().get(&format!("{:x}", arrival.id))?;
--- a/crates/spurdrum-demo/src/main.rs
+++ b/crates/spurdrum-demo/src/main.rs
@@ -94,9 +94,9 @@
         threads: 1,
     };
     let arrivals = Box::new(Schedule::new(&plan, options.seed).map(Ok));
-    let mut before = fleet.tally();
+    let mut before = fleet.counters();
     let report = run(&plan, arrivals, &options, std::future::pending(), |line| {
-        let now = fleet.tally();
+        let now = fleet.counters();
         println!("\n{line}");
         println!(
             "  {:<12}{:>10}{:>10}{:>10}{:>10}  list",
@@ -118,7 +118,7 @@
         before = now;
     })?;
     println!("\n{}", report.table());
-    let tally = fleet.tally();
+    let tally = fleet.counters();
     let twice = tally.ids().values().filter(|runs| runs.begun > 1).count();
     let at_once = tally.ids().values().filter(|runs| runs.most_at_once > 1).count();
     println!(
--- a/crates/spurdrum-fleet/src/kept.rs
+++ b/crates/spurdrum-fleet/src/kept.rs
@@ -178,7 +178,7 @@
     drop(supervised);
     // The test harness prints this for a failing test.
     eprintln!("{}", not_served(&requests));
-    let record = history(scenario, &fleet.tally(), begins_at, requests, outages, Default::default());
+    let record = history(scenario, &fleet.counters(), begins_at, requests, outages, Default::default());
     let record = History { length, ..record };
     if !verdict::judge(&record).is_empty() {
         eprintln!("a rule was broken; the nodes' logs:\n{logs}");
--- a/crates/spurdrum-fleet/src/run.rs
+++ b/crates/spurdrum-fleet/src/run.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use spurdrum_standin::scenario::{Fault as ServerFault, FaultKind};
-use spurdrum_standin::{Fleet, Tally};
+use spurdrum_standin::{Counters, Fleet};
 use spurdrum_trace::{ServerState, TraceEvent, TraceRecord};
 
 use crate::addresses::{address, free};
@@ -115,7 +115,7 @@
     let telemetry = running.telemetry();
     let traces: Vec<PathBuf> = running.specs.iter().map(|spec| spec.trace.clone()).collect();
     let outages = running.end(&schedule)?;
-    let mut history = history(scenario, &fleet.tally(), begins_at, requests, outages, telemetry);
+    let mut history = history(scenario, &fleet.counters(), begins_at, requests, outages, telemetry);
     if scenario.trace {
         add_traces(&mut history, &traces, began_ms)?;
     }
@@ -508,7 +508,7 @@
 /// Joins the observations of clients, servers and nodes into a history.
 pub fn history(
     scenario: &Scenario,
-    tally: &Tally,
+    tally: &Counters,
     begins_at: f64,
     requests: Vec<RequestRecord>,
     outages: Vec<NodeOutage>,
--- a/crates/spurdrum-fleet/src/scenario.rs
+++ b/crates/spurdrum-fleet/src/scenario.rs
@@ -6,7 +6,7 @@
 use spurdrum_facts::file;
 use spurdrum_load::plan::{Class, Effect};
 use spurdrum_standin::scenario::{
-    parse_checked, CatalogScript, Fault as ServerFault, Scenario as Servers, Spec, Wrong,
+    parse_checked, CatalogScript, Fault as ServerFault, InvalidKey, Scenario as Servers, Spec,
 };
 
 /// Maximum number of nodes: each node is a process and has its own address in 127.0.0.0/8.
@@ -206,7 +206,7 @@
     }
 
     /// Checks the values; an error names the key and what is wrong with it.
-    fn check(&self) -> Result<(), Wrong> {
+    fn check(&self) -> Result<(), InvalidKey> {
         let is_fraction = |x: f64| (0.0..=1.0).contains(&x);
         if self.nodes == 0 || self.nodes > MAX_NODES || self.told == Some(0) {
             return Err(("nodes", 0, format!("{} nodes: must be between 1 and {MAX_NODES}", self.nodes)));
--- a/crates/spurdrum-lab/src/affinity.rs
+++ b/crates/spurdrum-lab/src/affinity.rs
@@ -12,7 +12,7 @@
     Action, Availability, Balancer, Class, Effect, Ending, Event, ListUpdate, LoadReport, Outcome, Request,
     RequestId, ServerEntry, ServerId, Settings,
 };
-use spurdrum_standin::model::{Fate, Model};
+use spurdrum_standin::model::{Model, SimulatedOutcome};
 use spurdrum_standin::scenario::{Distribution, Fault, FaultKind, Spec};
 
 /// One way between a node and a server, in milliseconds.
@@ -457,11 +457,11 @@
         }
     }
 
-    fn tell_end(&mut self, server: usize, job: u64, fate: Fate) {
+    fn tell_end(&mut self, server: usize, job: u64, fate: SimulatedOutcome) {
         let Some((id, attempt)) = self.jobs.remove(&(server, job)) else { return };
         let ending = match fate {
-            Fate::Served => Ending::Served,
-            Fate::Refused => Ending::Full,
+            SimulatedOutcome::Served => Ending::Served,
+            SimulatedOutcome::Refused => Ending::Full,
             _ => Ending::Reset,
         };
         let (running, waiting) = self.models[server].load();
--- a/crates/spurdrum-standin/src/fleet.rs
+++ b/crates/spurdrum-standin/src/fleet.rs
@@ -19,7 +19,7 @@
 use crate::model::Model;
 use crate::scenario::{Fault, FaultKind, Scenario, Spec};
 use crate::server::Server;
-use crate::tally::Tally;
+use crate::tally::Counters;
 
 /// A server that is replaced has this long to finish what it has, where the script says nothing.
 const GRACE_S: f64 = 2.0;
@@ -33,7 +33,7 @@
     /// Where the servers listen, by their names as the scenario has them.
     pub servers: BTreeMap<String, SocketAddr>,
     start: Instant,
-    tally: Arc<Mutex<Tally>>,
+    tally: Arc<Mutex<Counters>>,
     list: Arc<Mutex<Catalog>>,
     stop: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
@@ -46,7 +46,7 @@
     pub fn start(scenario: &Scenario) -> Result<Self, String> {
         let (tell, started) = mpsc::channel();
         let (stop, stopped) = oneshot::channel();
-        let tally = Arc::new(Mutex::new(Tally::tracking(scenario.track, scenario.log)));
+        let tally = Arc::new(Mutex::new(Counters::tracking(scenario.track, scenario.log)));
         let list = Arc::new(Mutex::new(Catalog::new(scenario.catalog.keeps.unwrap_or(1000))));
         let (scenario, tally_of, list_of) = (scenario.clone(), Arc::clone(&tally), Arc::clone(&list));
         let thread = std::thread::spawn(move || {
@@ -78,7 +78,7 @@
     }
 
     /// What the servers have seen by now.
-    pub fn tally(&self) -> Tally {
+    pub fn counters(&self) -> Counters {
         self.tally.lock().unwrap_or_else(std::sync::PoisonError::into_inner).clone()
     }
 
@@ -102,7 +102,7 @@
 struct World {
     scenario: Scenario,
     start: Instant,
-    tally: Arc<Mutex<Tally>>,
+    tally: Arc<Mutex<Counters>>,
     list: Arc<Mutex<Catalog>>,
     /// The version that watches may hear of.
     told: watch::Sender<u64>,
@@ -115,7 +115,7 @@
 
 async fn play(
     scenario: Scenario,
-    tally: Arc<Mutex<Tally>>,
+    tally: Arc<Mutex<Counters>>,
     list: Arc<Mutex<Catalog>>,
     tell: &mpsc::Sender<Result<Started, String>>,
     stopped: oneshot::Receiver<()>,
--- a/crates/spurdrum-standin/src/lib.rs
+++ b/crates/spurdrum-standin/src/lib.rs
@@ -17,4 +17,4 @@
 
 pub use catalog::Catalog;
 pub use fleet::Fleet;
-pub use tally::{Tally, Work};
+pub use tally::{AttemptRecord, Counters};
--- a/crates/spurdrum-standin/src/main.rs
+++ b/crates/spurdrum-standin/src/main.rs
@@ -60,7 +60,7 @@
             "waiting",
             "accepted"
         );
-        for (name, seen) in fleet.tally().servers() {
+        for (name, seen) in fleet.counters().servers() {
             let (running, waiting) = seen.load;
             println!(
                 "{name:<7} {:>10} {:>8} {:>8} {running:>8} {waiting:>8} {:>8}",
--- a/crates/spurdrum-standin/src/model.rs
+++ b/crates/spurdrum-standin/src/model.rs
@@ -6,7 +6,7 @@
 
 /// What is to come of a request that has arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum SimulatedOutcome {
     /// 200.
     Served,
     /// 500; it has run.
@@ -26,7 +26,7 @@
 struct Job {
     /// Work that is left, in milliseconds on one core of speed 1.
     left: f64,
-    fate: Fate,
+    fate: SimulatedOutcome,
 }
 
 /// One server. Times are in milliseconds from the start of the scenario.
@@ -117,7 +117,7 @@
     }
 
     /// Lets time pass. Those that are done meanwhile, in their order.
-    pub fn advance(&mut self, to: f64) -> Vec<(u64, Fate)> {
+    pub fn advance(&mut self, to: f64) -> Vec<(u64, SimulatedOutcome)> {
         let mut done = Vec::new();
         while self.now < to {
             let step = self.next_wake().unwrap_or(to).min(to).max(self.now);
@@ -144,35 +144,35 @@
 
     /// A request's last byte has come. What is known of its fate at once; else it comes from
     /// [`advance`](Self::advance).
-    pub fn arrive(&mut self, id: u64) -> Option<Fate> {
+    pub fn arrive(&mut self, id: u64) -> Option<SimulatedOutcome> {
         self.arrive_with(id, 1.0)
     }
 
     /// As [`arrive`](Self::arrive), with so many times the usual work.
-    pub fn arrive_with(&mut self, id: u64, factor: f64) -> Option<Fate> {
+    pub fn arrive_with(&mut self, id: u64, factor: f64) -> Option<SimulatedOutcome> {
         let work = self.draw_work() * factor;
         if self.fallen || self.falls(work) {
             self.fallen = true;
-            return Some(Fate::Reset);
+            return Some(SimulatedOutcome::Reset);
         }
         if self.befalls(FaultKind::Refuse).is_some() {
-            return Some(Fate::Refused);
+            return Some(SimulatedOutcome::Refused);
         }
         let fates = [
-            (FaultKind::Error, Fate::Error),
-            (FaultKind::ResetAfter, Fate::Reset),
-            (FaultKind::Silent, Fate::Silent),
-            (FaultKind::Spoilt, Fate::Spoilt),
+            (FaultKind::Error, SimulatedOutcome::Error),
+            (FaultKind::ResetAfter, SimulatedOutcome::Reset),
+            (FaultKind::Silent, SimulatedOutcome::Silent),
+            (FaultKind::Spoilt, SimulatedOutcome::Spoilt),
         ];
         let fate = fates.into_iter().find_map(|(kind, fate)| self.befalls(kind).map(|_| fate));
-        let surplus = self.befalls(FaultKind::Surplus).map(|fault| Fate::Surplus(fault.delay_ms));
-        let job = Job { left: work, fate: fate.or(surplus).unwrap_or(Fate::Served) };
+        let surplus = self.befalls(FaultKind::Surplus).map(|fault| SimulatedOutcome::Surplus(fault.delay_ms));
+        let job = Job { left: work, fate: fate.or(surplus).unwrap_or(SimulatedOutcome::Served) };
         if self.running.len() < self.spec.slots {
             self.running.insert(id, job);
         } else if self.waiting.len() < self.spec.queue {
             self.waiting.push_back((id, job));
         } else {
-            return Some(Fate::Refused);
+            return Some(SimulatedOutcome::Refused);
         }
         None
     }
@@ -260,9 +260,9 @@
     #[test]
     fn cores_are_shared_by_those_that_run_and_the_queue_is_bounded() {
         let mut model = server(vec![], None);
-        let at_once: Vec<Option<Fate>> = (0..7).map(|id| model.arrive(id)).collect();
+        let at_once: Vec<Option<SimulatedOutcome>> = (0..7).map(|id| model.arrive(id)).collect();
         assert_eq!(at_once[..6], [None; 6]);
-        assert_eq!(at_once[6], Some(Fate::Refused));
+        assert_eq!(at_once[6], Some(SimulatedOutcome::Refused));
         assert_eq!((model.load(), model.report()), ((4, 2), "inflight=6,queue=2".into()));
         // Four share two cores: 20 ms each; the last two have a core each.
         let wanted = [(0, 20.0), (1, 20.0), (2, 20.0), (3, 20.0), (4, 30.0), (5, 30.0)];
@@ -288,12 +288,12 @@
         for at in 0..3000 {
             model.advance(f64::from(at));
             sent += 1;
-            if model.arrive(at as u64) == Some(Fate::Reset) {
+            if model.arrive(at as u64) == Some(SimulatedOutcome::Reset) {
                 break;
             }
         }
         assert!(model.is_down() && (350..700).contains(&sent), "{sent}");
-        assert_eq!(model.arrive(9999), Some(Fate::Reset), "it stays down");
+        assert_eq!(model.arrive(9999), Some(SimulatedOutcome::Reset), "it stays down");
         let mut warm = server(vec![], None);
         (0..3000).for_each(|at| {
             warm.advance(f64::from(at));
@@ -321,7 +321,7 @@
         };
         assert_eq!(play(4), play(4));
         assert_ne!(play(4), play(5));
-        assert!(play(4).iter().any(|(_, fate)| *fate == Fate::Silent));
+        assert!(play(4).iter().any(|(_, fate)| *fate == SimulatedOutcome::Silent));
     }
 
     #[test]
--- a/crates/spurdrum-standin/src/scenario.rs
+++ b/crates/spurdrum-standin/src/scenario.rs
@@ -203,7 +203,7 @@
 }
 
 /// What makes no sense: the key, which of the lines that begin with it, and why.
-pub type Wrong = (&'static str, usize, String);
+pub type InvalidKey = (&'static str, usize, String);
 
 /// Reads TOML and checks what it says. The error begins with the line, and names the key.
 ///
@@ -212,7 +212,7 @@
 /// The text is no TOML of this kind, or `check` finds something wrong.
 pub fn parse_checked<T: DeserializeOwned>(
     text: &str,
-    check: impl Fn(&T) -> Result<(), Wrong>,
+    check: impl Fn(&T) -> Result<(), InvalidKey>,
 ) -> Result<T, String> {
     let read: T = file::from_toml(text)?;
     check(&read).map_err(|(key, nth, why)| {
@@ -240,7 +240,7 @@
         self.groups.iter().flat_map(|spec| (0..spec.count).map(move |n| (format!("{}{n}", spec.name), spec)))
     }
 
-    fn check(&self) -> Result<(), Wrong> {
+    fn check(&self) -> Result<(), InvalidKey> {
         let positive = |x: f64| x.is_finite() && x > 0.0;
         let count: usize = self.groups.iter().map(|spec| spec.count).sum();
         if count == 0 || count > 10_000 {
--- a/crates/spurdrum-standin/src/server.rs
+++ b/crates/spurdrum-standin/src/server.rs
@@ -13,8 +13,8 @@
 use tokio::sync::{oneshot, Notify};
 use tokio::time::sleep;
 
-use crate::model::{Fate, Model};
-use crate::tally::Tally;
+use crate::model::{Model, SimulatedOutcome};
+use crate::tally::Counters;
 
 const HEAD_MOST: usize = 16 * 1024;
 const BODY_MOST: usize = 1 << 20;
@@ -29,7 +29,7 @@
     /// Where it listens, also after it has been down.
     pub address: SocketAddr,
     model: RefCell<Model>,
-    replies: RefCell<HashMap<u64, oneshot::Sender<Fate>>>,
+    replies: RefCell<HashMap<u64, oneshot::Sender<SimulatedOutcome>>>,
     changed: Notify,
     /// Raised for all connections when it dies.
     died: Notify,
@@ -37,7 +37,7 @@
     most_open: usize,
     next: Cell<u64>,
     start: Instant,
-    tally: Arc<Mutex<Tally>>,
+    tally: Arc<Mutex<Counters>>,
 }
 
 /// A request as it came.
@@ -52,7 +52,7 @@
     server: &'a Server,
     number: u64,
     id: &'a str,
-    fate: Option<Fate>,
+    fate: Option<SimulatedOutcome>,
 }
 
 impl Drop for Running<'_> {
@@ -62,7 +62,7 @@
             server.replies.borrow_mut().remove(&self.number);
             server.model.borrow_mut().cancel(self.number);
         }
-        let fate = self.fate.unwrap_or(Fate::Silent);
+        let fate = self.fate.unwrap_or(SimulatedOutcome::Silent);
         server.tally(|tally| tally.end(&server.name, self.id, fate, server.start.elapsed()));
     }
 }
@@ -74,7 +74,7 @@
         model: Model,
         most_open: usize,
         start: Instant,
-        tally: Arc<Mutex<Tally>>,
+        tally: Arc<Mutex<Counters>>,
     ) -> Rc<Self> {
         Rc::new(Self {
             name,
@@ -95,7 +95,7 @@
         self.start.elapsed().as_secs_f64() * 1000.0
     }
 
-    fn tally<T>(&self, of: impl FnOnce(&mut Tally) -> T) -> T {
+    fn tally<T>(&self, of: impl FnOnce(&mut Counters) -> T) -> T {
         of(&mut self.tally.lock().unwrap_or_else(std::sync::PoisonError::into_inner))
     }
 
@@ -235,13 +235,13 @@
     }
 
     /// Works on a request. None where its client leaves meanwhile.
-    async fn work(&self, stream: &mut TcpStream, id: &str, key: Option<&str>) -> Option<Fate> {
+    async fn work(&self, stream: &mut TcpStream, id: &str, key: Option<&str>) -> Option<SimulatedOutcome> {
         self.advance();
         let number = self.next.get() + 1;
         self.next.set(number);
         let at_once = self.model.borrow_mut().arrive(number);
         if let Some(fate) = at_once {
-            if fate != Fate::Refused {
+            if fate != SimulatedOutcome::Refused {
                 self.tally(|tally| tally.begin(&self.name, id, key, self.start.elapsed()));
                 self.tally(|tally| tally.end(&self.name, id, fate, self.start.elapsed()));
             } else {
@@ -264,26 +264,28 @@
     }
 
     /// Answers as a request's fate has it. Whether the connection goes on; an error where it is reset.
-    async fn answer(&self, stream: &mut TcpStream, id: &str, fate: Fate) -> Result<bool, ()> {
+    async fn answer(&self, stream: &mut TcpStream, id: &str, fate: SimulatedOutcome) -> Result<bool, ()> {
         let load = format!("x-load: {}\r\n", self.report());
         let body = format!("done {id}");
         match fate {
-            Fate::Served => self.say(stream, "200 OK", &load, &body).await,
-            Fate::Error => self.say(stream, "500 Error", &load, "").await,
-            Fate::Refused => self.say(stream, "503 Busy", &format!("x-not-run: 1\r\n{load}"), "").await,
-            Fate::Reset => Err(()),
-            Fate::Spoilt => {
+            SimulatedOutcome::Served => self.say(stream, "200 OK", &load, &body).await,
+            SimulatedOutcome::Error => self.say(stream, "500 Error", &load, "").await,
+            SimulatedOutcome::Refused => {
+                self.say(stream, "503 Busy", &format!("x-not-run: 1\r\n{load}"), "").await
+            }
+            SimulatedOutcome::Reset => Err(()),
+            SimulatedOutcome::Spoilt => {
                 let half = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", 2 * body.len());
                 let _ = stream.write_all(half.as_bytes()).await;
                 Ok(false)
             }
-            Fate::Silent => {
+            SimulatedOutcome::Silent => {
                 // Until its client has had enough.
                 let mut more = [0; 1];
                 let _ = stream.peek(&mut more).await;
                 Ok(false)
             }
-            Fate::Surplus(ms) => {
+            SimulatedOutcome::Surplus(ms) => {
                 let kept = self.say(stream, "200 OK", &load, &body).await?;
                 sleep(Duration::from_millis(ms)).await;
                 Ok(kept && self.say(stream, "200 OK", &load, &body).await?)
--- a/crates/spurdrum-standin/src/tally.rs
+++ b/crates/spurdrum-standin/src/tally.rs
@@ -3,19 +3,19 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-use crate::model::Fate;
+use crate::model::SimulatedOutcome;
 
 /// What the servers of a fleet have seen.
 #[derive(Clone, Debug, Default)]
-pub struct Tally {
-    servers: BTreeMap<String, OfServer>,
+pub struct Counters {
+    servers: BTreeMap<String, ServerCounters>,
     ids: HashMap<String, Runs>,
     keys: HashMap<String, Runs>,
     untracked: u64,
     /// Requests that are told apart.
     track: usize,
     /// Attempts one by one, so many at most, and the open ones of them by server and id.
-    log: Vec<Work>,
+    log: Vec<AttemptRecord>,
     log_most: usize,
     open: HashMap<(String, String), usize>,
     unlogged: u64,
@@ -23,7 +23,7 @@
 
 /// One attempt, as its server saw it. Times count from the start of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Work {
+pub struct AttemptRecord {
     /// The server.
     pub server: String,
     /// The request's id.
@@ -36,7 +36,7 @@
 
 /// What one server has seen.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct OfServer {
+pub struct ServerCounters {
     /// Requests that it began.
     pub begun: u64,
     /// Of them, answered well.
@@ -64,15 +64,15 @@
     pub answered_at: Option<Duration>,
 }
 
-impl Tally {
+impl Counters {
     /// Tells so many requests apart.
     pub(crate) fn tracking(track: usize, log_most: usize) -> Self {
         Self { track, log_most, ..Self::default() }
     }
 
-    pub(crate) fn server(&mut self, name: &str) -> &mut OfServer {
+    pub(crate) fn server(&mut self, name: &str) -> &mut ServerCounters {
         if !self.servers.contains_key(name) {
-            self.servers.insert(name.to_owned(), OfServer::default());
+            self.servers.insert(name.to_owned(), ServerCounters::default());
         }
         self.servers.get_mut(name).expect("inserted")
     }
@@ -81,7 +81,12 @@
         self.server(server).begun += 1;
         if self.log.len() < self.log_most {
             self.open.insert((server.to_owned(), id.to_owned()), self.log.len());
-            self.log.push(Work { server: server.to_owned(), id: id.to_owned(), begun: at, ended: None });
+            self.log.push(AttemptRecord {
+                server: server.to_owned(),
+                id: id.to_owned(),
+                begun: at,
+                ended: None,
+            });
         } else {
             self.unlogged += u64::from(self.log_most > 0);
         }
@@ -102,8 +107,8 @@
         }
     }
 
-    pub(crate) fn end(&mut self, server: &str, id: &str, fate: Fate, at: Duration) {
-        let served = matches!(fate, Fate::Served | Fate::Surplus(_));
+    pub(crate) fn end(&mut self, server: &str, id: &str, fate: SimulatedOutcome, at: Duration) {
+        let served = matches!(fate, SimulatedOutcome::Served | SimulatedOutcome::Surplus(_));
         self.server(server).served += u64::from(served);
         if self.log_most > 0 {
             let open = self.open.remove(&(server.to_owned(), id.to_owned()));
@@ -120,7 +125,7 @@
     }
 
     /// What each server has seen, by its name.
-    pub fn servers(&self) -> &BTreeMap<String, OfServer> {
+    pub fn servers(&self) -> &BTreeMap<String, ServerCounters> {
         &self.servers
     }
 
@@ -135,7 +140,7 @@
     }
 
     /// Attempts one by one, in the order in which they were begun.
-    pub fn log(&self) -> &[Work] {
+    pub fn log(&self) -> &[AttemptRecord] {
         &self.log
     }
 
--- a/crates/spurdrum-standin/tests/fleet.rs
+++ b/crates/spurdrum-standin/tests/fleet.rs
@@ -51,7 +51,7 @@
         assert_eq!((first.as_str(), body), ("HTTP/1.1 200 OK", format!("done {id}")));
         assert!(fields.contains("x-load: inflight=0,queue=0"), "{fields}");
     }
-    let tally = fleet.tally();
+    let tally = fleet.counters();
     let runs = |id: &str| (tally.ids()[id].begun, tally.ids()[id].most_at_once);
     assert_eq!((runs("a"), runs("b")), ((2, 1), (1, 1)));
     assert_eq!((tally.keys()["k"].begun, tally.servers()["s0"].served), (3, 3));
@@ -63,7 +63,7 @@
     let mut streams = [connect(fleet.servers["s0"]), connect(fleet.servers["s0"])];
     streams.iter_mut().for_each(|stream| send(stream, "a"));
     streams.iter_mut().for_each(|stream| assert!(read(stream).is_some()));
-    assert_eq!(fleet.tally().ids()["a"].most_at_once, 2);
+    assert_eq!(fleet.counters().ids()["a"].most_at_once, 2);
 }
 
 #[test]
@@ -75,12 +75,12 @@
     for (kind, ran) in [("reset_before", false), ("reset_after", true), ("spoilt", true)] {
         let fleet = with(kind, "");
         assert_eq!(first(&fleet), None, "{kind}");
-        assert_eq!(fleet.tally().ids().contains_key("a"), ran, "{kind}");
+        assert_eq!(fleet.counters().ids().contains_key("a"), ran, "{kind}");
     }
     let fleet = with("silent", "");
     let mut stream = connect(fleet.servers["s0"]);
     send(&mut stream, "a");
-    while fleet.tally().ids().get("a").is_none_or(|runs| runs.out != 0) {
+    while fleet.counters().ids().get("a").is_none_or(|runs| runs.out != 0) {
         std::thread::sleep(Duration::from_millis(1));
     }
     stream.set_nonblocking(true).expect("set");
