--- a/crates/spurdrum-demo/src/main.rs
+++ b/crates/spurdrum-demo/src/main.rs
@@ -1,7 +1,9 @@
-//! Starts a small fleet of stand-ins with a catalog, and a real node before it; sends a wave of load through a
-//! server's slowdown and a rolling deploy; shows both sides each second; ends by itself with a summary.
+//! Starts a small fleet of stand-in servers with a discovery catalog, and a real node in front of them. Sends load that
+//! rises and falls while one server slows down and a rolling deploy runs. Prints the statistics of the load generator and
+//! of the servers each second, and ends by itself with a summary.
 //!
-//! `spurdrum-demo rollout` shows a change of six nodes in stages: a good one that reaches all, and a bad one that is stopped.
+//! `spurdrum-demo rollout` shows staged rollouts to six nodes: a good change that reaches all nodes, and a bad one that is
+//! stopped.
 
 use std::process::{ExitCode, Stdio};
 use std::time::Duration;
@@ -16,7 +18,7 @@
 
 mod rollout;
 
-/// A fleet, a node and a wave of load.
+/// Runs a small fleet of simulated servers and a node under a varying load.
 #[derive(Parser)]
 struct Cli {
     #[command(subcommand)]
@@ -25,7 +27,7 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// A good change of six nodes, and a bad one that is stopped; under two minutes.
+    /// Rolls out a good change to six nodes, then a bad one that is stopped; takes under two minutes.
     Rollout,
 }
 
@@ -66,26 +68,26 @@
 "#;
 
 fn main() -> ExitCode {
-    let played = match Cli::parse().command {
-        Some(Command::Rollout) => rollout::play(),
-        None => play(),
+    let result = match Cli::parse().command {
+        Some(Command::Rollout) => rollout::run_demo(),
+        None => run_demo(),
     };
-    match played {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("spurdrum-demo: {why}");
+        Err(error) => {
+            eprintln!("spurdrum-demo: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn play() -> Result<(), String> {
+fn run_demo() -> Result<(), String> {
     let plan = Plan::parse(LOAD)?;
     let fleet = Fleet::start(&Scenario::parse(FLEET)?)?;
     let node =
         Node::start(&config(&fleet, &["harborline-hotels", "millpond-inn"], 1024, 4096), Stdio::inherit())?;
     println!("catalog {}, node {}, {} servers", fleet.catalog, node.address, fleet.servers.len());
-    println!("at 5 s large0 works five times slower, for 10 s; at 12 s and 16 s two servers are replaced by cold ones");
+    println!("at 5 s large0 slows down five times for 10 s; at 12 s and 16 s a server is replaced by a newly started one");
     let options = Options {
         target: node.address,
         seed: 7,
@@ -94,36 +96,36 @@
         threads: 1,
     };
     let arrivals = Box::new(Schedule::new(&plan, options.seed).map(Ok));
-    let mut before = fleet.counters();
+    let mut previous = fleet.counters();
     let report = run(&plan, arrivals, &options, std::future::pending(), |line| {
-        let now = fleet.counters();
+        let current = fleet.counters();
         println!("\n{line}");
         println!(
             "  {:<12}{:>10}{:>10}{:>10}{:>10}  list",
             "server", "begun/s", "running", "waiting", "served"
         );
         let list = fleet.list();
-        for (name, seen) in now.servers() {
-            let was = before.servers().get(name).map_or(0, |seen| seen.begun);
+        for (name, counters) in current.servers() {
+            let previously_begun = previous.servers().get(name).map_or(0, |counters| counters.begun);
             let entries = list["members"].as_array();
-            let entry = entries.and_then(|all| all.iter().find(|entry| entry["id"] == name.as_str()));
+            let entry = entries.and_then(|entries| entries.iter().find(|entry| entry["id"] == name.as_str()));
             let phase = entry.and_then(|entry| entry["phase"].as_str()).unwrap_or("gone");
-            let (running, waiting) = seen.load;
+            let (running, waiting) = counters.load;
             println!(
                 "  {name:<12}{:>10}{running:>10}{waiting:>10}{:>10}  {phase}",
-                seen.begun - was,
-                seen.served
+                counters.begun - previously_begun,
+                counters.served
             );
         }
-        before = now;
+        previous = current;
     })?;
     println!("\n{}", report.table());
-    let tally = fleet.counters();
-    let twice = tally.ids().values().filter(|runs| runs.begun > 1).count();
-    let at_once = tally.ids().values().filter(|runs| runs.most_at_once > 1).count();
+    let counters = fleet.counters();
+    let repeated = counters.ids().values().filter(|runs| runs.begun > 1).count();
+    let concurrent = counters.ids().values().filter(|runs| runs.most_at_once > 1).count();
     println!(
-        "requests that ran: {}, more than once: {twice}, twice at the same time: {at_once}",
-        tally.ids().len()
+        "requests that ran: {}, more than once: {repeated}, concurrently on two servers: {concurrent}",
+        counters.ids().len()
     );
     drop(node);
     Ok(())
--- a/crates/spurdrum-demo/src/rollout.rs
+++ b/crates/spurdrum-demo/src/rollout.rs
@@ -1,9 +1,9 @@
-//! A change of six nodes in stages.
+//! The `rollout` command: staged rollouts to six nodes, first of a good change and then of a bad one.
 
 use std::time::Duration;
 
 use spurdrum_fleet::history::End;
-use spurdrum_fleet::kept::{impossible_deadlines, play as played, SupervisedFleet};
+use spurdrum_fleet::kept::{impossible_deadlines, play as run_scenario, SupervisedFleet};
 use spurdrum_fleet::run::Options;
 use spurdrum_fleet::scenario::Scenario;
 
@@ -44,44 +44,49 @@
 settle_s = 1.0
 "#;
 
-/// A rollout takes no longer.
-const MOST: Duration = Duration::from_secs(55);
+/// The upper bound on the duration of one rollout.
+const MAX_ROLLOUT_DURATION: Duration = Duration::from_secs(55);
 
-/// Shows a good change and a bad one.
-pub fn play() -> Result<(), String> {
+/// Rolls out a new build that is as good as the old one, then settings that fail requests, and prints how many requests
+/// were not served during each rollout.
+pub fn run_demo() -> Result<(), String> {
     let program = spurdrum_harness::program()?;
     let options = Options::new(program);
-    println!("six nodes with a keeper each, before four servers, under load");
-    let (history, (from, to)) = played(&Scenario::parse(FLEET)?, &options, |kept| {
-        println!("\na new build, as good as the old one:\n");
-        let good = kept.build("good", "exec {program} \"$@\"")?;
-        let same = kept.settings("same", |text| text)?;
-        change(kept, &good, &same, "replace")?;
-        println!("\nnew settings, legal and bad: a deadline of 5 ms:\n");
-        let from = kept.elapsed_s();
-        let bad = kept.settings("bad", impossible_deadlines)?;
-        change(kept, &good, &bad, "reload")?;
-        Ok((from, kept.elapsed_s()))
+    println!("six nodes with a supervisor each, in front of four servers, under load");
+    let (history, (bad_start_s, bad_end_s)) = run_scenario(&Scenario::parse(FLEET)?, &options, |fleet| {
+        println!("\nrolling out a new build that is as good as the old one:\n");
+        let good_build = fleet.build("good", "exec {program} \"$@\"")?;
+        let unchanged_settings = fleet.settings("same", |text| text)?;
+        roll_out(fleet, &good_build, &unchanged_settings, "replace")?;
+        println!("\nrolling out new settings that are valid but harmful (a deadline of 5 ms):\n");
+        let bad_start_s = fleet.elapsed_s();
+        let bad_settings = fleet.settings("bad", impossible_deadlines)?;
+        roll_out(fleet, &good_build, &bad_settings, "reload")?;
+        Ok((bad_start_s, fleet.elapsed_s()))
     })?;
-    let bad = |asked: &&spurdrum_fleet::history::RequestRecord| asked.end != End::Served;
-    let (before, after): (Vec<_>, Vec<_>) =
-        history.requests.iter().filter(|asked| asked.due < to).partition(|asked| asked.due < from);
+    let not_served = |request: &&spurdrum_fleet::history::RequestRecord| request.end != End::Served;
+    let (during_good, during_bad): (Vec<_>, Vec<_>) = history
+        .requests
+        .iter()
+        .filter(|request| request.due < bad_end_s)
+        .partition(|request| request.due < bad_start_s);
     println!(
-        "\nwhile the good one was rolled out {} of {} requests were not served; while the bad one was, {} of {}",
-        before.iter().filter(|asked| bad(asked)).count(),
-        before.len(),
-        after.iter().filter(|asked| bad(asked)).count(),
-        after.len()
+        "\nrequests not served during the good rollout: {} of {}; during the bad one: {} of {}",
+        during_good.iter().filter(|request| not_served(request)).count(),
+        during_good.len(),
+        during_bad.iter().filter(|request| not_served(request)).count(),
+        during_bad.len()
     );
     Ok(())
 }
 
-fn change(
-    kept: &mut SupervisedFleet,
+/// Starts the rollout of a program and settings and prints its progress until it ends.
+fn roll_out(
+    fleet: &mut SupervisedFleet,
     program: &std::path::Path,
     settings: &std::path::Path,
-    how: &str,
+    method: &str,
 ) -> Result<(), String> {
-    let plan = kept.plan(program, settings, how, "before_s = 5\nclaims_s = 3", PLAN)?;
-    kept.start_rollout(&plan)?.follow(MOST, |line| println!("  {line}")).map(drop)
+    let plan = fleet.plan(program, settings, method, "before_s = 5\nclaims_s = 3", PLAN)?;
+    fleet.start_rollout(&plan)?.follow(MAX_ROLLOUT_DURATION, |line| println!("  {line}")).map(drop)
 }
