--- a/crates/spurdrum-bench/src/affinity.rs
+++ b/crates/spurdrum-bench/src/affinity.rs
@@ -1,4 +1,5 @@
-//! What the table of bindings costs, beside plain maps; what a noisy owner does to the others; what the file costs.
+//! What the table of bindings costs, beside plain maps; what a noisy owner does to the others; what the file
+//! costs.
 
 use std::collections::{BTreeMap, HashMap};
 use std::hint::black_box;
--- a/crates/spurdrum-bench/src/days.rs
+++ b/crates/spurdrum-bench/src/days.rs
@@ -269,7 +269,8 @@
 
 // ---- calls
 
-/// How long operators wait for their answers while clients ask as fast as they can, and some callers say nothing.
+/// How long operators wait for their answers while clients ask as fast as they can, and some callers say
+/// nothing.
 pub fn calls(clients: &[usize], times: usize) -> Result<(), String> {
     println!("{times} calls at each load, telemetry and readyz in turn, beside 8 callers that say nothing\n");
     println!("{:<12}{:>14}{:>12}{:>12}{:>12}", "clients", "requests/s", "p50, ms", "p99, ms", "worst, ms");
--- a/crates/spurdrum-bench/src/main.rs
+++ b/crates/spurdrum-bench/src/main.rs
@@ -57,8 +57,8 @@
         #[arg(long, default_value_t = 2_000)]
         requests: usize,
     },
-    /// The standing setting at several sizes and loads, then every other scenario of the folder as it is. The programs are built
-    /// before.
+    /// The standing setting at several sizes and loads, then every other scenario of the folder as it is. The
+    /// programs are built before.
     Fleet {
         /// Where the scenarios are.
         #[arg(long, default_value = "crates/spurdrum-fleet/examples")]
@@ -73,8 +73,8 @@
         #[arg(long)]
         beside: Vec<PathBuf>,
     },
-    /// A fleet whose nodes have keepers, changed in stages: a good build, then bad ones of several kinds, each beside the same sent to
-    /// all at once. The programs are built before.
+    /// A fleet whose nodes have keepers, changed in stages: a good build, then bad ones of several kinds,
+    /// each beside the same sent to all at once. The programs are built before.
     Rollout {
         /// Nodes.
         #[arg(long, default_value_t = 100)]
@@ -83,8 +83,8 @@
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// Rollouts back to back, good and bad ones, while keepers and conductors die and links between them break. The programs are built
-    /// before.
+    /// Rollouts back to back, good and bad ones, while keepers and conductors die and links between them
+    /// break. The programs are built before.
     Chaos {
         /// For so long.
         #[arg(long, default_value_t = 30.0)]
@@ -197,12 +197,12 @@
         Command::Calls { clients, times } => days::calls(&clients, times.max(1)),
         Command::Streams { at_once, megabytes } => days::streams(&at_once, megabytes.max(1)),
         Command::Choice { servers, nodes, requests } => {
-            choice::choice(&servers, &nodes, requests.max(10));
+            choice::measure(&servers, &nodes, requests.max(10));
             Ok(())
         }
-        Command::Chaos { minutes, nodes, seed } => chaos::play(minutes, nodes, seed),
-        Command::Rollout { nodes, seed } => rollout::play(nodes, seed),
-        Command::Fleet { folder, seeds, nodes, beside } => fleet::play(&folder, seeds.max(1), nodes, &beside),
+        Command::Chaos { minutes, nodes, seed } => chaos::run(minutes, nodes, seed),
+        Command::Rollout { nodes, seed } => rollout::run(nodes, seed),
+        Command::Fleet { folder, seeds, nodes, beside } => fleet::run(&folder, seeds.max(1), nodes, &beside),
         Command::PlainProxy { listen, servers } => proxy::serve(listen, servers),
     };
     match done {
--- a/crates/spurdrum-bench/src/registry.rs
+++ b/crates/spurdrum-bench/src/registry.rs
@@ -1,4 +1,5 @@
-//! A node's part that follows a registry, on sockets: how late it knows, what it costs, and how long it holds its loop.
+//! A node's part that follows a registry, on sockets: how late it knows, what it costs, and how long it holds
+//! its loop.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
--- a/crates/spurdrum-demo/src/main.rs
+++ b/crates/spurdrum-demo/src/main.rs
@@ -1,9 +1,9 @@
-//! Starts a small fleet of stand-in servers with a discovery catalog, and a real node in front of them. Sends load that
-//! rises and falls while one server slows down and a rolling deploy runs. Prints the statistics of the load generator and
-//! of the servers each second, and ends by itself with a summary.
+//! Starts a small fleet of stand-in servers with a discovery catalog, and a real node in front of them. Sends
+//! load that rises and falls while one server slows down and a rolling deploy runs. Prints the statistics of
+//! the load generator and of the servers each second, and ends by itself with a summary.
 //!
-//! `spurdrum-demo rollout` shows staged rollouts to six nodes: a good change that reaches all nodes, and a bad one that is
-//! stopped.
+//! `spurdrum-demo rollout` shows staged rollouts to six nodes: a good change that reaches all nodes, and a
+//! bad one that is stopped.
 
 use std::process::{ExitCode, Stdio};
 use std::time::Duration;
--- a/crates/spurdrum-demo/src/rollout.rs
+++ b/crates/spurdrum-demo/src/rollout.rs
@@ -47,8 +47,8 @@
 /// The upper bound on the duration of one rollout.
 const MAX_ROLLOUT_DURATION: Duration = Duration::from_secs(55);
 
-/// Rolls out a new build that is as good as the old one, then settings that fail requests, and prints how many requests
-/// were not served during each rollout.
+/// Rolls out a new build that is as good as the old one, then settings that fail requests, and prints how
+/// many requests were not served during each rollout.
 pub fn run_demo() -> Result<(), String> {
     let program = spurdrum_harness::program()?;
     let options = Options::new(program);
--- a/crates/spurdrum-demo/tests/commands.rs
+++ b/crates/spurdrum-demo/tests/commands.rs
@@ -1,5 +1,5 @@
-//! Checks that every cargo command and release binary invocation in the README and the pages under `docs/` is valid: its
-//! package, target, subcommand, flags and files exist in a fresh clone.
+//! Checks that every cargo command and release binary invocation in the README and the pages under `docs/` is
+//! valid: its package, target, subcommand, flags and files exist in a fresh clone.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -66,8 +66,8 @@
     found
 }
 
-/// The targets of the workspace (kind, name and source file) by package, and the default packages: those that cargo uses
-/// when a command names none.
+/// The targets of the workspace (kind, name and source file) by package, and the default packages: those that
+/// cargo uses when a command names none.
 struct Workspace {
     targets: BTreeMap<String, Vec<(String, String, PathBuf)>>,
     default_packages: Vec<String>,
@@ -102,7 +102,8 @@
         Self { targets, default_packages }
     }
 
-    /// Returns the name and source file of the first target of this kind, and of this name if one is given, in these packages.
+    /// Returns the name and source file of the first target of this kind, and of this name if one is given,
+    /// in these packages.
     fn find(&self, packages: &[String], kind: &str, name: Option<&str>) -> Result<(String, PathBuf), String> {
         for package in packages {
             let Some(targets) = self.targets.get(package) else {
@@ -118,8 +119,8 @@
         Err(format!("no {kind} `{}` in {}", name.unwrap_or("of any name"), packages.join(", ")))
     }
 
-    /// Checks that a command's package, target, subcommand, flags and files exist. `help` returns the help text of a program
-    /// and subcommand.
+    /// Checks that a command's package, target, subcommand, flags and files exist. `help` returns the help
+    /// text of a program and subcommand.
     fn check(&self, command: &[String], help: &mut dyn FnMut(&str, &str) -> String) -> Result<(), String> {
         let words: Vec<&str> = command.iter().map(String::as_str).collect();
         if let Some(program) = words[0].strip_prefix("target/release/") {
@@ -164,7 +165,8 @@
     }
 }
 
-/// Checks a program's arguments: its help must mention the subcommand and the flags, and the files named must exist.
+/// Checks a program's arguments: its help must mention the subcommand and the flags, and the files named must
+/// exist.
 fn check_arguments(
     program: &str,
     words: &[&str],
