--- a/crates/spurdrum-fleet/src/clients.rs
+++ b/crates/spurdrum-fleet/src/clients.rs
@@ -47,7 +47,7 @@
         let mut rng = fastrand::Rng::with_seed(scenario.seed ^ 0x5eed);
         let nodes = scenario.nodes;
         let shares: Vec<f64> = (0..nodes).map(|_| (scenario.sigma * normal(&mut rng)).exp()).collect();
-        let mut all = vec![(0.0, shares.clone())];
+        let mut by_start = vec![(0.0, shares.clone())];
         for lean in &scenario.leans {
             let mut drawn: Vec<usize> = (0..nodes).collect();
             rng.shuffle(&mut drawn);
@@ -62,16 +62,16 @@
                 true => share / selected_sum.max(1e-9) * lean.share,
                 false => share / others_sum.max(1e-9) * (1.0 - lean.share),
             };
-            all.push((lean.at_s, shares.iter().enumerate().map(scaled).collect()));
+            by_start.push((lean.at_s, shares.iter().enumerate().map(scaled).collect()));
         }
-        for (_, shares) in &mut all {
+        for (_, shares) in &mut by_start {
             let mut sum = 0.0;
             shares.iter_mut().for_each(|share| {
                 sum += *share;
                 *share = sum;
             });
         }
-        Self { cumulative: all, rng }
+        Self { cumulative: by_start, rng }
     }
 
     /// Returns the node of a request that is due at this time, in seconds.
@@ -194,10 +194,13 @@
 
 /// State that all requests of an event loop share.
 struct Clients {
+    /// Connection pools, one for each node.
     pools: Vec<Pool>,
     classes: Vec<Class>,
+    /// The scenario's tolerance, in seconds.
     slack: f64,
     rng: RefCell<fastrand::Rng>,
+    /// Start of the run, from which times are counted.
     start: Instant,
     observer: SocketObserver,
 }
@@ -259,13 +262,14 @@
         Progress::Unsent => "no connection".to_owned(),
         Progress::Connecting(since) => format!("connecting since {:.3} s", at(since)),
         Progress::Sent(seen) => {
-            let (dialed, connected) = (at(seen.connect_started_at), at(seen.connected_at));
+            let (started, connected) = (at(seen.connect_started_at), at(seen.connected_at));
             let (client, answered) = (seen.client, seen.answered);
-            format!("{client}, dialed at {dialed:.3} s, up at {connected:.3} s, {answered} answers before")
+            format!("{client}, connect started at {started:.3} s, connected at {connected:.3} s, {answered} earlier answers")
         }
     }
 }
 
+/// Builds a request whose deadline header states the remaining budget.
 fn build_request(arrival: &Arrival, class: &Class, budget: f64) -> Request<Full<Bytes>> {
     let safe = class.effect == Effect::Safe;
     let body = if safe { Bytes::new() } else { Bytes::from(vec![b'x'; arrival.bytes as usize]) };
--- a/crates/spurdrum-fleet/src/kept.rs
+++ b/crates/spurdrum-fleet/src/kept.rs
@@ -44,7 +44,9 @@
 /// A running fleet of supervised nodes.
 pub struct SupervisedFleet {
     scenario: Scenario,
+    /// Folder of all files of the run.
     folder: Folder,
+    /// Path of the program under test.
     program: PathBuf,
     /// When the clients started.
     start: Instant,
@@ -53,10 +55,13 @@
     supervisors: Vec<SupervisorProcess>,
     /// Relays between the rollout controllers and the supervisors.
     relays: Relays,
+    /// Names and addresses of the stand-in servers.
     servers: Vec<(String, SocketAddr)>,
+    /// Address of the stand-in catalog.
     catalog: SocketAddr,
     /// Number of plans and controller logs written so far; makes their file names and ports unique.
     plans: usize,
+    /// Intervals in which a node is expected not to answer.
     outages: Vec<NodeOutage>,
     /// Process that kills whatever is still running when the rig has ended.
     sweeper: Child,
@@ -167,10 +172,10 @@
     let begins_at = fleet.elapsed().as_secs_f64();
     supervised.start = Instant::now();
     let stop = Arc::new(AtomicBool::new(false));
-    let playing = clients::start(scenario, &supervised.nodes, supervised.start, &stop);
+    let clients = clients::start(scenario, &supervised.nodes, supervised.start, &stop);
     let result = script(&mut supervised);
     stop.store(true, Ordering::Relaxed);
-    let requests = clients::gather(playing)?;
+    let requests = clients::gather(clients)?;
     let result = result.map_err(|why| format!("{why}\n{}{}", not_served(&requests), supervised.logs()))?;
     let length = supervised.elapsed_s();
     let outages = std::mem::take(&mut supervised.outages);
@@ -354,6 +359,7 @@
         self.run_controller("back", plan)
     }
 
+    /// Starts a rollout controller with this subcommand of `rollout`.
     fn run_controller(&mut self, command: &str, plan: &Path) -> Result<RolloutController, String> {
         self.plans += 1;
         let log = self.folder.path.join(format!("conductor{}.log", self.plans));
--- a/crates/spurdrum-fleet/src/links.rs
+++ b/crates/spurdrum-fleet/src/links.rs
@@ -21,6 +21,7 @@
 pub struct Link {
     /// Address on which the relay listens.
     pub address: SocketAddr,
+    /// The fault that is applied now, with its delay.
     state: watch::Sender<Option<(Kind, Duration)>>,
     /// Faults that are active on this link.
     active: Vec<(usize, Kind, Duration)>,
@@ -92,6 +93,7 @@
 #[derive(Default)]
 pub struct Relays {
     addresses: HashMap<RelayKey, SocketAddr>,
+    /// Sends starts and ends of faults to the relays' thread; `None` where there are no relays.
     changes: Option<mpsc::UnboundedSender<(usize, Kind, bool, Duration)>>,
     stop: Option<oneshot::Sender<()>>,
 }
--- a/crates/spurdrum-fleet/src/main.rs
+++ b/crates/spurdrum-fleet/src/main.rs
@@ -143,7 +143,7 @@
                     scenario.load,
                     chaos.map_or(String::new(), |count| format!(" --chaos {count}"))
                 );
-                play(&scenario, &options, &rerun, shrink, html)
+                run_and_report(&scenario, &options, &rerun, shrink, html)
             })
         }
     };
@@ -158,7 +158,7 @@
 }
 
 /// Runs a scenario, prints its statistics and violations, and returns whether every rule was kept.
-fn play(
+fn run_and_report(
     scenario: &Scenario,
     options: &Options,
     rerun: &str,
--- a/crates/spurdrum-fleet/src/run.rs
+++ b/crates/spurdrum-fleet/src/run.rs
@@ -100,21 +100,21 @@
     let begins_at = fleet.elapsed().as_secs_f64();
     let start = Instant::now();
     let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-    let began_ms = unix.map_err(|error| format!("the clock: {error}"))?.as_secs_f64() * 1000.0;
+    let began_ms = unix.map_err(|error| format!("the clock is before 1970: {error}"))?.as_secs_f64() * 1000.0;
     let nodes: Vec<SocketAddr> = running.specs.iter().map(|spec| spec.listen).collect();
     if let Some(on_start) = options.on_start {
         on_start(&nodes);
     }
     let stop = Arc::new(AtomicBool::new(false));
     let clients = clients::start(scenario, &nodes, start, &stop);
-    let result = running.play(&schedule, start);
+    let result = running.run_schedule(&schedule, start);
     // Where the schedule failed, clients must stop at once because the next run uses the same addresses.
     stop.store(result.is_err(), Ordering::Relaxed);
     let requests = clients::gather(clients)?;
     result?;
     let telemetry = running.telemetry();
     let traces: Vec<PathBuf> = running.specs.iter().map(|spec| spec.trace.clone()).collect();
-    let outages = running.end(&schedule)?;
+    let outages = running.kill_all(&schedule)?;
     let mut history = history(scenario, &fleet.tally(), begins_at, requests, outages, telemetry);
     if scenario.trace {
         add_traces(&mut history, &traces, began_ms)?;
@@ -211,7 +211,7 @@
     }
 
     /// Carries out the steps of the schedule at their times, and returns at the end of the run.
-    fn play(&mut self, schedule: &Schedule, start: Instant) -> Result<(), String> {
+    fn run_schedule(&mut self, schedule: &Schedule, start: Instant) -> Result<(), String> {
         for step in &schedule.steps {
             if step.at_s > self.scenario.for_s {
                 break;
@@ -367,13 +367,16 @@
     }
 
     /// Kills all processes, and returns the nodes' outages. Fails where a node had exited by itself.
-    fn end(mut self, schedule: &Schedule) -> Result<Vec<NodeOutage>, String> {
+    fn kill_all(mut self, schedule: &Schedule) -> Result<Vec<NodeOutage>, String> {
         let late = schedule.late_nodes(self.scenario);
         for (index, node) in self.nodes.iter_mut().enumerate() {
             if node.as_mut().is_some_and(Node::has_exited) && !late.contains(&index) {
                 let log = std::fs::read_to_string(&self.specs[index].log).unwrap_or_default();
                 let last = log.lines().last().unwrap_or_default();
-                return Err(format!("{} ended by itself; its log ends: {last}", self.specs[index].name));
+                return Err(format!(
+                    "{} exited by itself; the last line of its log: {last}",
+                    self.specs[index].name
+                ));
             }
         }
         Ok(self.outages)
--- a/crates/spurdrum-fleet/src/schedule.rs
+++ b/crates/spurdrum-fleet/src/schedule.rs
@@ -71,6 +71,7 @@
 }
 
 /// Draws `count` random faults from a seed, for a run of `for_s` seconds. All of them end before the last fifth of the run.
+/// `links` states whether faults of links to servers may be drawn too.
 #[must_use]
 pub fn chaos(seed: u64, count: usize, for_s: f64, links: bool) -> Vec<Fault> {
     let mut rng = fastrand::Rng::with_seed(seed);
--- a/crates/spurdrum-fleet/tests/rollout.rs
+++ b/crates/spurdrum-fleet/tests/rollout.rs
@@ -22,8 +22,10 @@
     "[[stage]]\nnodes = 1\nleast_s = 2\nmost_s = 60\n[[stage]]\nnodes = 3\nleast_s = 1\nmost_s = 60\n\
     [[stage]]\nshare = 1.0\nleast_s = 1\nmost_s = 60\n[judge]\nleast_requests = 30\nsettle_s = 1.0\n";
 
+/// Further keys of `[rollout]`.
 const TIMES: &str = "before_s = 3\nclaims_s = 3\n";
 
+/// Time limit for each step that a test waits for.
 const LONG: Duration = Duration::from_secs(90);
 
 /// Runs a fleet under load while `script` controls the rollouts, and asserts that no rule is broken.
@@ -77,6 +79,7 @@
     Ok(())
 }
 
+/// Returns the SHA-256 of a file as supervisors report it.
 fn hash(path: &Path) -> String {
     let bytes = std::fs::read(path).expect("there");
     spurdrum_rollout::version::Hash::of(&bytes).text().to_owned()
