--- a/crates/spurdrum-standin/src/catalog.rs
+++ b/crates/spurdrum-standin/src/catalog.rs
@@ -1,38 +1,45 @@
-//! The list of servers, with its versions, and what a watch is told of it.
+//! The list of servers with its revisions, and the response that a watch gets.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use serde_json::{json, Value};
 
-/// A list of servers that changes. Pure: when watches are answered is its owner's affair.
+/// A list of servers that changes. It does no I/O and has no clock: its owner decides when watches are
+/// answered.
 #[derive(Debug)]
 pub struct Catalog {
     revision: u64,
     members: BTreeMap<String, Value>,
-    /// Changes that are remembered, with their versions.
+    /// Remembered changes: the revision and the id of the changed entry.
     log: VecDeque<(u64, String)>,
-    keeps: usize,
+    max_remembered: usize,
 }
 
 impl Catalog {
-    /// An empty list that remembers so many changes.
-    pub fn new(keeps: usize) -> Self {
-        Self { revision: 0, members: BTreeMap::new(), log: VecDeque::new(), keeps: keeps.max(1) }
+    /// Creates an empty list that remembers the last `max_remembered` changes.
+    pub fn new(max_remembered: usize) -> Self {
+        Self {
+            revision: 0,
+            members: BTreeMap::new(),
+            log: VecDeque::new(),
+            max_remembered: max_remembered.max(1),
+        }
     }
 
-    /// The present version.
+    /// Returns the current revision.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Sets an entry; its `phase` may be `left`, which is told once and then forgotten in full lists.
+    /// Sets an entry. An entry whose `phase` is `left` is reported as a change, and left out of full lists.
     pub fn set(&mut self, id: &str, entry: Value) {
         self.revision += 1;
         self.members.insert(id.to_owned(), entry);
         self.log.push_back((self.revision, id.to_owned()));
-        while self.log.len() > self.keeps {
+        while self.log.len() > self.max_remembered {
             let Some((_, old)) = self.log.pop_front() else { break };
-            // Once no watch can be told of it any more, one that has left is gone.
+            // When no remembered change refers to an entry that has left, no watch can be notified of it any
+            // more, and it is removed.
             let left = self.members.get(&old).is_some_and(|entry| entry["phase"] == "left");
             if left && !self.log.iter().any(|(_, id)| *id == old) {
                 self.members.remove(&old);
@@ -40,7 +47,7 @@
         }
     }
 
-    /// Changes an entry's phase, if there is one.
+    /// Changes the phase of an entry; does nothing if there is no such entry.
     pub fn set_phase(&mut self, id: &str, phase: &str) {
         if let Some(mut entry) = self.members.get(id).cloned() {
             entry["phase"] = json!(phase);
@@ -48,14 +55,14 @@
         }
     }
 
-    /// The whole list.
+    /// Returns the full list.
     pub fn full(&self) -> Value {
-        let listed = self.members.values().filter(|entry| entry["phase"] != "left");
-        json!({"revision": self.revision, "complete": true, "members": listed.collect::<Vec<_>>()})
+        let present = self.members.values().filter(|entry| entry["phase"] != "left");
+        json!({"revision": self.revision, "complete": true, "members": present.collect::<Vec<_>>()})
     }
 
-    /// What has changed since a version: the entries as they are now, or the whole list where that is too long ago, or
-    /// where the version is not one of this list's.
+    /// Returns the entries that have changed since `revision`, as they are now. Returns the full list if
+    /// changes since then have been forgotten, or if the revision is newer than this list's.
     pub fn since(&self, revision: u64) -> Value {
         let oldest = self.log.front().map_or(self.revision, |(first, _)| first - 1);
         if revision < oldest || revision > self.revision {
@@ -81,7 +88,7 @@
     }
 
     #[test]
-    fn a_watch_is_told_what_changed_and_the_whole_list_where_that_is_forgotten() {
+    fn a_watch_gets_the_changes_or_the_full_list_when_they_are_forgotten() {
         let mut catalog = Catalog::new(4);
         for id in ["a", "b", "c"] {
             catalog.set(id, json!({"id": id, "phase": "active"}));
@@ -92,13 +99,14 @@
         assert_eq!(phases(&catalog.since(3)), ["b left"]);
         assert_eq!(phases(&catalog.full()), ["a active", "c active"]);
         assert_eq!(catalog.since(3)["complete"], json!(false));
-        // Its first change is forgotten by now; so is a version that is not its own.
+        // Revision 0 is older than the first remembered change, and revision 99 was never reached: both get
+        // the full list.
         assert_eq!(catalog.since(0)["complete"], json!(true));
         assert_eq!(catalog.since(99)["complete"], json!(true));
         assert_eq!(phases(&catalog.since(5)), [""; 0]);
         for _ in 0..4 {
             catalog.set_phase("a", "active");
         }
-        assert!(!catalog.members.contains_key("b"), "nothing of it is held for ever");
+        assert!(!catalog.members.contains_key("b"), "an entry that has left is removed in the end");
     }
 }
--- a/crates/spurdrum-standin/src/fleet.rs
+++ b/crates/spurdrum-standin/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A whole fleet, in a thread of its own.
+//! A fleet of simulated servers and their catalog, run in a thread of its own on loopback sockets.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -21,19 +21,20 @@
 use crate::server::Server;
 use crate::tally::Counters;
 
-/// A server that is replaced has this long to finish what it has, where the script says nothing.
-const GRACE_S: f64 = 2.0;
+/// Time in seconds that a draining or replaced server has to finish its requests before the catalog reports
+/// that it left, if the scenario gives none.
+const DEFAULT_GRACE_S: f64 = 2.0;
 
-/// A fleet that runs until it is dropped.
+/// A running fleet. Dropping it stops it.
 pub struct Fleet {
-    /// Where the catalog answers.
+    /// Address of the catalog.
     pub catalog: SocketAddr,
-    /// Where it answers once it has moved.
+    /// Second address of the catalog, at which it answers during a `move` fault.
     pub moved_catalog: SocketAddr,
-    /// Where the servers listen, by their names as the scenario has them.
+    /// Listen addresses of the servers, by their names in the scenario.
     pub servers: BTreeMap<String, SocketAddr>,
     start: Instant,
-    tally: Arc<Mutex<Counters>>,
+    counters: Arc<Mutex<Counters>>,
     list: Arc<Mutex<Catalog>>,
     stop: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
@@ -42,47 +43,50 @@
 type Started = (Instant, [SocketAddr; 2], BTreeMap<String, SocketAddr>);
 
 impl Fleet {
-    /// Starts on free ports of 127.0.0.1; returns when all listen.
+    /// Starts the fleet on free ports of 127.0.0.1. Returns when all sockets are listening.
     pub fn start(scenario: &Scenario) -> Result<Self, String> {
-        let (tell, started) = mpsc::channel();
+        let (report_start, start_result) = mpsc::channel();
         let (stop, stopped) = oneshot::channel();
-        let tally = Arc::new(Mutex::new(Counters::tracking(scenario.track, scenario.log)));
+        let counters = Arc::new(Mutex::new(Counters::tracking(scenario.track, scenario.log)));
         let list = Arc::new(Mutex::new(Catalog::new(scenario.catalog.keeps.unwrap_or(1000))));
-        let (scenario, tally_of, list_of) = (scenario.clone(), Arc::clone(&tally), Arc::clone(&list));
+        let (scenario, thread_counters, thread_list) =
+            (scenario.clone(), Arc::clone(&counters), Arc::clone(&list));
         let thread = std::thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
             let run = |runtime: tokio::runtime::Runtime| {
-                LocalSet::new().block_on(&runtime, play(scenario, tally_of, list_of, &tell, stopped))
+                LocalSet::new()
+                    .block_on(&runtime, play(scenario, thread_counters, thread_list, &report_start, stopped))
             };
             if let Err(why) = runtime.map_err(|e| e.to_string()).and_then(run) {
-                let _ = tell.send(Err(why));
+                let _ = report_start.send(Err(why));
             }
         });
         let (start, [catalog, moved_catalog], servers) =
-            started.recv().map_err(|_| "the fleet did not start".to_owned())??;
+            start_result.recv().map_err(|_| "the fleet did not start".to_owned())??;
         Ok(Self {
             catalog,
             moved_catalog,
             servers,
             start,
-            tally,
+            counters,
             list,
             stop: Some(stop),
             thread: Some(thread),
         })
     }
 
-    /// How long it has been running: times of the script and of tallies count from its start.
+    /// Returns the time since the start of the fleet, from which the times of the scenario and of the
+    /// counters are measured.
     pub fn elapsed(&self) -> Duration {
         self.start.elapsed()
     }
 
-    /// What the servers have seen by now.
+    /// Returns a copy of the servers' current counters.
     pub fn counters(&self) -> Counters {
-        self.tally.lock().unwrap_or_else(std::sync::PoisonError::into_inner).clone()
+        self.counters.lock().unwrap_or_else(std::sync::PoisonError::into_inner).clone()
     }
 
-    /// The whole list as the catalog has it now.
+    /// Returns the full list as it now stands in the catalog.
     pub fn list(&self) -> serde_json::Value {
         self.list.lock().unwrap_or_else(std::sync::PoisonError::into_inner).full()
     }
@@ -99,50 +103,59 @@
     }
 }
 
-struct World {
+struct FleetState {
     scenario: Scenario,
     start: Instant,
-    tally: Arc<Mutex<Counters>>,
+    counters: Arc<Mutex<Counters>>,
     list: Arc<Mutex<Catalog>>,
-    /// The version that watches may hear of.
-    told: watch::Sender<u64>,
+    /// The latest revision that has been published to watches.
+    published_revision: watch::Sender<u64>,
     addresses: RefCell<BTreeMap<String, SocketAddr>>,
-    /// Which of the calls a fault befalls.
-    random: RefCell<fastrand::Rng>,
-    /// Held by the call that the catalog works on, where it works through them in turn.
-    turn: tokio::sync::Mutex<()>,
+    /// Decides which catalog calls are hit by a fault whose `part` is below 1.
+    rng: RefCell<fastrand::Rng>,
+    /// Held by the call being processed while a `queue` fault makes the catalog process calls one at a time.
+    processing: tokio::sync::Mutex<()>,
 }
 
 async fn play(
     scenario: Scenario,
-    tally: Arc<Mutex<Counters>>,
+    counters: Arc<Mutex<Counters>>,
     list: Arc<Mutex<Catalog>>,
-    tell: &mpsc::Sender<Result<Started, String>>,
+    report_start: &mpsc::Sender<Result<Started, String>>,
     stopped: oneshot::Receiver<()>,
 ) -> Result<(), String> {
-    let (told, _) = watch::channel(0);
+    let (published_revision, _) = watch::channel(0);
     let start = Instant::now();
-    let random = RefCell::new(fastrand::Rng::with_seed(scenario.seed));
-    let turn = tokio::sync::Mutex::new(());
+    let rng = RefCell::new(fastrand::Rng::with_seed(scenario.seed));
+    let processing = tokio::sync::Mutex::new(());
     let addresses = RefCell::default();
-    let world = Rc::new(World { scenario, start, tally, list, told, addresses, random, turn });
+    let state = Rc::new(FleetState {
+        scenario,
+        start,
+        counters,
+        list,
+        published_revision,
+        addresses,
+        rng,
+        processing,
+    });
     let servers: Vec<(String, Spec)> =
-        world.scenario.servers().map(|(name, spec)| (name, spec.clone())).collect();
+        state.scenario.servers().map(|(name, spec)| (name, spec.clone())).collect();
     for (name, spec) in servers {
-        world.launch(&name, &name, spec, None).await?;
+        state.launch(&name, &name, spec, None).await?;
     }
     let catalogs = [bind().await?, bind().await?];
     let mut addresses = Vec::new();
     for catalog in &catalogs {
         addresses.push(catalog.local_addr().map_err(|e| e.to_string())?);
     }
-    world.told.send_replace(world.list().revision());
+    state.published_revision.send_replace(state.list().revision());
     for (n, catalog) in catalogs.into_iter().enumerate() {
-        tokio::task::spawn_local(Rc::clone(&world).answer_watches(catalog, n == 1));
+        tokio::task::spawn_local(Rc::clone(&state).serve_catalog(catalog, n == 1));
     }
-    tokio::task::spawn_local(Rc::clone(&world).script());
-    let servers = world.addresses.borrow().clone();
-    let _ = tell.send(Ok((start, [addresses[0], addresses[1]], servers)));
+    tokio::task::spawn_local(Rc::clone(&state).run_faults());
+    let servers = state.addresses.borrow().clone();
+    let _ = report_start.send(Ok((start, [addresses[0], addresses[1]], servers)));
     let _ = stopped.await;
     Ok(())
 }
@@ -152,160 +165,165 @@
     listener.map_err(|error| format!("cannot listen: {error}"))
 }
 
-impl World {
+impl FleetState {
     fn list(&self) -> std::sync::MutexGuard<'_, Catalog> {
         self.list.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// Starts a server, cold where it starts now.
+    /// Starts a server and adds it to the list. With `slow_start_at` the server is a replacement, begins in
+    /// slow start at that time and is announced with the catalog's delay.
     async fn launch(
         self: &Rc<Self>,
         name: &str,
-        script: &str,
+        faults_of: &str,
         spec: Spec,
-        cold_at: Option<f64>,
+        slow_start_at: Option<f64>,
     ) -> Result<(), String> {
         let listener = bind().await?;
         let address = listener.local_addr().map_err(|e| e.to_string())?;
-        let faults = match cold_at {
-            // What the script has for a server befalls the one that it names, and not its successor.
+        let faults = match slow_start_at {
+            // Faults in the scenario apply to the server that they name, not to its replacement.
             Some(_) => Vec::new(),
-            None => self.scenario.faults.iter().filter(|fault| fault.on == script).cloned().collect(),
+            None => self.scenario.faults.iter().filter(|fault| fault.on == faults_of).cloned().collect(),
         };
         let number = self.addresses.borrow().len() as u64;
         let seed = self.scenario.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15).wrapping_add(number);
-        let up_since_ms = match cold_at {
+        let up_since_ms = match slow_start_at {
             Some(_) => SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |unix| unix.as_millis() as u64),
             None => 0,
         };
         let entry = json!({"id": name, "host_port": address.to_string(), "locality": spec.zone, "flavor": spec.kind,
                            "cell": 0, "phase": "active", "size": f64::from(spec.cores) * spec.speed,
                            "up_since_ms": up_since_ms});
-        let most = spec.connections;
-        let model = Model::new(spec, faults, seed, cold_at);
-        let server = Server::new(name.into(), address, model, most, self.start, Arc::clone(&self.tally));
+        let max_connections = spec.connections;
+        let model = Model::new(spec, faults, seed, slow_start_at);
+        let server =
+            Server::new(name.into(), address, model, max_connections, self.start, Arc::clone(&self.counters));
         tokio::task::spawn_local(server.run(listener));
         self.addresses.borrow_mut().insert(name.to_owned(), address);
         let name = name.to_owned();
-        match cold_at {
+        match slow_start_at {
             None => self.list().set(&name, entry),
-            Some(_) => self.later(move |list| list.set(&name, entry)),
+            Some(_) => self.change_later(move |list| list.set(&name, entry)),
         }
         Ok(())
     }
 
-    fn tell(self: &Rc<Self>, name: &str, phase: &'static str) {
+    fn change_phase(self: &Rc<Self>, name: &str, phase: &'static str) {
         let name = name.to_owned();
-        self.later(move |list| list.set_phase(&name, phase));
+        self.change_later(move |list| list.set_phase(&name, phase));
     }
 
-    /// Changes the list, as late as the script says.
-    fn later(self: &Rc<Self>, change: impl FnOnce(&mut Catalog) + 'static) {
-        let world = Rc::clone(self);
+    /// Changes the list after the catalog's configured delay and notifies the watches.
+    fn change_later(self: &Rc<Self>, change: impl FnOnce(&mut Catalog) + 'static) {
+        let state = Rc::clone(self);
         let delay = Duration::from_millis(self.scenario.catalog.delay_ms);
         tokio::task::spawn_local(async move {
             tokio::time::sleep(delay).await;
-            change(&mut world.list());
-            let revision = world.list().revision();
-            world.told.send_replace(revision);
+            change(&mut state.list());
+            let revision = state.list().revision();
+            state.published_revision.send_replace(revision);
         });
     }
 
-    async fn script(self: Rc<Self>) {
+    async fn run_faults(self: Rc<Self>) {
         let mut steps: Vec<(f64, usize, bool)> = Vec::new();
         for (n, fault) in self.scenario.faults.iter().enumerate() {
             match fault.kind {
                 FaultKind::Drain | FaultKind::Replace => {
                     steps.push((fault.at_s, n, false));
-                    steps.push((fault.at_s + fault.for_s.unwrap_or(GRACE_S), n, true));
+                    steps.push((fault.at_s + fault.for_s.unwrap_or(DEFAULT_GRACE_S), n, true));
                 }
                 _ => {}
             }
         }
         steps.sort_by(|a, b| a.0.total_cmp(&b.0));
-        for (at_s, n, ends) in steps {
+        for (at_s, n, is_end) in steps {
             sleep_until((self.start + Duration::from_secs_f64(at_s)).into()).await;
             let fault = &self.scenario.faults[n];
-            if ends {
-                self.tell(&fault.on, "left");
+            if is_end {
+                self.change_phase(&fault.on, "left");
                 continue;
             }
-            self.tell(&fault.on, "leaving");
+            self.change_phase(&fault.on, "leaving");
             if fault.kind == FaultKind::Replace {
                 let spec =
                     self.scenario.servers().find(|(name, _)| *name == fault.on).map(|(_, spec)| spec.clone());
                 let now = self.start.elapsed().as_secs_f64() * 1000.0;
                 let name = format!("{}-{n}", fault.on);
                 if let Some(spec) = spec {
-                    // It fails where no port is free: then there is no successor.
+                    // Launching fails if no port is free; the server then has no replacement.
                     let _ = self.launch(&name, &fault.on, spec, Some(now)).await;
                 }
             }
         }
     }
 
-    fn is_out(&self) -> bool {
+    fn is_unavailable(&self) -> bool {
         self.fault(FaultKind::Outage).is_some()
     }
 
-    /// A fault of the catalog that befalls a call now.
+    /// Returns the active fault of this kind if it hits a catalog call made now.
     fn fault(&self, kind: FaultKind) -> Option<&Fault> {
         let now = self.start.elapsed().as_secs_f64();
-        let within = |from: f64, length: Option<f64>| now >= from && length.is_none_or(|s| now < from + s);
-        let found = self.scenario.faults.iter().find(|f| f.kind == kind && within(f.at_s, f.for_s))?;
-        (found.part >= 1.0 || self.random.borrow_mut().f64() < found.part).then_some(found)
+        let is_active = |from: f64, length: Option<f64>| now >= from && length.is_none_or(|s| now < from + s);
+        let found = self.scenario.faults.iter().find(|f| f.kind == kind && is_active(f.at_s, f.for_s))?;
+        (found.part >= 1.0 || self.rng.borrow_mut().f64() < found.part).then_some(found)
     }
 
-    async fn answer_watches(self: Rc<Self>, listener: TcpListener, second: bool) {
+    async fn serve_catalog(self: Rc<Self>, listener: TcpListener, is_second: bool) {
         while let Ok((stream, _)) = listener.accept().await {
-            tokio::task::spawn_local(Rc::clone(&self).watcher(stream, second));
+            tokio::task::spawn_local(Rc::clone(&self).serve_catalog_connection(stream, is_second));
         }
     }
 
-    async fn watcher(self: Rc<Self>, mut stream: TcpStream, second: bool) {
+    async fn serve_catalog_connection(self: Rc<Self>, mut stream: TcpStream, is_second: bool) {
         let _ = stream.set_nodelay(true);
-        let mut read: Vec<u8> = Vec::new();
+        let mut buffer: Vec<u8> = Vec::new();
         loop {
             let end = loop {
-                if let Some(end) = read.windows(4).position(|w| w == b"\r\n\r\n") {
+                if let Some(end) = buffer.windows(4).position(|w| w == b"\r\n\r\n") {
                     break end + 4;
                 }
-                match stream.read_buf(&mut read).await {
-                    Ok(n) if n > 0 && read.len() < 16 * 1024 => {}
+                match stream.read_buf(&mut buffer).await {
+                    Ok(n) if n > 0 && buffer.len() < 16 * 1024 => {}
                     _ => return,
                 }
             };
-            let head = String::from_utf8_lossy(&read[..end]).into_owned();
-            read.drain(..end);
+            let head = String::from_utf8_lossy(&buffer[..end]).into_owned();
+            buffer.drain(..end);
             let path = head.split(' ').nth(1).unwrap_or_default().to_owned();
             let query = |name: &str| -> Option<u64> {
                 let (_, query) = path.split_once('?')?;
                 query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('=')?.parse().ok())
             };
-            let watches = query("since").is_some() && query("timeout_ms").is_some_and(|wait| wait > 0);
-            let hangs = match query("since") {
+            let is_watch = query("since").is_some() && query("timeout_ms").is_some_and(|wait| wait > 0);
+            let unanswered = match query("since") {
                 _ if self.fault(FaultKind::Hang).is_some() => true,
-                _ if self.fault(FaultKind::Move).is_some() != second => true,
-                Some(_) => watches && self.fault(FaultKind::HangWatches).is_some(),
+                _ if self.fault(FaultKind::Move).is_some() != is_second => true,
+                Some(_) => is_watch && self.fault(FaultKind::HangWatches).is_some(),
                 None => self.fault(FaultKind::HangReads).is_some(),
             };
-            if hangs {
-                // Until its client has had enough.
-                while matches!(stream.read_buf(&mut read).await, Ok(n) if n > 0 && read.len() < 16 * 1024) {}
+            if unanswered {
+                // Keeps the connection open without answering until the client closes it.
+                while matches!(stream.read_buf(&mut buffer).await, Ok(n) if n > 0 && buffer.len() < 16 * 1024)
+                {
+                }
                 return;
             }
-            let (status, body) = if self.is_out() || !path.starts_with("/catalog/members") {
+            let (status, body) = if self.is_unavailable() || !path.starts_with("/catalog/members") {
                 ("503 Down", json!({}))
             } else {
                 match query("since") {
                     None => ("200 OK", self.list().full()),
                     Some(since) => {
                         let wait = Duration::from_millis(query("timeout_ms").unwrap_or(0).min(60_000));
-                        let mut told = self.told.subscribe();
-                        // A version that is not this catalog's is answered at once.
-                        let news = told.wait_for(|told| *told > since || since > self.list().revision());
-                        let _ = timeout(wait, news).await;
-                        if self.is_out() {
+                        let mut published_revision = self.published_revision.subscribe();
+                        // A revision newer than this catalog's own is answered at once.
+                        let changed = published_revision
+                            .wait_for(|revision| *revision > since || since > self.list().revision());
+                        let _ = timeout(wait, changed).await;
+                        if self.is_unavailable() {
                             ("503 Down", json!({}))
                         } else {
                             ("200 OK", self.list().since(since))
@@ -314,27 +332,29 @@
                 }
             };
             if let Some(queue) = self.fault(FaultKind::Queue) {
-                let turn = self.turn.lock().await;
+                let processing = self.processing.lock().await;
                 tokio::time::sleep(Duration::from_millis(queue.delay_ms)).await;
-                drop(turn);
+                drop(processing);
             }
             let body = body.to_string();
             let text = format!("HTTP/1.1 {status}\r\ncontent-length: {}\r\n\r\n{body}", body.len());
-            let stops = text.len() - body.len() / 2;
+            let half_length = text.len() - body.len() / 2;
             let (half, trickle) = (self.fault(FaultKind::Half), self.fault(FaultKind::Trickle));
-            let at_once = match (half, trickle) {
-                (Some(_), _) => stops,
+            let immediate_bytes = match (half, trickle) {
+                (Some(_), _) => half_length,
                 (None, Some(_)) => 0,
                 (None, None) => text.len(),
             };
-            if stream.write_all(&text.as_bytes()[..at_once]).await.is_err() {
+            if stream.write_all(&text.as_bytes()[..immediate_bytes]).await.is_err() {
                 return;
             }
             if half.is_some() {
-                while matches!(stream.read_buf(&mut read).await, Ok(n) if n > 0 && read.len() < 16 * 1024) {}
+                while matches!(stream.read_buf(&mut buffer).await, Ok(n) if n > 0 && buffer.len() < 16 * 1024)
+                {
+                }
                 return;
             }
-            for byte in &text.as_bytes()[at_once..] {
+            for byte in &text.as_bytes()[immediate_bytes..] {
                 tokio::time::sleep(Duration::from_secs(1)).await;
                 if stream.write_all(&[*byte]).await.is_err() {
                     return;
--- a/crates/spurdrum-standin/src/lib.rs
+++ b/crates/spurdrum-standin/src/lib.rs
@@ -1,8 +1,9 @@
-//! Stand-in servers and a catalog, with faults that are played from a script.
+//! Simulated servers and a catalog, with faults scheduled in a scenario file.
 //!
-//! A [`Fleet`] runs on loopback addresses in a thread of its own, from a [`scenario::Scenario`]. Servers have cores,
-//! slots and a queue; what they do is decided in [`model`], which has no clock, I/O or randomness but its seed. Each
-//! counts what it began, so that a test can ask whether a request ran twice, or twice at once.
+//! A [`Fleet`] runs on loopback addresses in a thread of its own, from a [`scenario::Scenario`]. Servers
+//! have cores, slots and a queue; their behaviour is decided in [`model`], which has no clock and no I/O,
+//! and no randomness but that of its seed. Each server counts the requests that it began, so that a test can
+//! check whether a request ran twice, or twice concurrently.
 
 mod catalog;
 pub mod draw;
--- a/crates/spurdrum-standin/src/scenario.rs
+++ b/crates/spurdrum-standin/src/scenario.rs
@@ -1,4 +1,4 @@
-//! What a fleet is and what happens to it, as a TOML file has it.
+//! The scenario file (TOML): the servers of a fleet, the catalog, and the faults that happen to them.
 
 use std::path::Path;
 
@@ -6,175 +6,177 @@
 use serde::Deserialize;
 use spurdrum_facts::file;
 
-/// A fleet and its script.
+/// A fleet and its schedule of faults.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Drives all that is random: the same seed gives the same order of faults.
+    /// Seed of all randomness: the same seed gives the same sequence of faults.
     #[serde(default)]
     pub seed: u64,
-    /// Requests that are told apart by id and key; later ones are counted, and no more.
-    #[serde(default = "tracked")]
+    /// Maximum number of requests that are tracked individually by id and idempotency key. Later ones are
+    /// only counted.
+    #[serde(default = "default_track")]
     pub track: usize,
-    /// Attempts that are logged one by one, with their times; later ones are counted, and no more.
+    /// Maximum number of attempts that are logged individually with their times. Later ones are only
+    /// counted.
     #[serde(default)]
     pub log: usize,
-    /// Kinds of servers.
+    /// Groups of servers with the same properties.
     #[serde(rename = "servers")]
     pub groups: Vec<Spec>,
-    /// The list of servers.
+    /// The catalog, which publishes the list of servers.
     #[serde(default)]
     pub catalog: CatalogScript,
-    /// What happens, and when.
+    /// Faults, with their times.
     #[serde(default, rename = "fault")]
     pub faults: Vec<Fault>,
 }
 
-/// What servers of one kind are.
+/// The properties of the servers of one group.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Spec {
-    /// Their names are this with a number.
+    /// Prefix of the servers' names; a number follows.
     pub name: String,
-    /// How many there are.
+    /// Number of servers.
     pub count: usize,
-    /// Work that it does at once at full speed.
+    /// Number of cores: requests that run concurrently at full speed.
     pub cores: u32,
-    /// Against a yardstick of 1.
+    /// Speed of a core, relative to a standard core of speed 1.
     pub speed: f64,
-    /// Requests that it works on at once.
+    /// Maximum number of requests that run concurrently.
     pub slots: usize,
-    /// Requests that wait for a slot; the next are turned away.
+    /// Maximum number of requests that wait for a slot; further ones are refused.
     pub queue: usize,
-    /// Work of a request in milliseconds on one core of speed 1: its mean.
+    /// Mean work of a request, in milliseconds on one core of speed 1.
     pub work_ms: f64,
-    /// How work is spread round the mean.
+    /// Distribution of the work of a request.
     pub work: Distribution,
-    /// Part of its speed that it has when it starts cold.
+    /// Fraction of its full speed that a server has at the beginning of slow start.
     pub cold_from: f64,
-    /// Time in which a cold one becomes warm, in seconds.
+    /// Length of slow start, in seconds.
     pub cold_s: f64,
-    /// A cold one that is sent more than this many times what it can do falls over...
+    /// A server in slow start collapses if it receives more than this multiple of its capacity...
     pub fall_multiple: f64,
-    /// ...where that lasts for so long, in seconds.
+    /// ...within a window of this length, in seconds.
     pub fall_s: f64,
-    /// Load reports are made this often, in milliseconds; 0: for every answer.
+    /// Interval between new load reports, in milliseconds; 0 makes one for every response.
     pub report_ms: f64,
-    /// Part by which a report may be off.
+    /// Maximum relative error of a load report.
     pub report_noise: f64,
-    /// Connections that it holds; the next are closed as they come.
+    /// Maximum number of open connections; further ones are closed when accepted.
     pub connections: usize,
-    /// Its zone.
+    /// Zone of the servers.
     pub zone: String,
-    /// Its machine kind.
+    /// Machine kind of the servers.
     pub kind: String,
 }
 
-/// How work is spread round its mean.
+/// Distribution of work round its mean.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Distribution {
-    /// Always the same.
+    /// Constant: every request has the mean.
     Constant,
-    /// Without memory.
+    /// Exponential (memoryless).
     Exponential,
-    /// Long-tailed, with a deviation of the mean's size.
+    /// Lognormal: long-tailed, with a standard deviation equal to the mean.
     Lognormal,
 }
 
-/// The catalog.
+/// Settings of the catalog.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct CatalogScript {
-    /// Changes are told so late, in milliseconds.
+    /// Delay before a change is published, in milliseconds.
     pub delay_ms: u64,
-    /// Changes that it remembers: a watch from before them gets the whole list.
+    /// Number of changes that the catalog remembers: a watch from an older revision gets the full list.
     pub keeps: Option<usize>,
 }
 
-/// Something that happens to a server, or to the catalog.
+/// A fault of a server or of the catalog.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// A server's name, or `catalog`.
+    /// Name of the affected server, or `catalog`.
     pub on: String,
-    /// What.
+    /// Kind of fault.
     pub kind: FaultKind,
-    /// From when, in seconds.
+    /// Start of the fault, in seconds since the start of the scenario.
     #[serde(default)]
     pub at_s: f64,
-    /// For how long, in seconds; to the end where it is left out.
+    /// Duration in seconds; if left out, the fault lasts until the end of the scenario.
     pub for_s: Option<f64>,
-    /// Part of the requests that it befalls.
-    #[serde(default = "whole")]
+    /// Fraction of the requests that are hit.
+    #[serde(default = "one")]
     pub part: f64,
-    /// How many times slower.
-    #[serde(default = "whole")]
+    /// Slowdown factor of a `slow` fault.
+    #[serde(default = "one")]
     pub factor: f64,
-    /// How much later, in milliseconds.
+    /// Delay of a `surplus` or `queue` fault, in milliseconds.
     #[serde(default)]
     pub delay_ms: u64,
 }
 
-/// What happens.
+/// The kinds of faults.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// It does nothing meanwhile, and goes on then.
+    /// The server does no work for the duration and continues afterwards.
     Pause,
-    /// It works `factor` times slower.
+    /// The server works `factor` times slower.
     Slow,
-    /// It turns requests away with 503 and `X-Not-Run: 1`.
+    /// The server refuses requests with 503 and `X-Not-Run: 1`.
     Refuse,
-    /// It runs requests and answers 500.
+    /// The server runs requests and answers 500.
     Error,
-    /// It resets a connection before the request's last byte.
+    /// The server resets a connection before the request's last byte.
     ResetBefore,
-    /// It runs the request and resets its connection.
+    /// The server runs the request and resets its connection.
     ResetAfter,
-    /// It runs the request and never answers.
+    /// The server runs the request and never answers.
     Silent,
-    /// It answers with half of the body and ends the connection.
+    /// The server sends half of the response body and closes the connection.
     Spoilt,
-    /// A second copy of a good answer follows it, `delay_ms` later.
+    /// A second copy of a successful response follows the first, `delay_ms` later.
     Surplus,
-    /// It drains: the catalog says so, and it goes on with what it has.
+    /// The server drains: the catalog lists it as leaving while it finishes its requests.
     Drain,
-    /// It is replaced by a cold one of another name and address.
+    /// The server is replaced by one with another name and address, which begins in slow start.
     Replace,
-    /// It dies: connections are reset and new ones refused.
+    /// The server dies: open connections are reset and new ones refused.
     Die,
-    /// The catalog is down: watches end and calls get 503.
+    /// The catalog is down: watches end and calls are answered with 503.
     Outage,
-    /// Watches of the catalog are never answered.
+    /// The catalog never answers watches.
     HangWatches,
-    /// Calls for the whole list are never answered.
+    /// The catalog never answers reads of the full list.
     HangReads,
-    /// The catalog says nothing to anybody.
+    /// The catalog answers no calls.
     Hang,
-    /// Its answers stop in the middle of the body, and their connections stay open.
+    /// The catalog's responses stop in the middle of the body, and their connections stay open.
     Half,
-    /// Its answers come one byte a second.
+    /// The catalog sends its responses at one byte per second.
     Trickle,
-    /// It works through calls in turn, each for `delay_ms`.
+    /// The catalog processes calls one at a time, each for `delay_ms`.
     Queue,
-    /// It answers at its second address; at the first one it says nothing from then on.
+    /// The catalog answers at its second address and no longer at its first.
     Move,
 }
 
 impl FaultKind {
-    /// Whether it befalls the catalog, and not a server.
-    pub fn is_of_catalog(self) -> bool {
+    /// Returns whether the fault affects the catalog, not a server.
+    pub fn affects_catalog(self) -> bool {
         use FaultKind::*;
         matches!(self, Outage | HangWatches | HangReads | Hang | Half | Trickle | Queue | Move)
     }
 }
 
-fn tracked() -> usize {
+fn default_track() -> usize {
     1 << 20
 }
 
-fn whole() -> f64 {
+fn one() -> f64 {
     1.0
 }
 
@@ -202,40 +204,41 @@
     }
 }
 
-/// What makes no sense: the key, which of the lines that begin with it, and why.
+/// An invalid value: its key, the index among the lines that begin with this key, and the reason.
 pub type InvalidKey = (&'static str, usize, String);
 
-/// Reads TOML and checks what it says. The error begins with the line, and names the key.
+/// Parses TOML and validates the result with `check`. The error begins with the line number and names the
+/// key.
 ///
 /// # Errors
 ///
-/// The text is no TOML of this kind, or `check` finds something wrong.
+/// The text is not TOML of this type, or `check` rejects a value.
 pub fn parse_checked<T: DeserializeOwned>(
     text: &str,
     check: impl Fn(&T) -> Result<(), InvalidKey>,
 ) -> Result<T, String> {
-    let read: T = file::from_toml(text)?;
-    check(&read).map_err(|(key, nth, why)| {
-        let named = |line: &str| line.trim_start().split(['=', ' ']).next() == Some(key);
-        let mut lines = text.lines().enumerate().filter(|(_, line)| named(line)).map(|(n, _)| n + 1);
-        let line = lines.nth(nth).unwrap_or(1);
+    let parsed: T = file::from_toml(text)?;
+    check(&parsed).map_err(|(key, index, why)| {
+        let has_key = |line: &str| line.trim_start().split(['=', ' ']).next() == Some(key);
+        let mut lines = text.lines().enumerate().filter(|(_, line)| has_key(line)).map(|(n, _)| n + 1);
+        let line = lines.nth(index).unwrap_or(1);
         format!("{line}: `{key}`: {why}")
     })?;
-    Ok(read)
+    Ok(parsed)
 }
 
 impl Scenario {
-    /// Reads a scenario. The error names the file, the line and the key.
+    /// Reads a scenario from a file. The error names the file, the line and the key.
     pub fn read(path: &Path) -> Result<Self, String> {
         file::read(path, Self::parse)
     }
 
-    /// Reads a scenario's text. The error begins with the line.
+    /// Parses the text of a scenario. The error begins with the line number.
     pub fn parse(text: &str) -> Result<Self, String> {
         parse_checked(text, Self::check)
     }
 
-    /// The servers' names, with what each is.
+    /// Returns the names of all servers with their properties.
     pub fn servers(&self) -> impl Iterator<Item = (String, &Spec)> {
         self.groups.iter().flat_map(|spec| (0..spec.count).map(move |n| (format!("{}{n}", spec.name), spec)))
     }
@@ -244,44 +247,60 @@
         let positive = |x: f64| x.is_finite() && x > 0.0;
         let count: usize = self.groups.iter().map(|spec| spec.count).sum();
         if count == 0 || count > 10_000 {
-            return Err(("count", 0, format!("{count} servers are not between 1 and 10,000")));
+            return Err((
+                "count",
+                0,
+                format!("the total number of servers is {count}; it must be from 1 to 10,000"),
+            ));
         }
         for (n, s) in self.groups.iter().enumerate() {
             if s.cores == 0 || s.slots == 0 || s.connections == 0 {
-                return Err(("cores", n, "`cores`, `slots` and `connections` are above 0".into()));
+                return Err(("cores", n, "`cores`, `slots` and `connections` must be above 0".into()));
             }
             if !(positive(s.speed) && positive(s.work_ms) && s.work_ms <= 60_000.0) {
-                return Err(("work_ms", n, "`speed` and `work_ms` are above 0, work up to a minute".into()));
+                return Err((
+                    "work_ms",
+                    n,
+                    "`speed` and `work_ms` must be above 0, `work_ms` at most 60,000".into(),
+                ));
             }
             if !(positive(s.cold_from) && s.cold_from <= 1.0 && positive(s.cold_s)) {
                 return Err((
                     "cold_from",
                     n,
-                    "`cold_from` is a part above 0, `cold_s` a time above 0".into(),
+                    "`cold_from` must be above 0 and at most 1, `cold_s` above 0".into(),
                 ));
             }
             if !(positive(s.fall_multiple) && positive(s.fall_s) && s.report_ms >= 0.0) {
                 return Err((
                     "fall_multiple",
                     n,
-                    "`fall_multiple`, `fall_s` are above 0, `report_ms` 0 or above".into(),
+                    "`fall_multiple` and `fall_s` must be above 0, `report_ms` at least 0".into(),
                 ));
             }
             if !(0.0..1.0).contains(&s.report_noise) {
-                return Err(("report_noise", n, "is no part from 0 to under 1".into()));
+                return Err(("report_noise", n, "must be at least 0 and below 1".into()));
             }
         }
         for (n, fault) in self.faults.iter().enumerate() {
-            let on_catalog = fault.on == "catalog";
-            if on_catalog != fault.kind.is_of_catalog() {
-                return Err(("on", n, format!("{:?} cannot happen to `{}`", fault.kind, fault.on)));
+            let names_catalog = fault.on == "catalog";
+            if names_catalog != fault.kind.affects_catalog() {
+                return Err((
+                    "on",
+                    n,
+                    format!("a fault of kind {:?} cannot affect `{}`", fault.kind, fault.on),
+                ));
             }
-            if !on_catalog && !self.servers().any(|(name, _)| name == fault.on) {
+            if !names_catalog && !self.servers().any(|(name, _)| name == fault.on) {
                 return Err(("on", n, format!("there is no server `{}`", fault.on)));
             }
-            let times = fault.at_s >= 0.0 && fault.for_s.is_none_or(positive);
-            if !(times && (0.0..=1.0).contains(&fault.part) && positive(fault.factor)) {
-                return Err(("at_s", n, "times and `factor` are above 0, `part` is from 0 to 1".into()));
+            let valid_times = fault.at_s >= 0.0 && fault.for_s.is_none_or(positive);
+            if !(valid_times && (0.0..=1.0).contains(&fault.part) && positive(fault.factor)) {
+                return Err((
+                    "at_s",
+                    n,
+                    "`at_s` must be at least 0, `for_s` and `factor` above 0, `part` from 0 to 1".into(),
+                ));
             }
         }
         Ok(())
@@ -293,7 +312,7 @@
     use super::*;
 
     #[test]
-    fn what_is_wrong_is_named_with_line_and_key() {
+    fn an_error_names_the_line_and_the_key() {
         let cases = [
             ("[[servers]]\ncoers = 2\n", "2: `coers`"),
             ("[[servers]]\ncores = 0\n", "2: `cores`"),
@@ -302,12 +321,12 @@
             ("[[servers]]\n[[fault]]\non = \"s0\"\nkind = \"sleep\"\n", "4: `kind`"),
             ("seed = -1\n[[servers]]\n", "1: `seed`"),
         ];
-        for (text, named) in cases {
+        for (text, location) in cases {
             let why = Scenario::parse(text).expect_err(text);
-            assert!(why.starts_with(named), "{text}: {why}");
+            assert!(why.starts_with(location), "{text}: {why}");
         }
         let scenario = Scenario::parse("[[servers]]\ncount = 2\n[[servers]]\nname = \"big\"\ncores = 4\n")
-            .expect("sound");
+            .expect("a valid scenario");
         let names: Vec<String> = scenario.servers().map(|(name, _)| name).collect();
         assert_eq!(names, ["s0", "s1", "big0"]);
     }
--- a/crates/spurdrum-standin/src/tally.rs
+++ b/crates/spurdrum-standin/src/tally.rs
@@ -1,73 +1,77 @@
-//! What servers count, so that a test can ask whether a request ran twice, or twice at once.
+//! Counters kept by the simulated servers, so that a test can check whether a request ran twice, or twice
+//! concurrently.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
 use crate::model::SimulatedOutcome;
 
-/// What the servers of a fleet have seen.
+/// Counters of all servers of a fleet.
 #[derive(Clone, Debug, Default)]
 pub struct Counters {
     servers: BTreeMap<String, ServerCounters>,
     ids: HashMap<String, Runs>,
     keys: HashMap<String, Runs>,
     untracked: u64,
-    /// Requests that are told apart.
+    /// Maximum number of request ids that are tracked individually.
     track: usize,
-    /// Attempts one by one, so many at most, and the open ones of them by server and id.
+    /// Log of individual attempts, at most `max_logged` of them; `open` holds the log index of each
+    /// unfinished one by server and request id.
     log: Vec<AttemptRecord>,
-    log_most: usize,
+    max_logged: usize,
     open: HashMap<(String, String), usize>,
     unlogged: u64,
 }
 
-/// One attempt, as its server saw it. Times count from the start of the fleet.
+/// One attempt as seen by its server. Times count from the start of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AttemptRecord {
-    /// The server.
+    /// Name of the server.
     pub server: String,
-    /// The request's id.
+    /// Id of the request.
     pub id: String,
-    /// When its last byte had come.
+    /// When the last byte of the request had arrived.
     pub begun: Duration,
-    /// When it was answered, or its sender left.
+    /// When the attempt was answered or its client closed the connection; `None` while it runs.
     pub ended: Option<Duration>,
 }
 
-/// What one server has seen.
+/// Counters of one server.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ServerCounters {
-    /// Requests that it began.
+    /// Requests that the server began: all but those it refused and those whose connection it reset before
+    /// their last byte.
     pub begun: u64,
-    /// Of them, answered well.
+    /// Requests answered with 200.
     pub served: u64,
-    /// Requests that it turned away.
+    /// Requests refused with 503.
     pub refused: u64,
-    /// Connections that it accepted.
+    /// Connections accepted.
     pub connections: u64,
-    /// Requests that run now, and that wait.
+    /// Number of requests that are running now and number that are queued.
     pub load: (usize, usize),
 }
 
-/// How often a request, or a key, ran.
+/// How often the request with one id, or the requests with one idempotency key, ran.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Runs {
-    /// In all.
+    /// Total number of runs begun.
     pub begun: u32,
-    /// Now.
-    pub out: u32,
-    /// At once, at most.
+    /// Runs in progress. Not decremented for idempotency keys.
+    pub in_flight: u32,
+    /// Maximum of `in_flight` so far.
     pub most_at_once: u32,
-    /// When it was begun last, and answered well first, from the start of the fleet.
+    /// When the last run began, as time since the start of the fleet.
     pub begun_at: Duration,
-    /// See `begun_at`.
+    /// When the request was first answered with 200, as time since the start of the fleet. Not set for
+    /// idempotency keys.
     pub answered_at: Option<Duration>,
 }
 
 impl Counters {
-    /// Tells so many requests apart.
-    pub(crate) fn tracking(track: usize, log_most: usize) -> Self {
-        Self { track, log_most, ..Self::default() }
+    /// Creates counters that track at most `track` request ids and log at most `max_logged` attempts.
+    pub(crate) fn tracking(track: usize, max_logged: usize) -> Self {
+        Self { track, max_logged, ..Self::default() }
     }
 
     pub(crate) fn server(&mut self, name: &str) -> &mut ServerCounters {
@@ -79,7 +83,7 @@
 
     pub(crate) fn begin(&mut self, server: &str, id: &str, key: Option<&str>, at: Duration) {
         self.server(server).begun += 1;
-        if self.log.len() < self.log_most {
+        if self.log.len() < self.max_logged {
             self.open.insert((server.to_owned(), id.to_owned()), self.log.len());
             self.log.push(AttemptRecord {
                 server: server.to_owned(),
@@ -88,7 +92,7 @@
                 ended: None,
             });
         } else {
-            self.unlogged += u64::from(self.log_most > 0);
+            self.unlogged += u64::from(self.max_logged > 0);
         }
         let full = self.ids.len() >= self.track && !self.ids.contains_key(id);
         if full {
@@ -97,8 +101,8 @@
         }
         let begin = |runs: &mut Runs| {
             runs.begun += 1;
-            runs.out += 1;
-            runs.most_at_once = runs.most_at_once.max(runs.out);
+            runs.in_flight += 1;
+            runs.most_at_once = runs.most_at_once.max(runs.in_flight);
             runs.begun_at = at;
         };
         begin(self.ids.entry(id.to_owned()).or_default());
@@ -107,49 +111,49 @@
         }
     }
 
-    pub(crate) fn end(&mut self, server: &str, id: &str, fate: SimulatedOutcome, at: Duration) {
-        let served = matches!(fate, SimulatedOutcome::Served | SimulatedOutcome::Surplus(_));
+    pub(crate) fn end(&mut self, server: &str, id: &str, outcome: SimulatedOutcome, at: Duration) {
+        let served = matches!(outcome, SimulatedOutcome::Served | SimulatedOutcome::Surplus(_));
         self.server(server).served += u64::from(served);
-        if self.log_most > 0 {
+        if self.max_logged > 0 {
             let open = self.open.remove(&(server.to_owned(), id.to_owned()));
-            if let Some(work) = open.and_then(|at| self.log.get_mut(at)) {
-                work.ended = Some(at);
+            if let Some(record) = open.and_then(|index| self.log.get_mut(index)) {
+                record.ended = Some(at);
             }
         }
         if let Some(runs) = self.ids.get_mut(id) {
-            runs.out = runs.out.saturating_sub(1);
+            runs.in_flight = runs.in_flight.saturating_sub(1);
             if served {
                 runs.answered_at = runs.answered_at.or(Some(at));
             }
         }
     }
 
-    /// What each server has seen, by its name.
+    /// Returns the counters of each server by its name.
     pub fn servers(&self) -> &BTreeMap<String, ServerCounters> {
         &self.servers
     }
 
-    /// How often each request ran, by its id.
+    /// Returns how often each request ran, by its id.
     pub fn ids(&self) -> &HashMap<String, Runs> {
         &self.ids
     }
 
-    /// How often each key was begun.
+    /// Returns how often a request with each idempotency key was begun.
     pub fn keys(&self) -> &HashMap<String, Runs> {
         &self.keys
     }
 
-    /// Attempts one by one, in the order in which they were begun.
+    /// Returns the logged attempts in the order in which they were begun.
     pub fn log(&self) -> &[AttemptRecord] {
         &self.log
     }
 
-    /// Attempts that were not logged, for want of room.
+    /// Returns the number of attempts that were not logged because the log was full.
     pub fn unlogged(&self) -> u64 {
         self.unlogged
     }
 
-    /// Requests that were not told apart, for want of room.
+    /// Returns the number of attempts that were not tracked because the limit on request ids was reached.
     pub fn untracked(&self) -> u64 {
         self.untracked
     }
--- a/crates/spurdrum-standin/tests/fleet.rs
+++ b/crates/spurdrum-standin/tests/fleet.rs
@@ -80,7 +80,7 @@
     let fleet = with("silent", "");
     let mut stream = connect(fleet.servers["s0"]);
     send(&mut stream, "a");
-    while fleet.counters().ids().get("a").is_none_or(|runs| runs.out != 0) {
+    while fleet.counters().ids().get("a").is_none_or(|runs| runs.in_flight != 0) {
         std::thread::sleep(Duration::from_millis(1));
     }
     stream.set_nonblocking(true).expect("set");
