--- a/crates/spurdrum-standin/src/registry/etcd.rs
+++ b/crates/spurdrum-standin/src/registry/etcd.rs
@@ -1,4 +1,4 @@
-//! The registry on sockets, as etcd v3 answers.
+//! A stand-in for etcd v3: serves the registry over gRPC on sockets.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -19,62 +19,64 @@
 use tonic::{Request, Response, Status, Streaming};
 
 use super::model::{Change, Compacted, Registry};
-use super::Running;
+use super::EventLoop;
 
-/// A change of one key is told in pieces of so many events where the watch allows it.
-const PIECE: usize = 100;
+/// Events per response, where the watch allows its events to be fragmented.
+const MAX_FRAGMENT_EVENTS: usize = 100;
 
-/// What befalls an endpoint.
+/// Faults of an endpoint.
 #[derive(Clone, Debug, Default)]
-struct Trouble {
+struct EndpointFaults {
     lag: Duration,
     paused: bool,
-    /// What it had when it was cut off from the others.
-    cut: Option<u64>,
-    /// Streams begun before the last break have ended.
-    breaks: u64,
+    /// Revision that the endpoint had when it was partitioned from the other members; `None` if it is not
+    /// partitioned.
+    partitioned_at: Option<u64>,
+    /// Number of times that the endpoint's streams were broken; a stream ends when this changes.
+    stream_breaks: u64,
 }
 
 struct Shared {
     registry: Mutex<Registry>,
-    /// When each revision came.
+    /// Time of each revision.
     commits: Mutex<BTreeMap<u64, Instant>>,
-    troubles: Mutex<Vec<Trouble>>,
-    /// Counts whatever may wake a stream.
-    stirs: watch::Sender<u64>,
+    faults: Mutex<Vec<EndpointFaults>>,
+    /// Incremented on every event that may have to wake a stream or a waiting call.
+    wakeups: watch::Sender<u64>,
     user: Option<(String, String)>,
     token: Mutex<u64>,
-    begun: Instant,
+    start: Instant,
 }
 
-fn lock<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
-    of.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A registry with several endpoints, in a thread of its own, until it is dropped.
+/// A stand-in for etcd with several endpoints, run in a thread of its own. Dropping it stops it.
 pub struct Etcd {
-    /// Where its endpoints listen.
+    /// Listen addresses of the endpoints.
     pub endpoints: Vec<SocketAddr>,
     scheme: &'static str,
     shared: Arc<Shared>,
-    _running: Running,
+    _event_loop: EventLoop,
 }
 
 impl Etcd {
-    /// Starts on free ports of 127.0.0.1; returns when all listen. With a user, calls without their token are refused.
+    /// Starts on free ports of 127.0.0.1. Returns when all endpoints are listening. With a user, calls
+    /// without that user's token are refused.
     ///
     /// # Errors
     ///
-    /// What the system says.
+    /// A socket or the thread could not be set up.
     pub fn start(endpoints: usize, user: Option<(&str, &str)>) -> Result<Self, String> {
         Self::start_with(endpoints, user, None)
     }
 
-    /// Starts so that its endpoints speak TLS, and only to those whom its CA knows.
+    /// Starts endpoints that speak TLS and accept only clients with a certificate of the given CA.
     ///
     /// # Errors
     ///
-    /// What the system says.
+    /// A socket or the thread could not be set up.
     pub fn start_tls(
         endpoints: usize,
         certificate: &str,
@@ -95,88 +97,89 @@
         let shared = Arc::new(Shared {
             registry: Mutex::new(Registry::new(7)),
             commits: Mutex::default(),
-            troubles: Mutex::new(vec![Trouble::default(); endpoints]),
-            stirs: watch::Sender::new(0),
+            faults: Mutex::new(vec![EndpointFaults::default(); endpoints]),
+            wakeups: watch::Sender::new(0),
             user: user.map(|(name, password)| (name.to_owned(), password.to_owned())),
             token: Mutex::new(1),
-            begun: Instant::now(),
+            start: Instant::now(),
         });
-        let of = Arc::clone(&shared);
-        let (running, endpoints) = Running::start(move || async move {
+        let thread_shared = Arc::clone(&shared);
+        let (event_loop, endpoints) = EventLoop::start(move || async move {
             let mut addresses = Vec::new();
-            for number in 0..endpoints {
-                addresses.push(serve(&of, number, tls.clone()).await?);
+            for index in 0..endpoints {
+                addresses.push(serve(&thread_shared, index, tls.clone()).await?);
             }
-            tokio::spawn(expire(of));
+            tokio::spawn(expire(thread_shared));
             Ok(addresses)
         })?;
-        Ok(Self { endpoints, scheme, shared, _running: running })
+        Ok(Self { endpoints, scheme, shared, _event_loop: event_loop })
     }
 
-    /// Its endpoints as URIs.
+    /// Returns the endpoints as URIs.
     pub fn uris(&self) -> Vec<String> {
         self.endpoints.iter().map(|address| format!("{}://{address}", self.scheme)).collect()
     }
 
-    /// Does something with what it holds, and tells its watches.
-    pub fn with<T>(&self, act: impl FnOnce(&mut Registry) -> T) -> T {
-        let done = act(&mut lock(&self.shared.registry));
-        self.shared.committed();
-        done
+    /// Applies `apply` to the registry and wakes the watches.
+    pub fn with<T>(&self, apply: impl FnOnce(&mut Registry) -> T) -> T {
+        let result = apply(&mut lock(&self.shared.registry));
+        self.shared.record_commit();
+        result
     }
 
-    /// Ends all streams of an endpoint.
+    /// Ends all watch streams of an endpoint.
     pub fn break_streams(&self, endpoint: usize) {
-        self.trouble(endpoint, |trouble| trouble.breaks += 1);
+        self.set_fault(endpoint, |fault| fault.stream_breaks += 1);
     }
 
-    /// An endpoint says nothing, until it does again.
+    /// Pauses an endpoint, which then answers nothing, or resumes it.
     pub fn pause(&self, endpoint: usize, paused: bool) {
-        self.trouble(endpoint, |trouble| trouble.paused = paused);
+        self.set_fault(endpoint, |fault| fault.paused = paused);
     }
 
-    /// An endpoint has what the others had so long ago.
+    /// Makes an endpoint lag: its view of the registry is as old as `lag`.
     pub fn lag(&self, endpoint: usize, lag: Duration) {
-        self.trouble(endpoint, |trouble| trouble.lag = lag);
+        self.set_fault(endpoint, |fault| fault.lag = lag);
     }
 
-    /// An endpoint hears nothing of the others, and answers nothing that needs them.
+    /// Partitions an endpoint from the other members, or reconnects it. While partitioned, its view does not
+    /// advance and it does not answer calls that need a quorum.
     pub fn cut(&self, endpoint: usize, cut: bool) {
-        let has = cut.then(|| lock(&self.shared.registry).revision());
-        self.trouble(endpoint, |trouble| trouble.cut = has);
+        let reached = cut.then(|| lock(&self.shared.registry).revision());
+        self.set_fault(endpoint, |fault| fault.partitioned_at = reached);
     }
 
-    /// Tokens given so far are good no more.
+    /// Invalidates all tokens issued so far.
     pub fn forget_tokens(&self) {
         *lock(&self.shared.token) += 1;
     }
 
-    fn trouble(&self, endpoint: usize, act: impl FnOnce(&mut Trouble)) {
-        act(&mut lock(&self.shared.troubles)[endpoint]);
-        self.shared.stir();
+    fn set_fault(&self, endpoint: usize, apply: impl FnOnce(&mut EndpointFaults)) {
+        apply(&mut lock(&self.shared.faults)[endpoint]);
+        self.shared.wake();
     }
 }
 
-/// Ends leases whose time is over.
+/// Revokes expired leases periodically.
 async fn expire(shared: Arc<Shared>) {
     loop {
         sleep(Duration::from_millis(20)).await;
         let before = lock(&shared.registry).revision();
-        lock(&shared.registry).expire(shared.begun.elapsed());
+        lock(&shared.registry).expire(shared.start.elapsed());
         if lock(&shared.registry).revision() != before {
-            shared.committed();
+            shared.record_commit();
         }
     }
 }
 
 async fn serve(
     shared: &Arc<Shared>,
-    number: usize,
+    index: usize,
     tls: Option<ServerTlsConfig>,
 ) -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
     let address = listener.local_addr()?;
-    let member = Member { shared: Arc::clone(shared), number };
+    let member = Member { shared: Arc::clone(shared), index };
     let mut server = tonic::transport::Server::builder();
     if let Some(tls) = tls {
         server = server.tls_config(tls).map_err(std::io::Error::other)?;
@@ -192,62 +195,62 @@
 }
 
 impl Shared {
-    fn stir(&self) {
-        self.stirs.send_modify(|stirs| *stirs += 1);
+    fn wake(&self) {
+        self.wakeups.send_modify(|wakeups| *wakeups += 1);
     }
 
-    fn committed(&self) {
+    fn record_commit(&self) {
         let revision = lock(&self.registry).revision();
         lock(&self.commits).entry(revision).or_insert_with(Instant::now);
-        self.stir();
+        self.wake();
     }
 }
 
-/// One endpoint.
+/// One endpoint (member of the cluster).
 #[derive(Clone)]
 struct Member {
     shared: Arc<Shared>,
-    number: usize,
+    index: usize,
 }
 
 impl Member {
-    fn trouble(&self) -> Trouble {
-        lock(&self.shared.troubles)[self.number].clone()
+    fn fault(&self) -> EndpointFaults {
+        lock(&self.shared.faults)[self.index].clone()
     }
 
-    /// The revision that it has come to.
-    fn view(&self) -> u64 {
-        let trouble = self.trouble();
+    /// Returns the revision that this endpoint has reached.
+    fn reached_revision(&self) -> u64 {
+        let fault = self.fault();
         let now = Instant::now();
         let commits = lock(&self.shared.commits);
-        let has = commits.iter().rev().find(|(_, at)| **at + trouble.lag <= now);
-        trouble.cut.unwrap_or_else(|| has.map_or(1, |(revision, _)| *revision))
+        let reached = commits.iter().rev().find(|(_, at)| **at + fault.lag <= now);
+        fault.partitioned_at.unwrap_or_else(|| reached.map_or(1, |(revision, _)| *revision))
     }
 
     fn header(&self, revision: u64) -> Option<ResponseHeader> {
         Some(ResponseHeader {
             cluster_id: lock(&self.shared.registry).cluster,
-            member_id: self.number as u64 + 1,
+            member_id: self.index as u64 + 1,
             revision: revision as i64,
             raft_term: 1,
         })
     }
 
-    /// Answers no call while it is paused.
-    async fn awake(&self) {
-        let mut stirs = self.shared.stirs.subscribe();
-        while self.trouble().paused {
-            if stirs.changed().await.is_err() {
+    /// Waits while the endpoint is paused.
+    async fn wait_while_paused(&self) {
+        let mut wakeups = self.shared.wakeups.subscribe();
+        while self.fault().paused {
+            if wakeups.changed().await.is_err() {
                 return;
             }
         }
     }
 
-    /// Answers nothing that needs the others while it is cut off from them.
-    async fn agreed(&self) {
-        let mut stirs = self.shared.stirs.subscribe();
-        while self.trouble().cut.is_some() {
-            if stirs.changed().await.is_err() {
+    /// Waits while the endpoint is partitioned from the other members, as calls that need a quorum do.
+    async fn wait_for_quorum(&self) {
+        let mut wakeups = self.shared.wakeups.subscribe();
+        while self.fault().partitioned_at.is_some() {
+            if wakeups.changed().await.is_err() {
                 return;
             }
         }
@@ -258,21 +261,21 @@
             return Ok(());
         }
         let token = format!("t{}", lock(&self.shared.token));
-        match request.metadata().get("token").and_then(|found| found.to_str().ok()) {
+        match request.metadata().get("token").and_then(|sent| sent.to_str().ok()) {
             None => Err(Status::invalid_argument("etcdserver: user name is empty")),
-            Some(found) if found == token => Ok(()),
+            Some(sent) if sent == token => Ok(()),
             Some(_) => Err(Status::unauthenticated("etcdserver: invalid auth token")),
         }
     }
 
-    fn write<T>(&self, act: impl FnOnce(&mut Registry) -> T) -> (T, Option<ResponseHeader>) {
-        let (done, revision) = {
+    fn write<T>(&self, apply: impl FnOnce(&mut Registry) -> T) -> (T, Option<ResponseHeader>) {
+        let (result, revision) = {
             let mut registry = lock(&self.shared.registry);
-            let done = act(&mut registry);
-            (done, registry.revision())
+            let result = apply(&mut registry);
+            (result, registry.revision())
         };
-        self.shared.committed();
-        (done, self.header(revision))
+        self.shared.record_commit();
+        (result, self.header(revision))
     }
 }
 
@@ -280,36 +283,37 @@
 impl KV for Member {
     async fn range(&self, request: Request<RangeRequest>) -> Result<Response<RangeResponse>, Status> {
         self.check(&request)?;
-        self.awake().await;
-        let ask = request.into_inner();
-        if !ask.serializable {
-            self.agreed().await;
+        self.wait_while_paused().await;
+        let call = request.into_inner();
+        if !call.serializable {
+            self.wait_for_quorum().await;
         }
-        let has = if ask.serializable { self.view() } else { lock(&self.shared.registry).revision() };
-        let at = if ask.revision > 0 { ask.revision as u64 } else { has };
-        let found = lock(&self.shared.registry).range(&ask.key, &ask.range_end, ask.limit as usize, at);
-        let (found, count) = found.map_err(|Compacted(_)| {
+        let reached =
+            if call.serializable { self.reached_revision() } else { lock(&self.shared.registry).revision() };
+        let at = if call.revision > 0 { call.revision as u64 } else { reached };
+        let matching = lock(&self.shared.registry).range(&call.key, &call.range_end, call.limit as usize, at);
+        let (matching, count) = matching.map_err(|Compacted(_)| {
             Status::out_of_range("etcdserver: mvcc: required revision has been compacted")
         })?;
-        let more = ask.limit > 0 && found.len() < count;
-        let kvs = found.into_iter().filter(|_| !ask.count_only).map(|(key, stored)| KeyValue {
+        let more = call.limit > 0 && matching.len() < count;
+        let kvs = matching.into_iter().filter(|_| !call.count_only).map(|(key, stored)| KeyValue {
             key,
             create_revision: stored.created as i64,
             mod_revision: stored.modified as i64,
             version: 1,
-            value: if ask.keys_only { Vec::new() } else { stored.value },
+            value: if call.keys_only { Vec::new() } else { stored.value },
             lease: stored.lease,
         });
         let kvs = kvs.collect();
-        Ok(Response::new(RangeResponse { header: self.header(has), kvs, more, count: count as i64 }))
+        Ok(Response::new(RangeResponse { header: self.header(reached), kvs, more, count: count as i64 }))
     }
 
     async fn put(&self, request: Request<PutRequest>) -> Result<Response<PutResponse>, Status> {
         self.check(&request)?;
-        self.awake().await;
-        self.agreed().await;
-        let ask = request.into_inner();
-        let (_, header) = self.write(|registry| registry.commit(&[(ask.key, Some(ask.value), ask.lease)]));
+        self.wait_while_paused().await;
+        self.wait_for_quorum().await;
+        let call = request.into_inner();
+        let (_, header) = self.write(|registry| registry.commit(&[(call.key, Some(call.value), call.lease)]));
         Ok(Response::new(PutResponse { header }))
     }
 
@@ -318,14 +322,15 @@
         request: Request<DeleteRangeRequest>,
     ) -> Result<Response<DeleteRangeResponse>, Status> {
         self.check(&request)?;
-        self.awake().await;
-        self.agreed().await;
-        let ask = request.into_inner();
+        self.wait_while_paused().await;
+        self.wait_for_quorum().await;
+        let call = request.into_inner();
         let (deleted, header) = self.write(|registry| {
             let revision = registry.revision();
-            let found = registry.range(&ask.key, &ask.range_end, 0, revision).map_or(Vec::new(), |(f, _)| f);
-            registry.commit(&found.iter().map(|(key, _)| (key.clone(), None, 0)).collect::<Vec<_>>());
-            found.len() as i64
+            let matching =
+                registry.range(&call.key, &call.range_end, 0, revision).map_or(Vec::new(), |(f, _)| f);
+            registry.commit(&matching.iter().map(|(key, _)| (key.clone(), None, 0)).collect::<Vec<_>>());
+            matching.len() as i64
         });
         Ok(Response::new(DeleteRangeResponse { header, deleted }))
     }
@@ -340,58 +345,65 @@
         request: Request<Streaming<WatchRequest>>,
     ) -> Result<Response<Self::WatchStream>, Status> {
         self.check(&request)?;
-        self.awake().await;
-        let (told, tell) = mpsc::channel(16);
-        tokio::spawn(self.clone().play(request.into_inner(), told));
-        Ok(Response::new(ReceiverStream::new(tell)))
+        self.wait_while_paused().await;
+        let (responses, stream) = mpsc::channel(16);
+        tokio::spawn(self.clone().run_watch(request.into_inner(), responses));
+        Ok(Response::new(ReceiverStream::new(stream)))
     }
 }
 
-type Told = mpsc::Sender<Result<WatchResponse, Status>>;
+type ResponseSender = mpsc::Sender<Result<WatchResponse, Status>>;
 
 impl Member {
-    /// One stream with one watch on it.
-    async fn play(self, mut asked: Streaming<WatchRequest>, told: Told) {
-        let breaks = self.trouble().breaks;
-        let mut stirs = self.shared.stirs.subscribe();
-        let mut wanted: Option<(WatchCreateRequest, u64)> = None;
+    /// Serves one watch stream, which carries one watch.
+    async fn run_watch(self, mut requests: Streaming<WatchRequest>, responses: ResponseSender) {
+        let stream_breaks = self.fault().stream_breaks;
+        let mut wakeups = self.shared.wakeups.subscribe();
+        let mut active_watch: Option<(WatchCreateRequest, u64)> = None;
         loop {
-            self.awake().await;
-            if self.trouble().breaks != breaks {
-                let _ = told.send(Err(Status::unavailable("the stream was broken"))).await;
+            self.wait_while_paused().await;
+            if self.fault().stream_breaks != stream_breaks {
+                let _ = responses.send(Err(Status::unavailable("the stream was broken"))).await;
                 return;
             }
-            let view = self.view();
-            if let Some((ask, next)) = wanted.as_mut().filter(|(_, next)| *next <= view) {
-                if !self.push(ask, *next, view, &told).await {
+            let reached_revision = self.reached_revision();
+            if let Some((call, next)) = active_watch.as_mut().filter(|(_, next)| *next <= reached_revision) {
+                if !self.send_changes(call, *next, reached_revision, &responses).await {
                     return;
                 }
-                *next = view + 1;
+                *next = reached_revision + 1;
             }
-            // What an endpoint that is behind will have is not told by any stir.
-            let pending = lock(&self.shared.registry).revision() > view && self.trouble().cut.is_none();
-            let wait = if pending { Duration::from_millis(1) } else { Duration::from_secs(3600) };
-            let ask = tokio::select! {
-                ask = asked.message() => ask,
-                _ = stirs.changed() => continue,
+            // A lagging endpoint reaches newer revisions by the passing of time alone, without a wakeup, so
+            // it is polled.
+            let is_lagging = lock(&self.shared.registry).revision() > reached_revision
+                && self.fault().partitioned_at.is_none();
+            let wait = if is_lagging { Duration::from_millis(1) } else { Duration::from_secs(3600) };
+            let call = tokio::select! {
+                call = requests.message() => call,
+                _ = wakeups.changed() => continue,
                 () = sleep(wait) => continue,
             };
-            self.awake().await;
-            let Ok(Some(ask)) = ask else { return };
-            let mut answer = WatchResponse { header: self.header(view), ..WatchResponse::default() };
-            match ask.request_union {
-                Some(WatchAsk::Create(ask)) => {
-                    let next = if ask.start_revision > 0 { ask.start_revision as u64 } else { view + 1 };
-                    wanted = Some((ask, next));
+            self.wait_while_paused().await;
+            let Ok(Some(call)) = call else { return };
+            let mut answer =
+                WatchResponse { header: self.header(reached_revision), ..WatchResponse::default() };
+            match call.request_union {
+                Some(WatchAsk::Create(call)) => {
+                    let next = if call.start_revision > 0 {
+                        call.start_revision as u64
+                    } else {
+                        reached_revision + 1
+                    };
+                    active_watch = Some((call, next));
                     answer.created = true;
                 }
                 Some(WatchAsk::Progress(_)) => {
                     answer.watch_id = -1;
-                    let now = self.view();
-                    if now != view {
-                        // All up to here has to be told first.
-                        if let Some((ask, next)) = wanted.as_mut().filter(|(_, next)| *next <= now) {
-                            if !self.push(ask, *next, now, &told).await {
+                    let now = self.reached_revision();
+                    if now != reached_revision {
+                        // All changes up to this revision have to be sent before the progress notification.
+                        if let Some((call, next)) = active_watch.as_mut().filter(|(_, next)| *next <= now) {
+                            if !self.send_changes(call, *next, now, &responses).await {
                                 return;
                             }
                             *next = now + 1;
@@ -401,14 +413,20 @@
                 }
                 Some(WatchAsk::Cancel(_)) | None => return,
             }
-            if told.send(Ok(answer)).await.is_err() {
+            if responses.send(Ok(answer)).await.is_err() {
                 return;
             }
         }
     }
 
-    /// Tells all changes from one revision to another; whether the watch goes on.
-    async fn push(&self, ask: &WatchCreateRequest, from: u64, to: u64, told: &Told) -> bool {
+    /// Sends all changes from revision `from` to revision `to`. Returns whether the watch continues.
+    async fn send_changes(
+        &self,
+        call: &WatchCreateRequest,
+        from: u64,
+        to: u64,
+        responses: &ResponseSender,
+    ) -> bool {
         let changes = lock(&self.shared.registry).since(from, to);
         let header = self.header(to);
         let changes = match changes {
@@ -420,22 +438,22 @@
                     compact_revision: oldest as i64,
                     ..WatchResponse::default()
                 };
-                let _ = told.send(Ok(ended)).await;
+                let _ = responses.send(Ok(ended)).await;
                 return false;
             }
         };
-        let wanted = |change: &Change| change.key >= ask.key && change.key < ask.range_end;
-        let events: Vec<Event> = changes.into_iter().filter(wanted).map(event).collect();
-        let size = if ask.fragment { PIECE } else { usize::MAX };
-        let pieces = events.chunks(size).count();
-        for (n, piece) in events.chunks(size).enumerate() {
+        let in_range = |change: &Change| change.key >= call.key && change.key < call.range_end;
+        let events: Vec<Event> = changes.into_iter().filter(in_range).map(event).collect();
+        let size = if call.fragment { MAX_FRAGMENT_EVENTS } else { usize::MAX };
+        let fragments = events.chunks(size).count();
+        for (n, fragment_events) in events.chunks(size).enumerate() {
             let answer = WatchResponse {
                 header: header.clone(),
-                events: piece.to_vec(),
-                fragment: n + 1 < pieces,
+                events: fragment_events.to_vec(),
+                fragment: n + 1 < fragments,
                 ..WatchResponse::default()
             };
-            if told.send(Ok(answer)).await.is_err() {
+            if responses.send(Ok(answer)).await.is_err() {
                 return false;
             }
         }
@@ -460,10 +478,10 @@
         request: Request<LeaseGrantRequest>,
     ) -> Result<Response<LeaseGrantResponse>, Status> {
         self.check(&request)?;
-        self.awake().await;
+        self.wait_while_paused().await;
         let LeaseGrantRequest { ttl, id } = request.into_inner();
         let time = Duration::from_secs(ttl.max(1) as u64);
-        let now = self.shared.begun.elapsed();
+        let now = self.shared.start.elapsed();
         let (granted, header) = self.write(|registry| registry.grant(id, time, now));
         let id = granted.ok_or_else(|| Status::failed_precondition("etcdserver: lease already exists"))?;
         Ok(Response::new(LeaseGrantResponse { header, id, ttl: ttl.max(1) }))
@@ -474,9 +492,9 @@
         request: Request<LeaseRevokeRequest>,
     ) -> Result<Response<LeaseRevokeResponse>, Status> {
         self.check(&request)?;
-        self.awake().await;
-        let (was_there, header) = self.write(|registry| registry.revoke(request.into_inner().id));
-        match was_there {
+        self.wait_while_paused().await;
+        let (existed, header) = self.write(|registry| registry.revoke(request.into_inner().id));
+        match existed {
             true => Ok(Response::new(LeaseRevokeResponse { header })),
             false => Err(Status::not_found("etcdserver: requested lease not found")),
         }
@@ -489,22 +507,22 @@
         request: Request<Streaming<LeaseKeepAliveRequest>>,
     ) -> Result<Response<Self::LeaseKeepAliveStream>, Status> {
         self.check(&request)?;
-        let (told, tell) = mpsc::channel(4);
+        let (responses, stream) = mpsc::channel(4);
         let member = self.clone();
-        let mut asked = request.into_inner();
+        let mut requests = request.into_inner();
         tokio::spawn(async move {
-            while let Ok(Some(ask)) = asked.message().await {
-                member.awake().await;
-                let now = member.shared.begun.elapsed();
-                let left = lock(&member.shared.registry).renew(ask.id, now);
-                let ttl = left.map_or(0, |left| left.as_secs() as i64);
-                let header = member.header(member.view());
-                if told.send(Ok(LeaseKeepAliveResponse { header, id: ask.id, ttl })).await.is_err() {
+            while let Ok(Some(call)) = requests.message().await {
+                member.wait_while_paused().await;
+                let now = member.shared.start.elapsed();
+                let ttl_left = lock(&member.shared.registry).renew(call.id, now);
+                let ttl = ttl_left.map_or(0, |ttl_left| ttl_left.as_secs() as i64);
+                let header = member.header(member.reached_revision());
+                if responses.send(Ok(LeaseKeepAliveResponse { header, id: call.id, ttl })).await.is_err() {
                     return;
                 }
             }
         });
-        Ok(Response::new(ReceiverStream::new(tell)))
+        Ok(Response::new(ReceiverStream::new(stream)))
     }
 }
 
@@ -514,14 +532,14 @@
         &self,
         request: Request<AuthenticateRequest>,
     ) -> Result<Response<AuthenticateResponse>, Status> {
-        self.awake().await;
-        let ask = request.into_inner();
-        if self.shared.user.as_ref() != Some(&(ask.name, ask.password)) {
+        self.wait_while_paused().await;
+        let call = request.into_inner();
+        if self.shared.user.as_ref() != Some(&(call.name, call.password)) {
             return Err(Status::invalid_argument(
                 "etcdserver: authentication failed, invalid user ID or password",
             ));
         }
         let token = format!("t{}", lock(&self.shared.token));
-        Ok(Response::new(AuthenticateResponse { header: self.header(self.view()), token }))
+        Ok(Response::new(AuthenticateResponse { header: self.header(self.reached_revision()), token }))
     }
 }
--- a/crates/spurdrum-standin/src/registry/mod.rs
+++ b/crates/spurdrum-standin/src/registry/mod.rs
@@ -1,7 +1,7 @@
-//! A key-value registry with revisions, as etcd v3 and Consul publish theirs.
+//! A simulated key-value registry with revisions, like those of etcd v3 and Consul.
 //!
-//! [`model`] is what it holds and answers, without a clock or sockets; the lab plays it in simulated time. [`etcd`]
-//! and [`consul`] answer for it on sockets.
+//! [`model`] holds the data and answers queries, without a clock or sockets; the lab drives it in simulated
+//! time. [`etcd`] and [`consul`] serve it on sockets.
 
 pub mod consul;
 pub mod etcd;
@@ -14,40 +14,41 @@
 
 use tokio::sync::oneshot;
 
-/// An event loop in a thread of its own, until it is dropped.
-struct Running {
+/// An event loop in a thread of its own. Dropping it stops the loop.
+struct EventLoop {
     stop: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Running {
-    /// Starts what serves at the addresses that it returns; all that it spawns runs on the loop.
+impl EventLoop {
+    /// Runs `serve` on the loop and returns the addresses that it serves at. Tasks that it spawns run on the
+    /// loop.
     fn start<F>(serve: impl FnOnce() -> F + Send + 'static) -> Result<(Self, Vec<SocketAddr>), String>
     where
         F: Future<Output = std::io::Result<Vec<SocketAddr>>>,
     {
-        let (tell, told) = mpsc::channel();
+        let (report_start, start_result) = mpsc::channel();
         let (stop, stopped) = oneshot::channel::<()>();
         let thread = std::thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
             let run = |runtime: tokio::runtime::Runtime| {
                 runtime.block_on(async {
-                    let _ = tell.send(Ok(serve().await?));
+                    let _ = report_start.send(Ok(serve().await?));
                     let _ = stopped.await;
                     Ok(())
                 })
             };
             if let Err(error) = runtime.and_then(run) {
-                let _ = tell.send(Err(error.to_string()));
+                let _ = report_start.send(Err(error.to_string()));
             }
         });
-        let running = Self { stop: Some(stop), thread: Some(thread) };
-        let addresses = told.recv().map_err(|_| "the registry did not start".to_owned())??;
-        Ok((running, addresses))
+        let event_loop = Self { stop: Some(stop), thread: Some(thread) };
+        let addresses = start_result.recv().map_err(|_| "the registry did not start".to_owned())??;
+        Ok((event_loop, addresses))
     }
 }
 
-impl Drop for Running {
+impl Drop for EventLoop {
     fn drop(&mut self) {
         if let Some(stop) = self.stop.take() {
             let _ = stop.send(());
