--- a/crates/spurdrum-standin/src/manual.rs
+++ b/crates/spurdrum-standin/src/manual.rs
@@ -1,7 +1,8 @@
-//! Servers, discovery and clients that a test plays by hand: what comes is shown to it, and it answers when and how it
-//! likes. For tests of one exchange, where a [`Fleet`](crate::Fleet) is for many.
+//! Servers, discovery and clients that a test drives by hand: each request is shown to the test, which
+//! answers when and how it likes. Meant for tests of single exchanges; for many requests there is
+//! [`Fleet`](crate::Fleet).
 //!
-//! All of it panics where something is not as a test expects.
+//! Everything here panics if something differs from what a test expects.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -10,11 +11,11 @@
 use std::thread;
 use std::time::Duration;
 
-/// Longer than anything that a test waits for takes, however busy the machine.
+/// Timeout that is longer than anything a test waits for takes, however busy the machine is.
 pub const LONG: Duration = Duration::from_secs(90);
 
-/// A loopback address that nothing else of these tests uses. It is not tried out: a socket that is closed here may for a
-/// moment live on in a process that another test is just starting.
+/// Returns a loopback address that nothing else in these tests uses. The address is not tried by binding and
+/// closing a socket: such a socket may live on for a moment in a process that another test is just starting.
 pub fn own_address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let (n, process) = (NEXT.fetch_add(1, Ordering::Relaxed), std::process::id());
@@ -22,19 +23,19 @@
     SocketAddr::from((host, 10_000 + (process % 20_000) as u16))
 }
 
-/// A message as it came: its first line, its headers in lower case, its body.
+/// A received HTTP message: its first line, its headers and its body.
 #[derive(Debug)]
 pub struct Message {
-    /// Its first line.
+    /// The request or status line.
     pub first: String,
-    /// Its header fields.
+    /// The header fields, with names in lower case.
     pub headers: Vec<(String, String)>,
-    /// Its body.
+    /// The body.
     pub body: Vec<u8>,
 }
 
 impl Message {
-    /// Reads one message; `None` where the connection ends before it is whole.
+    /// Reads one message. Returns `None` if the connection ends before the message is complete.
     pub fn read(from: &mut impl BufRead) -> Option<Self> {
         let mut line = || {
             let mut text = String::new();
@@ -48,75 +49,76 @@
             headers.push((name.to_lowercase(), value.trim().to_owned()));
         }
         let mut message = Self { first, headers, body: Vec::new() };
-        let length = message.header("content-length").map_or(0, |n| n.parse().expect("a length"));
+        let length =
+            message.header("content-length").map_or(0, |n| n.parse().expect("a valid content-length"));
         message.body.resize(length, 0);
         from.read_exact(&mut message.body).ok()?;
         Some(message)
     }
 
-    /// A header field.
+    /// Returns the value of a header field; `name` is in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
     }
 
-    /// The status of an answer.
+    /// Returns the status code of a response.
     pub fn status(&self) -> u16 {
-        self.first.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status")
+        self.first.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status code")
     }
 }
 
-/// What a scripted server sees.
+/// An event at a server that a test drives.
 pub enum Seen {
-    /// A request.
+    /// A request has arrived.
     Request(Exchange),
-    /// A connection with no request on it has ended.
+    /// A connection without an unanswered request has ended; holds its number.
     Closed(usize),
 }
 
 /// A request that waits for the test to answer it.
 pub struct Exchange {
-    /// What came.
+    /// The request.
     pub request: Message,
-    /// Its connection's number, from zero in the order of accepting.
+    /// Number of the connection, from zero in the order of accepting.
     pub connection: usize,
-    /// Its connection.
+    /// The connection.
     pub stream: TcpStream,
-    go_on: Sender<()>,
+    answered: Sender<()>,
 }
 
 impl Exchange {
-    /// Answers; the connection takes a next request.
+    /// Answers the request; the connection then reads the next one.
     pub fn answer(mut self, status: &str, headers: &str, body: &[u8]) {
-        // In one piece: a second write would wait for the first one's acknowledgement.
+        // Head and body go out in one write: a second write would wait for the acknowledgement of the first.
         let head = format!("HTTP/1.1 {status}\r\ncontent-length: {}\r\n{headers}\r\n", body.len());
         self.stream.write_all(&[head.as_bytes(), body].concat()).expect("answered");
-        self.go_on.send(()).expect("the connection goes on");
+        self.answered.send(()).expect("the connection's thread is running");
     }
 
-    /// Answers, where the node still waits for it.
+    /// Answers with 200 if the node still waits for the response; otherwise does nothing.
     pub fn answer_if_wanted(mut self, body: &[u8]) {
-        let mut whole = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", body.len()).into_bytes();
-        whole.extend_from_slice(body);
-        self.write(&whole);
-        let _ = self.go_on.send(());
+        let mut response = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", body.len()).into_bytes();
+        response.extend_from_slice(body);
+        self.write(&response);
+        let _ = self.answered.send(());
     }
 
-    /// Writes this as it is.
+    /// Writes these bytes unchanged.
     pub fn write(&mut self, bytes: &[u8]) {
-        // It fails where the node has given up on what it was sent.
+        // Writing fails if the node has given up on the request.
         let _ = self.stream.write_all(bytes);
     }
 
-    /// Waits until the node has ended its sending; it must send nothing more.
+    /// Waits until the node closes or resets its side of the connection; panics if it sends more bytes.
     pub fn await_end(&mut self) {
         self.stream.set_read_timeout(Some(LONG)).expect("set");
         match self.stream.read(&mut [0; 1]) {
-            Ok(n) => assert_eq!(n, 0, "more was sent"),
+            Ok(n) => assert_eq!(n, 0, "the node sent more bytes"),
             Err(error) => assert_eq!(error.kind(), std::io::ErrorKind::ConnectionReset),
         }
     }
 
-    /// Whether the node has ended its sending by now.
+    /// Returns whether the node has closed or reset its side of the connection.
     pub fn has_ended(&mut self) -> bool {
         self.stream.set_nonblocking(true).expect("set");
         let ended = match self.stream.read(&mut [0; 1]) {
@@ -128,39 +130,39 @@
     }
 }
 
-/// A server, or discovery: what it gets comes to the test, which answers.
+/// A server or discovery service whose requests are passed to the test, which answers them.
 pub struct Server {
-    /// Where it listens.
+    /// Listen address.
     pub address: SocketAddr,
     seen: Receiver<Seen>,
 }
 
 impl Server {
-    /// Listens at an address of its own.
+    /// Starts a server on an address of its own.
     pub fn start() -> Self {
         let listener = TcpListener::bind(own_address()).expect("bound");
         let address = listener.local_addr().expect("bound");
-        let (tell, seen) = mpsc::channel();
+        let (events, seen) = mpsc::channel();
         thread::spawn(move || {
             for (connection, stream) in listener.incoming().enumerate() {
-                let (stream, tell) = (stream.expect("accepted"), tell.clone());
-                thread::spawn(move || serve(&stream, connection, &tell));
+                let (stream, events) = (stream.expect("accepted"), events.clone());
+                thread::spawn(move || serve(&stream, connection, &events));
             }
         });
         Self { address, seen }
     }
 
-    /// What comes next.
+    /// Waits for the next event; panics if none comes within [`LONG`].
     pub fn seen(&self) -> Seen {
-        self.seen.recv_timeout(LONG).expect("something comes")
+        self.seen.recv_timeout(LONG).expect("an event within the time limit")
     }
 
-    /// What comes next, for as long as the test runs.
+    /// Waits for the next event without a time limit. Returns `None` when no more can come.
     pub fn next(&self) -> Option<Seen> {
         self.seen.recv().ok()
     }
 
-    /// The next request; a connection that ends meanwhile is passed over.
+    /// Waits for the next request; skips the ends of connections.
     pub fn request(&self) -> Exchange {
         loop {
             if let Seen::Request(exchange) = self.seen() {
@@ -169,7 +171,7 @@
         }
     }
 
-    /// A request, if one has come.
+    /// Returns a request if one has arrived.
     pub fn poll(&self) -> Option<Exchange> {
         self.seen.try_iter().find_map(|seen| match seen {
             Seen::Request(exchange) => Some(exchange),
@@ -177,52 +179,52 @@
         })
     }
 
-    /// Whether a request has come that the test has not taken.
+    /// Returns whether a request has arrived that the test has not taken, and discards it.
     pub fn has_request(&self) -> bool {
         self.poll().is_some()
     }
 }
 
-fn serve(stream: &TcpStream, connection: usize, tell: &Sender<Seen>) {
+fn serve(stream: &TcpStream, connection: usize, events: &Sender<Seen>) {
     let mut reader = BufReader::new(stream.try_clone().expect("cloned"));
     while let Some(request) = Message::read(&mut reader) {
-        let (go_on, answered) = mpsc::channel();
+        let (answered, wait_answered) = mpsc::channel();
         let stream = stream.try_clone().expect("cloned");
-        // The test may be over: then nobody listens.
-        let _ = tell.send(Seen::Request(Exchange { request, connection, stream, go_on }));
-        if answered.recv().is_err() {
+        // Sending fails if the test is already over.
+        let _ = events.send(Seen::Request(Exchange { request, connection, stream, answered }));
+        if wait_answered.recv().is_err() {
             return;
         }
     }
     let _ = stream.shutdown(Shutdown::Both);
-    let _ = tell.send(Seen::Closed(connection));
+    let _ = events.send(Seen::Closed(connection));
 }
 
-/// A client's connection.
+/// A client with one connection.
 pub struct Client {
-    /// Its connection.
+    /// The connection.
     pub stream: BufReader<TcpStream>,
 }
 
 impl Client {
-    /// Connects.
+    /// Connects to an address.
     pub fn connect(address: SocketAddr) -> Self {
-        let stream = TcpStream::connect(address).expect("accepted");
+        let stream = TcpStream::connect(address).expect("connected");
         stream.set_read_timeout(Some(LONG)).expect("set");
         Self { stream: BufReader::new(stream) }
     }
 
-    /// Sends this as it is.
+    /// Sends this text unchanged.
     pub fn send(&mut self, request: &str) {
         self.stream.get_mut().write_all(request.as_bytes()).expect("sent");
     }
 
-    /// The next answer, which must be whole.
+    /// Reads the next response; panics if it is not complete.
     pub fn answer(&mut self) -> Message {
-        Message::read(&mut self.stream).expect("a whole answer")
+        Message::read(&mut self.stream).expect("a complete response")
     }
 
-    /// All that comes until the node closes the connection.
+    /// Reads everything until the node closes or resets the connection.
     pub fn rest(&mut self) -> String {
         let mut all = Vec::new();
         if let Err(error) = self.stream.read_to_end(&mut all) {
@@ -231,7 +233,7 @@
         String::from_utf8_lossy(&all).into_owned()
     }
 
-    /// Asks, and waits for the answer.
+    /// Sends a request and waits for the response.
     pub fn ask(&mut self, request: &str) -> Message {
         self.send(request);
         self.answer()
--- a/crates/spurdrum-standin/src/queued.rs
+++ b/crates/spurdrum-standin/src/queued.rs
@@ -1,8 +1,9 @@
-//! A discovery that answers calls one after the other, each for the same time.
+//! A simulated discovery service that answers calls one after the other, each after the same service time.
 //!
-//! A call whose caller has closed it keeps its place in the queue and takes its turn like any other, as in a service that
-//! notices only when it writes. A watch waits beside the queue and enters it when there is news; one that ends without any
-//! is answered at once. What was written to whom, and when, is kept for a judge.
+//! A call whose caller has closed the connection keeps its place in the queue and takes its turn like any
+//! other, as in a service that notices a closed connection only when it writes. A watch waits outside the
+//! queue and enters it when the list changes; a watch that times out without a change is answered at once.
+//! The responses that were written are recorded, with node and time, so that a test can check them.
 
 use std::collections::VecDeque;
 use std::io::{BufReader, Write};
@@ -17,17 +18,17 @@
 use crate::manual::{own_address, Message};
 use crate::Catalog;
 
-/// Changes that the list remembers.
-const REMEMBERED: usize = 1024;
+/// Number of changes that the list remembers.
+const MAX_REMEMBERED_CHANGES: usize = 1024;
 
-/// An answer that was written to a caller that was still there.
+/// A response that was written to a caller that was still connected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Written {
-    /// The node whose address was called.
+    /// The node whose address received the call.
     pub node: usize,
-    /// When.
+    /// When the response was written.
     pub at: Instant,
-    /// The version that the answer told.
+    /// The revision of the list in the response.
     pub revision: u64,
 }
 
@@ -35,8 +36,8 @@
 struct Pending {
     node: usize,
     since: Option<u64>,
-    /// Until when a watch waits for news.
-    until: Instant,
+    /// When a watch times out.
+    times_out_at: Instant,
     stream: TcpStream,
     answered: Sender<()>,
 }
@@ -48,7 +49,7 @@
     written: Vec<Written>,
     calls: usize,
     service: Duration,
-    ended: bool,
+    stopped: bool,
 }
 
 struct Shared {
@@ -62,23 +63,23 @@
     }
 }
 
-/// The discovery. It ends when this is dropped.
+/// The simulated discovery service. Dropping it stops its answers.
 pub struct QueuedDiscovery {
     shared: Arc<Shared>,
 }
 
 impl QueuedDiscovery {
-    /// An empty list at version 0, and so much time for each answer.
+    /// Starts with an empty list at revision 0. Each answer takes `service`.
     #[must_use]
     pub fn start(service: Duration) -> Self {
         let state = State {
-            catalog: Catalog::new(REMEMBERED),
+            catalog: Catalog::new(MAX_REMEMBERED_CHANGES),
             queue: VecDeque::new(),
             watches: Vec::new(),
             written: Vec::new(),
             calls: 0,
             service,
-            ended: false,
+            stopped: false,
         };
         let shared = Arc::new(Shared { state: Mutex::new(state), changed: Condvar::new() });
         let worker = Arc::clone(&shared);
@@ -86,11 +87,11 @@
         Self { shared }
     }
 
-    /// One more address, which only this node is told.
+    /// Starts listening on another address, to be given only to this node.
     ///
     /// # Panics
     ///
-    /// Where no address can be bound.
+    /// If no address can be bound.
     pub fn listen(&self, node: usize) -> SocketAddr {
         let listener = TcpListener::bind(own_address()).expect("bound");
         let address = listener.local_addr().expect("bound");
@@ -104,30 +105,31 @@
         address
     }
 
-    /// Sets entries of the list, all in one version each; the last version.
+    /// Sets entries of the list, each with a revision of its own, queues all watches and returns the last
+    /// revision.
     pub fn set(&self, entries: &[(String, Value)]) -> u64 {
         let mut state = self.shared.lock();
         for (id, entry) in entries {
             state.catalog.set(id, entry.clone());
         }
-        let news = std::mem::take(&mut state.watches);
-        state.queue.extend(news);
+        let woken = std::mem::take(&mut state.watches);
+        state.queue.extend(woken);
         self.shared.changed.notify_all();
         state.catalog.revision()
     }
 
-    /// Each answer takes so much time from now on.
+    /// Changes the service time of the answers to come.
     pub fn set_service(&self, service: Duration) {
         self.shared.lock().service = service;
     }
 
-    /// What was written so far.
+    /// Returns the responses written so far.
     #[must_use]
     pub fn written(&self) -> Vec<Written> {
         self.shared.lock().written.clone()
     }
 
-    /// Calls that came so far.
+    /// Returns the number of calls received so far.
     #[must_use]
     pub fn calls(&self) -> usize {
         self.shared.lock().calls
@@ -136,20 +138,20 @@
 
 impl Drop for QueuedDiscovery {
     fn drop(&mut self) {
-        self.shared.lock().ended = true;
+        self.shared.lock().stopped = true;
         self.shared.changed.notify_all();
     }
 }
 
-/// Reads the calls of one connection, each after the one before was answered.
+/// Reads the calls of one connection, each after the previous one was answered.
 fn serve(shared: &Shared, node: usize, stream: &TcpStream) {
     let mut reader = BufReader::new(stream.try_clone().expect("cloned"));
     while let Some(message) = Message::read(&mut reader) {
         let (answered, wait) = mpsc::channel();
         let stream = stream.try_clone().expect("cloned");
-        let (since, timeout) = asked(&message.first);
-        let until = Instant::now() + timeout;
-        let call = Pending { node, since, until, stream, answered };
+        let (since, timeout) = parse_call(&message.first);
+        let times_out_at = Instant::now() + timeout;
+        let call = Pending { node, since, times_out_at, stream, answered };
         let mut state = shared.lock();
         state.calls += 1;
         match since {
@@ -166,8 +168,8 @@
     }
 }
 
-/// The version and the wait that a call's first line names.
-fn asked(line: &str) -> (Option<u64>, Duration) {
+/// Returns the revision and the timeout that a call's request line names.
+fn parse_call(line: &str) -> (Option<u64>, Duration) {
     let number = |key: &str| {
         let (_, after) = line.split_once(key)?;
         after.split(['&', ' ']).next()?.parse().ok()
@@ -175,12 +177,12 @@
     (number("since="), Duration::from_millis(number("timeout_ms=").unwrap_or(0)))
 }
 
-/// Answers what is due until the discovery ends.
+/// Answers timed-out watches and queued calls until the service is stopped.
 fn work(shared: &Shared) {
     let mut state = shared.lock();
-    while !state.ended {
+    while !state.stopped {
         let now = Instant::now();
-        while let Some(at) = state.watches.iter().position(|watch| watch.until <= now) {
+        while let Some(at) = state.watches.iter().position(|watch| watch.times_out_at <= now) {
             let watch = state.watches.swap_remove(at);
             answer(&mut state, &watch);
         }
@@ -192,10 +194,13 @@
             answer(&mut state, &call);
             continue;
         }
-        let next = state.watches.iter().map(|watch| watch.until).min();
-        let pause = next.map_or(Duration::from_secs(1), |next| next.saturating_duration_since(now));
-        state =
-            shared.changed.wait_timeout(state, pause).expect("no thread panics while it holds the state").0;
+        let next = state.watches.iter().map(|watch| watch.times_out_at).min();
+        let wait_time = next.map_or(Duration::from_secs(1), |next| next.saturating_duration_since(now));
+        state = shared
+            .changed
+            .wait_timeout(state, wait_time)
+            .expect("no thread panics while it holds the state")
+            .0;
     }
 }
 
@@ -210,7 +215,7 @@
         let revision = state.catalog.revision();
         state.written.push(Written { node: call.node, at: Instant::now(), revision });
     }
-    // The connection's thread has ended where its peer is gone.
+    // The connection's thread has ended if its peer is gone.
     let _ = call.answered.send(());
 }
 
--- a/crates/spurdrum-standin/tests/fleet.rs
+++ b/crates/spurdrum-standin/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet on loopback sockets: each fault as those see it whom it befalls.
+//! Runs a fleet on loopback sockets and checks each fault as it appears to a client.
 
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -9,7 +9,7 @@
 use spurdrum_standin::Fleet;
 
 fn fleet(text: &str) -> Fleet {
-    Fleet::start(&Scenario::parse(text).expect("sound")).expect("started")
+    Fleet::start(&Scenario::parse(text).expect("a valid scenario")).expect("started")
 }
 
 fn connect(to: SocketAddr) -> TcpStream {
@@ -23,26 +23,26 @@
     let _ = stream.write_all(text.as_bytes());
 }
 
-/// An answer's first line, fields and body; none where the connection ends first.
+/// Reads a response's status line, header fields and body; `None` if the connection ends first.
 fn read(stream: &mut impl Read) -> Option<(String, String, String)> {
-    // Nothing is taken off the stream that belongs to the next answer.
+    // A buffer of one byte takes nothing off the stream that belongs to the next response.
     let answer = Message::read(&mut BufReader::with_capacity(1, stream))?;
     let fields = answer.headers.iter().map(|(name, value)| format!("{name}: {value}\n")).collect();
     Some((answer.first, fields, String::from_utf8(answer.body).ok()?))
 }
 
-fn ask(to: SocketAddr, id: &str) -> Option<(String, String, String)> {
+fn request(to: SocketAddr, id: &str) -> Option<(String, String, String)> {
     let mut stream = connect(to);
     send(&mut stream, id);
     read(&mut stream)
 }
 
-fn with(kind: &str, more: &str) -> Fleet {
-    fleet(&format!("[[servers]]\nwork_ms = 1\n[[fault]]\non = \"s0\"\nkind = \"{kind}\"\n{more}\n"))
+fn fleet_with_fault(kind: &str, settings: &str) -> Fleet {
+    fleet(&format!("[[servers]]\nwork_ms = 1\n[[fault]]\non = \"s0\"\nkind = \"{kind}\"\n{settings}\n"))
 }
 
 #[test]
-fn a_server_answers_reports_and_counts_what_it_ran() {
+fn a_server_answers_with_load_reports_and_counts_its_requests() {
     let fleet = fleet("[[servers]]\nwork_ms = 1\n");
     let mut stream = connect(fleet.servers["s0"]);
     for id in ["a", "b", "a"] {
@@ -51,14 +51,14 @@
         assert_eq!((first.as_str(), body), ("HTTP/1.1 200 OK", format!("done {id}")));
         assert!(fields.contains("x-load: inflight=0,queue=0"), "{fields}");
     }
-    let tally = fleet.counters();
-    let runs = |id: &str| (tally.ids()[id].begun, tally.ids()[id].most_at_once);
+    let counters = fleet.counters();
+    let runs = |id: &str| (counters.ids()[id].begun, counters.ids()[id].most_at_once);
     assert_eq!((runs("a"), runs("b")), ((2, 1), (1, 1)));
-    assert_eq!((tally.keys()["k"].begun, tally.servers()["s0"].served), (3, 3));
+    assert_eq!((counters.keys()["k"].begun, counters.servers()["s0"].served), (3, 3));
 }
 
 #[test]
-fn two_of_one_id_at_once_are_seen() {
+fn two_concurrent_requests_with_one_id_are_counted_as_concurrent() {
     let fleet = fleet("[[servers]]\nwork_ms = 300\n");
     let mut streams = [connect(fleet.servers["s0"]), connect(fleet.servers["s0"])];
     streams.iter_mut().for_each(|stream| send(stream, "a"));
@@ -67,44 +67,44 @@
 }
 
 #[test]
-fn each_fault_is_what_it_is_called() {
-    let first = |fleet: &Fleet| ask(fleet.servers["s0"], "a").map(|(first, fields, _)| (first, fields));
-    let refused = first(&with("refuse", "")).expect("answered");
+fn each_fault_has_its_documented_effect() {
+    let first = |fleet: &Fleet| request(fleet.servers["s0"], "a").map(|(first, fields, _)| (first, fields));
+    let refused = first(&fleet_with_fault("refuse", "")).expect("answered");
     assert!(refused.0.contains("503") && refused.1.contains("x-not-run: 1"), "{refused:?}");
-    assert!(first(&with("error", "")).expect("answered").0.contains("500"));
-    for (kind, ran) in [("reset_before", false), ("reset_after", true), ("spoilt", true)] {
-        let fleet = with(kind, "");
+    assert!(first(&fleet_with_fault("error", "")).expect("answered").0.contains("500"));
+    for (kind, counted) in [("reset_before", false), ("reset_after", true), ("spoilt", true)] {
+        let fleet = fleet_with_fault(kind, "");
         assert_eq!(first(&fleet), None, "{kind}");
-        assert_eq!(fleet.counters().ids().contains_key("a"), ran, "{kind}");
+        assert_eq!(fleet.counters().ids().contains_key("a"), counted, "{kind}");
     }
-    let fleet = with("silent", "");
+    let fleet = fleet_with_fault("silent", "");
     let mut stream = connect(fleet.servers["s0"]);
     send(&mut stream, "a");
     while fleet.counters().ids().get("a").is_none_or(|runs| runs.in_flight != 0) {
         std::thread::sleep(Duration::from_millis(1));
     }
     stream.set_nonblocking(true).expect("set");
-    assert!(stream.read(&mut [0; 1]).is_err(), "it says nothing");
-    let fleet = with("surplus", "delay_ms = 1");
+    assert!(stream.read(&mut [0; 1]).is_err(), "the server must not answer");
+    let fleet = fleet_with_fault("surplus", "delay_ms = 1");
     let mut stream = connect(fleet.servers["s0"]);
     send(&mut stream, "a");
     assert_eq!(read(&mut stream).expect("answered").2, "done a");
-    assert_eq!(read(&mut stream).expect("once more").2, "done a");
+    assert_eq!(read(&mut stream).expect("the second copy").2, "done a");
 }
 
 #[test]
-fn one_that_dies_resets_what_is_open_and_refuses_what_is_new_until_it_is_back() {
-    let fleet = with("die", "at_s = 2\nfor_s = 3");
+fn a_server_that_dies_resets_open_connections_and_refuses_new_ones_until_it_is_back() {
+    let fleet = fleet_with_fault("die", "at_s = 2\nfor_s = 3");
     let address = fleet.servers["s0"];
-    let mut open = connect(address);
-    assert!(open.read(&mut [0; 1]).is_err(), "reset");
+    let mut connection = connect(address);
+    assert!(connection.read(&mut [0; 1]).is_err(), "reset");
     while TcpStream::connect(address).is_ok() {
         std::thread::sleep(Duration::from_millis(1));
     }
     while TcpStream::connect(address).is_err() {
         std::thread::sleep(Duration::from_millis(5));
     }
-    assert!(ask(address, "a").is_some());
+    assert!(request(address, "a").is_some());
 }
 
 fn list(stream: &mut TcpStream, query: &str) -> Option<serde_json::Value> {
@@ -114,24 +114,24 @@
 }
 
 #[test]
-fn the_catalog_tells_of_a_replacement_and_its_successor_is_cold() {
+fn the_catalog_lists_a_replacement_that_has_just_started() {
     let fleet = fleet(
         "[catalog]\ndelay_ms = 50\n[[servers]]\ncount = 2\n[[fault]]\non = \"s1\"\nkind = \"replace\"\nat_s = 1.5\nfor_s = 0.2\n",
     );
     let mut stream = connect(fleet.catalog);
     let full = list(&mut stream, "").expect("a list");
     assert_eq!((full["complete"].as_bool(), full["members"].as_array().map(Vec::len)), (Some(true), Some(2)));
-    let mut revision = full["revision"].as_u64().expect("a version");
+    let mut revision = full["revision"].as_u64().expect("a revision");
     let mut seen = Vec::new();
     while !seen.contains(&("s1".to_owned(), "left".to_owned())) {
-        let news = list(&mut stream, &format!("?since={revision}&timeout_ms=20000")).expect("news");
-        revision = news["revision"].as_u64().expect("a version");
-        for entry in news["members"].as_array().expect("a list") {
+        let changes = list(&mut stream, &format!("?since={revision}&timeout_ms=20000")).expect("changes");
+        revision = changes["revision"].as_u64().expect("a revision");
+        for entry in changes["members"].as_array().expect("a list") {
             let text = |key: &str| entry[key].as_str().expect("text").to_owned();
             seen.push((text("id"), text("phase")));
             if text("id") != "s1" {
-                assert!(entry["up_since_ms"].as_u64() > Some(0), "it has just started");
-                assert!(ask(text("host_port").parse().expect("an address"), "a").is_some());
+                assert!(entry["up_since_ms"].as_u64() > Some(0), "the replacement reports when it started");
+                assert!(request(text("host_port").parse().expect("an address"), "a").is_some());
             }
         }
     }
