--- a/crates/spurdrum-standin/src/fleet.rs
+++ b/crates/spurdrum-standin/src/fleet.rs
@@ -40,7 +40,8 @@
     thread: Option<JoinHandle<()>>,
 }
 
-type Started = (Instant, [SocketAddr; 2], BTreeMap<String, SocketAddr>);
+/// Start time, both catalog addresses and the servers' addresses.
+type StartInfo = (Instant, [SocketAddr; 2], BTreeMap<String, SocketAddr>);
 
 impl Fleet {
     /// Starts the fleet on free ports of 127.0.0.1. Returns when all sockets are listening.
@@ -54,8 +55,10 @@
         let thread = std::thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
             let run = |runtime: tokio::runtime::Runtime| {
-                LocalSet::new()
-                    .block_on(&runtime, play(scenario, thread_counters, thread_list, &report_start, stopped))
+                LocalSet::new().block_on(
+                    &runtime,
+                    run_fleet(scenario, thread_counters, thread_list, &report_start, stopped),
+                )
             };
             if let Err(why) = runtime.map_err(|e| e.to_string()).and_then(run) {
                 let _ = report_start.send(Err(why));
@@ -103,6 +106,7 @@
     }
 }
 
+/// The state of a running fleet, used only on the fleet's thread.
 struct FleetState {
     scenario: Scenario,
     start: Instant,
@@ -110,6 +114,7 @@
     list: Arc<Mutex<Catalog>>,
     /// The latest revision that has been published to watches.
     published_revision: watch::Sender<u64>,
+    /// Listen addresses of all servers launched so far.
     addresses: RefCell<BTreeMap<String, SocketAddr>>,
     /// Decides which catalog calls are hit by a fault whose `part` is below 1.
     rng: RefCell<fastrand::Rng>,
@@ -117,11 +122,12 @@
     processing: tokio::sync::Mutex<()>,
 }
 
-async fn play(
+/// Starts the servers and the catalog, reports their addresses and runs until `stopped` fires.
+async fn run_fleet(
     scenario: Scenario,
     counters: Arc<Mutex<Counters>>,
     list: Arc<Mutex<Catalog>>,
-    report_start: &mpsc::Sender<Result<Started, String>>,
+    report_start: &mpsc::Sender<Result<StartInfo, String>>,
     stopped: oneshot::Receiver<()>,
 ) -> Result<(), String> {
     let (published_revision, _) = watch::channel(0);
@@ -226,6 +232,7 @@
         });
     }
 
+    /// Applies the scenario's `drain` and `replace` faults at their times.
     async fn run_faults(self: Rc<Self>) {
         let mut steps: Vec<(f64, usize, bool)> = Vec::new();
         for (n, fault) in self.scenario.faults.iter().enumerate() {
@@ -277,6 +284,7 @@
         }
     }
 
+    /// Serves the catalog's calls on one connection, as its active faults allow.
     async fn serve_catalog_connection(self: Rc<Self>, mut stream: TcpStream, is_second: bool) {
         let _ = stream.set_nodelay(true);
         let mut buffer: Vec<u8> = Vec::new();
--- a/crates/spurdrum-standin/src/model.rs
+++ b/crates/spurdrum-standin/src/model.rs
@@ -318,12 +318,12 @@
         }
         assert!(model.is_down() && (350..700).contains(&sent), "{sent}");
         assert_eq!(model.arrive(9999), Some(SimulatedOutcome::Reset), "a collapsed server stays down");
-        let mut warm = server(vec![], None);
+        let mut full_speed = server(vec![], None);
         (0..3000).for_each(|at| {
-            warm.advance(f64::from(at));
-            warm.arrive(at as u64);
+            full_speed.advance(f64::from(at));
+            full_speed.arrive(at as u64);
         });
-        assert!(!warm.is_down());
+        assert!(!full_speed.is_down());
     }
 
     #[test]
--- a/crates/spurdrum-standin/src/server.rs
+++ b/crates/spurdrum-standin/src/server.rs
@@ -29,12 +29,14 @@
     /// Listen address; the server binds it again after it has been down.
     pub address: SocketAddr,
     model: RefCell<Model>,
+    /// Where to deliver the outcome of each pending request, by its number in the model.
     replies: RefCell<HashMap<u64, oneshot::Sender<SimulatedOutcome>>>,
-    changed: Notify,
+    /// Wakes the model's driver when a request has arrived.
+    wake_driver: Notify,
     /// Notifies all connections when the server dies.
     died: Notify,
-    open: Cell<usize>,
-    max_open: usize,
+    open_connections: Cell<usize>,
+    max_open_connections: usize,
     next_number: Cell<u64>,
     start: Instant,
     counters: Arc<Mutex<Counters>>,
@@ -73,7 +75,7 @@
         name: String,
         address: SocketAddr,
         model: Model,
-        max_open: usize,
+        max_open_connections: usize,
         start: Instant,
         counters: Arc<Mutex<Counters>>,
     ) -> Rc<Self> {
@@ -82,10 +84,10 @@
             address,
             model: RefCell::new(model),
             replies: RefCell::default(),
-            changed: Notify::new(),
+            wake_driver: Notify::new(),
             died: Notify::new(),
-            open: Cell::new(0),
-            max_open,
+            open_connections: Cell::new(0),
+            max_open_connections,
             next_number: Cell::new(0),
             start,
             counters,
@@ -127,10 +129,10 @@
                 }
                 None if !down => listener = TcpListener::bind(self.address).await.ok(),
                 None => sleep(POLL_INTERVAL).await,
-                Some(open) => tokio::select! {
-                    accepted = open.accept() => {
+                Some(listener) => tokio::select! {
+                    accepted = listener.accept() => {
                         let Ok((stream, _)) = accepted else { continue };
-                        if self.open.get() < self.max_open {
+                        if self.open_connections.get() < self.max_open_connections {
                             tokio::task::spawn_local(Rc::clone(&self).connection(stream));
                         }
                     }
@@ -140,20 +142,21 @@
         }
     }
 
+    /// Advances the model at each completion, arrival and change of its rate.
     async fn drive(self: Rc<Self>) {
         loop {
             self.advance();
             let wake = self.model.borrow().next_wake().map(|at| (at - self.now()).max(0.0) / 1000.0);
             let wake = wake.map_or(POLL_INTERVAL, |s| Duration::from_secs_f64(s).min(POLL_INTERVAL));
             tokio::select! {
-                () = self.changed.notified() => {}
+                () = self.wake_driver.notified() => {}
                 () = sleep(wake) => {}
             }
         }
     }
 
     async fn connection(self: Rc<Self>, mut stream: TcpStream) {
-        self.open.set(self.open.get() + 1);
+        self.open_connections.set(self.open_connections.get() + 1);
         self.counters(|counters| counters.server(&self.name).connections += 1);
         let _ = stream.set_nodelay(true);
         let died = self.died.notified();
@@ -164,7 +167,7 @@
         if reset {
             let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
         }
-        self.open.set(self.open.get() - 1);
+        self.open_connections.set(self.open_connections.get() - 1);
     }
 
     /// Serves a connection until it ends. Returns whether the connection is to be reset.
@@ -258,7 +261,7 @@
         self.counters(|counters| counters.begin(&self.name, id, key, self.start.elapsed()));
         let (reply, replied) = oneshot::channel();
         self.replies.borrow_mut().insert(number, reply);
-        self.changed.notify_one();
+        self.wake_driver.notify_one();
         let mut running = RunningRequest { server: self, number, id, outcome: None };
         let mut byte = [0; 1];
         running.outcome = tokio::select! {
