--- a/crates/spurdrum-standin/src/model.rs
+++ b/crates/spurdrum-standin/src/model.rs
@@ -43,7 +43,9 @@
     /// Arrival time and work of the requests received during slow start, within the overload window.
     received: VecDeque<(f64, f64)>,
     received_work: f64,
+    /// Whether the server has collapsed under load; it does not recover.
     collapsed: bool,
+    /// The load report that is repeated until `report_ms` have passed, with the time at which it was made.
     last_report: Option<(f64, String)>,
 }
 
@@ -68,6 +70,7 @@
         }
     }
 
+    /// Returns the first fault of this kind that is active at time `at`.
     fn active(&self, at: f64, kind: FaultKind) -> Option<&Fault> {
         let covers = |fault: &&Fault| {
             let from = fault.at_s * 1000.0;
--- a/crates/spurdrum-standin/src/queued.rs
+++ b/crates/spurdrum-standin/src/queued.rs
@@ -45,9 +45,12 @@
 struct State {
     catalog: Catalog,
     queue: VecDeque<Pending>,
+    /// Watches that wait for a change or their timeout.
     watches: Vec<Pending>,
     written: Vec<Written>,
+    /// Number of calls received.
     calls: usize,
+    /// Time that the service spends on each answer.
     service: Duration,
     stopped: bool,
 }
@@ -83,7 +86,7 @@
         };
         let shared = Arc::new(Shared { state: Mutex::new(state), changed: Condvar::new() });
         let worker = Arc::clone(&shared);
-        thread::spawn(move || work(&worker));
+        thread::spawn(move || run_worker(&worker));
         Self { shared }
     }
 
@@ -178,7 +181,7 @@
 }
 
 /// Answers timed-out watches and queued calls until the service is stopped.
-fn work(shared: &Shared) {
+fn run_worker(shared: &Shared) {
     let mut state = shared.lock();
     while !state.stopped {
         let now = Instant::now();
@@ -204,6 +207,7 @@
     }
 }
 
+/// Writes the response to a call, and records it if the caller was still connected.
 fn answer(state: &mut State, call: &Pending) {
     let list = match call.since {
         Some(since) => state.catalog.since(since),
@@ -219,6 +223,7 @@
     let _ = call.answered.send(());
 }
 
+/// Returns whether the peer has closed or reset the connection.
 fn has_closed(stream: &TcpStream) -> bool {
     stream.set_nonblocking(true).expect("set");
     let closed = match stream.peek(&mut [0; 1]) {
--- a/crates/spurdrum-standin/src/registry/consul.rs
+++ b/crates/spurdrum-standin/src/registry/consul.rs
@@ -23,8 +23,11 @@
 /// Faults of an endpoint.
 #[derive(Clone, Debug, Default)]
 struct EndpointFaults {
+    /// The endpoint answers nothing.
     paused: bool,
+    /// The endpoint reports that it knows no leader.
     leaderless: bool,
+    /// Responses stop in the middle of the body.
     truncates: bool,
 }
 
@@ -32,6 +35,7 @@
     /// Instances by name; the value of each is the JSON returned for it.
     registry: Mutex<Registry>,
     faults: Mutex<Vec<EndpointFaults>>,
+    /// Incremented on every change, to wake blocking queries.
     wakeups: watch::Sender<u64>,
     token: Option<String>,
 }
@@ -152,6 +156,7 @@
     }
 }
 
+/// Answers the queries of one connection.
 async fn answer(shared: Arc<Shared>, number: usize, mut stream: impl AsyncRead + AsyncWrite + Unpin) {
     let mut buffer: Vec<u8> = Vec::new();
     loop {
--- a/crates/spurdrum-standin/src/registry/etcd.rs
+++ b/crates/spurdrum-standin/src/registry/etcd.rs
@@ -27,7 +27,9 @@
 /// Faults of an endpoint.
 #[derive(Clone, Debug, Default)]
 struct EndpointFaults {
+    /// How far the endpoint's view of the registry is behind.
     lag: Duration,
+    /// The endpoint answers nothing.
     paused: bool,
     /// Revision that the endpoint had when it was partitioned from the other members; `None` if it is not
     /// partitioned.
@@ -44,6 +46,7 @@
     /// Incremented on every event that may have to wake a stream or a waiting call.
     wakeups: watch::Sender<u64>,
     user: Option<(String, String)>,
+    /// Number of the auth token that is currently valid.
     token: Mutex<u64>,
     start: Instant,
 }
@@ -256,6 +259,7 @@
         }
     }
 
+    /// Checks the auth token of a call, where authentication is enabled.
     fn check<T>(&self, request: &Request<T>) -> Result<(), Status> {
         if self.shared.user.is_none() {
             return Ok(());
@@ -268,6 +272,7 @@
         }
     }
 
+    /// Applies `apply` to the registry; returns its result and a header with the new revision.
     fn write<T>(&self, apply: impl FnOnce(&mut Registry) -> T) -> (T, Option<ResponseHeader>) {
         let (result, revision) = {
             let mut registry = lock(&self.shared.registry);
--- a/crates/spurdrum-standin/src/tally.rs
+++ b/crates/spurdrum-standin/src/tally.rs
@@ -59,7 +59,7 @@
     pub begun: u32,
     /// Runs in progress. Not decremented for idempotency keys.
     pub in_flight: u32,
-    /// Maximum of `in_flight` so far.
+    /// Maximum number of concurrent runs so far (`in_flight`); for idempotency keys it equals `begun`.
     pub most_at_once: u32,
     /// When the last run began, as time since the start of the fleet.
     pub begun_at: Duration,
@@ -74,6 +74,7 @@
         Self { track, max_logged, ..Self::default() }
     }
 
+    /// Returns the counters of a server, adding them if there are none.
     pub(crate) fn server(&mut self, name: &str) -> &mut ServerCounters {
         if !self.servers.contains_key(name) {
             self.servers.insert(name.to_owned(), ServerCounters::default());
@@ -81,6 +82,7 @@
         self.servers.get_mut(name).expect("inserted")
     }
 
+    /// Records that a server began a request.
     pub(crate) fn begin(&mut self, server: &str, id: &str, key: Option<&str>, at: Duration) {
         self.server(server).begun += 1;
         if self.log.len() < self.max_logged {
@@ -111,6 +113,7 @@
         }
     }
 
+    /// Records how a request ended that was begun with [`begin`](Self::begin).
     pub(crate) fn end(&mut self, server: &str, id: &str, outcome: SimulatedOutcome, at: Duration) {
         let served = matches!(outcome, SimulatedOutcome::Served | SimulatedOutcome::Surplus(_));
         self.server(server).served += u64::from(served);
