--- a/crates/spurdrum-standin/src/model.rs
+++ b/crates/spurdrum-standin/src/model.rs
@@ -43,7 +43,9 @@
     /// Arrival time and work of the requests received during slow start, within the overload window.
     received: VecDeque<(f64, f64)>,
     received_work: f64,
+    /// Whether the server has collapsed under load; it does not recover.
     collapsed: bool,
+    /// The load report that is repeated until `report_ms` have passed, with the time at which it was made.
     last_report: Option<(f64, String)>,
 }
 
@@ -68,6 +70,7 @@
         }
     }
 
+    /// Returns the first fault of this kind that is active at time `at`.
     fn active(&self, at: f64, kind: FaultKind) -> Option<&Fault> {
         let covers = |fault: &&Fault| {
             let from = fault.at_s * 1000.0;
@@ -318,12 +321,12 @@
         }
         assert!(model.is_down() && (350..700).contains(&sent), "{sent}");
         assert_eq!(model.arrive(9999), Some(SimulatedOutcome::Reset), "a collapsed server stays down");
-        let mut warm = server(vec![], None);
+        let mut full_speed = server(vec![], None);
         (0..3000).for_each(|at| {
-            warm.advance(f64::from(at));
-            warm.arrive(at as u64);
+            full_speed.advance(f64::from(at));
+            full_speed.arrive(at as u64);
         });
-        assert!(!warm.is_down());
+        assert!(!full_speed.is_down());
     }
 
     #[test]
