--- a/crates/spurdrum-demo/src/main.rs
+++ b/crates/spurdrum-demo/src/main.rs
@@ -87,7 +87,7 @@
     let node =
         Node::start(&config(&fleet, &["harborline-hotels", "millpond-inn"], 1024, 4096), Stdio::inherit())?;
     println!("catalog {}, node {}, {} servers", fleet.catalog, node.address, fleet.servers.len());
-    println!("at 5 s large0 slows down five times for 10 s; at 12 s and 16 s a server is replaced by a newly started one");
+    println!("at 5 s large0 is five times slower for 10 s; at 12 s and 16 s a server is replaced by a newly started one");
     let options = Options {
         target: node.address,
         seed: 7,
@@ -124,7 +124,7 @@
     let repeated = counters.ids().values().filter(|runs| runs.begun > 1).count();
     let concurrent = counters.ids().values().filter(|runs| runs.most_at_once > 1).count();
     println!(
-        "requests that ran: {}, more than once: {repeated}, concurrently on two servers: {concurrent}",
+        "requests that ran: {}, more than once: {repeated}, concurrently: {concurrent}",
         counters.ids().len()
     );
     drop(node);
